--- a/features/support/line_platform/deployment.py
+++ b/features/support/line_platform/deployment.py
@@ -84,15 +84,20 @@
         if written is not None:
             path.write_text(written)
         environment = {**os.environ, "LIMEDYKE_NODE_FILE": str(path)}
+        platform_folder = self.platform_folder(ip)
         with open(self._folder / f"{ip}.log", "ab") as log:
             self._processes[ip] = subprocess.Popen(
-                [sys.executable, str(PLATFORM_FOLDER / program)],
+                [sys.executable, str(platform_folder / program)],
                 env=environment,
                 stdout=log,
                 stderr=log,
-                cwd=PLATFORM_FOLDER.parent,
+                cwd=platform_folder.parent,
             )
 
+    def platform_folder(self, ip: str) -> Path:
+        """Return the folder of the programs that a machine runs."""
+        return PLATFORM_FOLDER
+
     def write_node_file(self, ip: str, bootstrap: bool = False) -> Path:
         """Write a machine's node file as it is now; return its path."""
         path = self._folder / f"{ip}.json"
