--- a/features/steps/control_proxies_steps.py
+++ b/features/steps/control_proxies_steps.py
@@ -23,7 +23,7 @@
 from limedyke.proxy.control.client import ControlClient
 from limedyke.proxy.control.intake import ControlIntake
 from limedyke.proxy.control.store import ControlStore, view_of
-from limedyke.proxy.control.urgent_silence import UrgentSilence
+from limedyke.proxy.control.urgent_silence import ReportAnswerTimer
 
 SHORT_S = 0.3
 HALF_WRITTEN = b"\x00\x00\x10\x00half"
@@ -109,7 +109,7 @@
 
 @then('proxies: after "{events:Anything}" the leader may be silent for {seconds} s')
 def _(context, events, seconds):
-    silence, now = UrgentSilence(), 0.0
+    silence, now = ReportAnswerTimer(), 0.0
     for event in filter(None, events.split(", ")):
         at, word = event.split()
         now = float(at)
--- a/limedyke/proxy/control/reports.py
+++ b/limedyke/proxy/control/reports.py
@@ -7,7 +7,7 @@
 import curio
 
 from limedyke.messages.control import MemberReport
-from limedyke.proxy.control.urgent_silence import UrgentSilence
+from limedyke.proxy.control.urgent_silence import ReportAnswerTimer
 from limedyke.transport.link import LinkClosedError
 
 
@@ -19,7 +19,7 @@
 
     def __init__(self) -> None:
         self._reports: dict[tuple[str, str], MemberReport] = {}
-        self._silence = UrgentSilence()
+        self._silence = ReportAnswerTimer()
         self._wakeup = curio.Event()
 
     @property
--- a/limedyke/proxy/control/urgent_silence.py
+++ b/limedyke/proxy/control/urgent_silence.py
@@ -12,7 +12,7 @@
 SHORTEST_INTERVAL_S = 10.0
 
 
-class UrgentSilence:
+class ReportAnswerTimer:
     """Times one unanswered report after the other, in seconds of a monotonic clock."""
 
     def __init__(self) -> None:
