--- a/features/steps/lease_demand_steps.py
+++ b/features/steps/lease_demand_steps.py
@@ -39,7 +39,7 @@
     LEAST_CHANGE,
     LEAST_CHANGE_SHARE,
     ConnectionUse,
-    DemandNews,
+    DemandReporter,
 )
 from limedyke.messages.control import (
     ConnectionDemand,
@@ -336,7 +336,7 @@
     "{under_way:d} under way at once"
 )
 def step_requests(context, tenants, each, seconds, under_way):
-    context.use, context.news = ConnectionUse(), DemandNews()
+    context.use, context.news = ConnectionUse(), DemandReporter()
     context.sent = []
     context.at = 100.0
     interval_s = 1.0 / (tenants * each)
--- a/limedyke/core/statements/connection_demand.py
+++ b/limedyke/core/statements/connection_demand.py
@@ -55,7 +55,7 @@
         return max(round(self._level), len(self._requested_at))
 
 
-class DemandNews:
+class DemandReporter:
     """What was told of this proxy's demand, and what is to be told next."""
 
     def __init__(self) -> None:
--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -13,7 +13,7 @@
 
 from limedyke.core.access_keys import AccessKeys
 from limedyke.core.member_record import fault_of
-from limedyke.core.statements.connection_demand import DemandNews
+from limedyke.core.statements.connection_demand import DemandReporter
 from limedyke.core.statements.observed_member import ObservedMember
 from limedyke.core.statements.primary_outage import OutageTimes
 from limedyke.core.statements.process_pauses import ProcessPauses
@@ -101,7 +101,7 @@
         self._outage_times = OutageTimes()
         self._pauses = ProcessPauses()
         self._leases: dict[tuple[str, str], int] = {}
-        self._demand_news = DemandNews()
+        self._demand_news = DemandReporter()
         self._owed: set[tuple[str, str]] = set()
         self._reported: dict[tuple[str, str], _Seen] = {}
         self._unusable: set[str] = set()
