--- a/features/steps/control_proxies_steps.py
+++ b/features/steps/control_proxies_steps.py
@@ -22,8 +22,8 @@
 from limedyke.proxy.control import store as control_store
 from limedyke.proxy.control.client import ControlClient
 from limedyke.proxy.control.intake import ControlIntake
+from limedyke.proxy.control.report_answer_timer import ReportAnswerTimer
 from limedyke.proxy.control.store import ControlStore, view_of
-from limedyke.proxy.control.urgent_silence import ReportAnswerTimer
 
 SHORT_S = 0.3
 HALF_WRITTEN = b"\x00\x00\x10\x00half"
--- a/limedyke/proxy/control/reports.py
+++ b/limedyke/proxy/control/reports.py
@@ -7,7 +7,7 @@
 import curio
 
 from limedyke.messages.control import MemberReport
-from limedyke.proxy.control.urgent_silence import ReportAnswerTimer
+from limedyke.proxy.control.report_answer_timer import ReportAnswerTimer
 from limedyke.transport.link import LinkClosedError
 
 
