--- a/features/steps/operation_waiting_steps.py
+++ b/features/steps/operation_waiting_steps.py
@@ -16,7 +16,7 @@
 from limedyke.core.statements.stop_schedule import StopSchedule
 from limedyke.messages.control_entries import DeclarationChange
 from limedyke.messages.declaration import Declaration, Tenant
-from limedyke.messages.limits import OperationDemand, OperationsWanted
+from limedyke.messages.limits import OperationDemand, OperationsRequest
 from limedyke.proxy.limits.limit_metrics import LimitMetrics
 
 MS_PER_S = 1_000
@@ -268,7 +268,7 @@
 @when("waiting for tokens: a proxy asks for {count:d} and tells no priorities")
 def step_untold(context, count):
     world = context.world
-    request = OperationsWanted(1, (OperationDemand(TENANT, count),))
+    request = OperationsRequest(1, (OperationDemand(TENANT, count),))
     context.grant = world.limits.wanted("p0", request, world.now).grants[0]
 
 
--- a/features/support/leaders_world.py
+++ b/features/support/leaders_world.py
@@ -8,7 +8,7 @@
 from limedyke.core.limits.operation_allowance import FEW_PROXIES, OperationAllowance
 from limedyke.core.limits.operation_limits import OperationLimits
 from limedyke.messages.declaration import Tenant
-from limedyke.messages.limits import OperationDemand, OperationsOfPriority, OperationsWanted
+from limedyke.messages.limits import OperationDemand, OperationsOfPriority, OperationsRequest
 
 LEASE_S = 12.0
 STEP_S = 0.02
@@ -178,7 +178,7 @@
             return
         reports = proxy.allowance.reports(TENANT, self.now)
         running_ms = int((self.now - proxy.started_at) * MS_PER_S)
-        request = OperationsWanted(self.messages, (), reports, running_ms)
+        request = OperationsRequest(self.messages, (), reports, running_ms)
         self._leader.wanted(proxy.name, request, self.now)
 
     def _run(self, proxy: Proxy, count: int) -> None:
@@ -198,7 +198,7 @@
         self.messages += 1
         told = (OperationsOfPriority(1, count, WAIT_MS),)
         demand = OperationDemand(TENANT, count, proxy.allowance.ahead(self.now), told)
-        request = OperationsWanted(self.messages, (demand,))
+        request = OperationsRequest(self.messages, (demand,))
         grant = self._leader.wanted(proxy.name, request, self.now).grants[0]
         proxy.allowance.take_answer(grant, self.now)
         at_once = min(count, grant.operations)
--- a/features/support/limits_world.py
+++ b/features/support/limits_world.py
@@ -5,7 +5,7 @@
 from limedyke.core.limits.operation_allowance import OperationAllowance
 from limedyke.core.limits.operation_limits import OperationLimits
 from limedyke.messages.declaration import Tenant
-from limedyke.messages.limits import OperationDemand, OperationsWanted
+from limedyke.messages.limits import OperationDemand, OperationsRequest
 
 LEASE_S = 12.0
 STEP_S = 0.1
@@ -46,7 +46,7 @@
     def ask(self, proxy: str, count: int) -> int:
         """Have a proxy ask for operations, which run if granted; return how many were."""
         self.number += 1
-        request = OperationsWanted(self.number, (OperationDemand(TENANT, count),))
+        request = OperationsRequest(self.number, (OperationDemand(TENANT, count),))
         grant = self.limits.wanted(proxy, request, self.now).grants[0]
         alone_rate = grant.alone_per_minute / 60
         self.allowances[proxy].granted(grant.operations, alone_rate, self.now)
--- a/features/support/statement_path.py
+++ b/features/support/statement_path.py
@@ -23,7 +23,7 @@
     SessionLimits,
 )
 from limedyke.messages.declaration import Group, PromotionMode, Tenant, TenantAccess
-from limedyke.messages.limits import OperationsWanted
+from limedyke.messages.limits import OperationsRequest
 from limedyke.metrics import TrafficCounter, new_registry
 from limedyke.proxy.control.view import ControlView
 from limedyke.proxy.forwarding.home_links import HomeLinks
@@ -177,7 +177,7 @@
         self.news: ControlView | None = None
         self.is_cut_off = False
         self.confirmations = 0
-        self.asked: list[OperationsWanted] = []
+        self.asked: list[OperationsRequest] = []
         self.leader: OperationLimits | None = None
         self.alone_until = NEVER
         self.limits = OperationLimiter(
@@ -209,7 +209,7 @@
             await self.take_view(view)
         return True
 
-    async def _ask_leader(self, message: OperationsWanted) -> bool:
+    async def _ask_leader(self, message: OperationsRequest) -> bool:
         """Stand for the leader's count of operations; None for a leader that answers nothing."""
         self.asked.append(message)
         if self.leader is not None:
--- a/features/support/waiting_world.py
+++ b/features/support/waiting_world.py
@@ -8,7 +8,7 @@
 from limedyke.core.limits.operation_limits import OperationLimits
 from limedyke.core.limits.token_queue import TokenQueue, TokenWaiter
 from limedyke.messages.declaration import Tenant
-from limedyke.messages.limits import OperationDemand, OperationsOfPriority, OperationsWanted
+from limedyke.messages.limits import OperationDemand, OperationsOfPriority, OperationsRequest
 
 LEASE_S = 12.0
 STEP_S = 0.02
@@ -94,7 +94,7 @@
             for (priority, wait_ms), count in sorted(counts.items())
         )
         demand = OperationDemand(TENANT, len(arrivals), 0, by_priority)
-        request = OperationsWanted(self._number, (demand,))
+        request = OperationsRequest(self._number, (demand,))
         grant = self.limits.wanted(f"p{self.first_proxy + proxy}", request, self.now).grants[0]
         dues = [self.now] * grant.operations
         dues += [self.now + wait_ms / MS_PER_S for wait_ms in grant.waits_ms]
--- a/limedyke/controller/leading/proxy_sessions.py
+++ b/limedyke/controller/leading/proxy_sessions.py
@@ -36,7 +36,7 @@
     ProxyRefused,
     WritesPaused,
 )
-from limedyke.messages.limits import OperationsWanted
+from limedyke.messages.limits import OperationsRequest
 from limedyke.result_codes import ResultCode
 from limedyke.transport.link import Link, LinkClosedError
 from limedyke.transport.traffic import Purpose
@@ -213,7 +213,7 @@
             return HeartbeatReceived(proxy, message, first)
         case MemberReport():
             return MemberReported(proxy, message)
-        case OperationsWanted():
+        case OperationsRequest():
             return OperationsAsked(proxy, message)
         case LeaseReturned():
             return LeasesReturned(proxy, message.leases)
--- a/limedyke/core/control/events.py
+++ b/limedyke/core/control/events.py
@@ -13,7 +13,7 @@
     ProxyHello,
 )
 from limedyke.messages.control_entries import ControlEntry
-from limedyke.messages.limits import OperationsWanted
+from limedyke.messages.limits import OperationsRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
     """A proxy asks for operations of tenants with a limit."""
 
     proxy: str
-    request: OperationsWanted
+    request: OperationsRequest
 
 
 @dataclass(frozen=True, slots=True)
--- a/limedyke/core/limits/operation_limits.py
+++ b/limedyke/core/limits/operation_limits.py
@@ -26,7 +26,7 @@
     OperationGrant,
     OperationReport,
     OperationsGranted,
-    OperationsWanted,
+    OperationsRequest,
     ReturnTime,
 )
 
@@ -135,7 +135,7 @@
             elif name in self._budgets:
                 self._set_rate(name, now)
 
-    def wanted(self, proxy: str, request: OperationsWanted, now: float) -> OperationsGranted:
+    def wanted(self, proxy: str, request: OperationsRequest, now: float) -> OperationsGranted:
         """Grant what may be run of what a proxy wants to run."""
         self.heard(proxy, now)
         self._take_reports(proxy, request.reports, now)
--- a/limedyke/messages/limits.py
+++ b/limedyke/messages/limits.py
@@ -56,7 +56,7 @@
 
 @message(231)
 @dataclass(frozen=True, slots=True)
-class OperationsWanted:
+class OperationsRequest:
     """Asks for operations of several tenants at once.
 
     :param number: grows by one with each message of a proxy
@@ -113,7 +113,7 @@
 @message(233)
 @dataclass(frozen=True, slots=True)
 class OperationsGranted:
-    """The answer to ``OperationsWanted`` of this number."""
+    """The answer to ``OperationsRequest`` of this number."""
 
     number: int
     grants: tuple[OperationGrant, ...]
--- a/limedyke/proxy/limits/operation_limiter.py
+++ b/limedyke/proxy/limits/operation_limiter.py
@@ -21,7 +21,7 @@
     OperationReport,
     OperationsGranted,
     OperationsOfPriority,
-    OperationsWanted,
+    OperationsRequest,
     ReturnTime,
 )
 from limedyke.proxy.limits.limit_log import LimitLog
@@ -106,7 +106,7 @@
     def __init__(
         self,
         tenants: Callable[[], Mapping[str, Tenant]],
-        send: Callable[[OperationsWanted], Awaitable[bool]],
+        send: Callable[[OperationsRequest], Awaitable[bool]],
         alone_until: Callable[[], float],
         serving: Callable[[], int] = lambda: UNKNOWN_COUNT,
     ) -> None:
@@ -241,7 +241,7 @@
         demands = tuple(self._demand(tenant, unasked[tenant], now) for tenant in unasked)
         reports = self._reports(now) if self._is_report_due else ()
         running_ms = int((now - self._began_at) * MS_PER_S) if self._is_report_due else 0
-        if await self._send(OperationsWanted(self._number, demands, reports, running_ms)):
+        if await self._send(OperationsRequest(self._number, demands, reports, running_ms)):
             self._is_report_due = False
         else:
             self._stop_asking()
