--- a/features/mutants/simulator_safeguards.py
+++ b/features/mutants/simulator_safeguards.py
@@ -29,7 +29,7 @@
 from limedyke.messages.control import ControlSnapshot
 from limedyke.messages.work import LogPosition
 from limedyke.proxy import drain, local_executor, unit_write
-from limedyke.proxy.control.intake import ControlIntake
+from limedyke.proxy.control.intake import ControlStateReceiver
 from limedyke.proxy.members.connection import BackendConnection, ConnectionLostError
 from limedyke.proxy.members.gate import MemberGate
 from limedyke.proxy.members.held_leases import HeldLeases
@@ -157,11 +157,11 @@
 def _older_state_taken() -> tuple[Replacement, ...]:
     """Controllers lose what they confirmed, and proxies follow them back."""
 
-    async def take_snapshot(intake: ControlIntake, snapshot: ControlSnapshot) -> None:
+    async def take_snapshot(intake: ControlStateReceiver, snapshot: ControlSnapshot) -> None:
         intake._unsaved_snapshot = True
         await intake._accept(intake._stored.builder.take_snapshot(snapshot))
 
-    return (*_unsynced_log(), (ControlIntake, "take_snapshot", take_snapshot))
+    return (*_unsynced_log(), (ControlStateReceiver, "take_snapshot", take_snapshot))
 
 
 def _ignored_once_key() -> tuple[Replacement, ...]:
@@ -320,7 +320,7 @@
     ),
     SimulatedMutant(
         "a proxy takes an older state",
-        "ControlIntake.take_snapshot",
+        "ControlStateReceiver.take_snapshot",
         "revision-monotonic",
         _older_state_taken,
         POWER_CUTS,
--- a/features/steps/control_proxies_steps.py
+++ b/features/steps/control_proxies_steps.py
@@ -21,7 +21,7 @@
 from limedyke.messages.control import MemberHealth, MemberReport
 from limedyke.proxy.control import store as control_store
 from limedyke.proxy.control.client import ControlClient
-from limedyke.proxy.control.intake import ControlIntake
+from limedyke.proxy.control.intake import ControlStateReceiver
 from limedyke.proxy.control.report_answer_timer import ReportAnswerTimer
 from limedyke.proxy.control.store import ControlStore, view_of
 
@@ -178,7 +178,7 @@
     }[disk]
 
 
-async def _take_all(intake: ControlIntake, last: int) -> None:
+async def _take_all(intake: ControlStateReceiver, last: int) -> None:
     (await intake.open()).unwrap()
     await intake.take_snapshot(a_snapshot(PRESENT))
     for number in range(PRESENT, last):
@@ -206,7 +206,7 @@
 
     handler = RecordingHandler(seen=crash)
     store = ControlStore(folder)
-    intake = ControlIntake(store, handler.control_changed)
+    intake = ControlStateReceiver(store, handler.control_changed)
     with context.disk():
         curio.run(_take_all, intake, last)
     store.close()
--- a/limedyke/proxy/control/client.py
+++ b/limedyke/proxy/control/client.py
@@ -37,7 +37,7 @@
 from limedyke.proxy.control.announcements import ControlAnnouncements
 from limedyke.proxy.control.controller_choice import ControllerChoice
 from limedyke.proxy.control.handler import ControlHandler
-from limedyke.proxy.control.intake import ControlIntake
+from limedyke.proxy.control.intake import ControlStateReceiver
 from limedyke.proxy.control.leader_search import FoundLeader, LeaderSearch
 from limedyke.proxy.control.leases import ControlLeases
 from limedyke.proxy.control.quorum_watch import QuorumWatch
@@ -89,7 +89,7 @@
         place = Place(settings.zone, settings.region)
         identity = LinkIdentity(PeerRole.PROXY, settings.name, key, place, meter)
         self._handler = handler
-        self._intake = ControlIntake(store, handler.control_changed)
+        self._intake = ControlStateReceiver(store, handler.control_changed)
         longest_pause_s = settings.control_retry_limit_ms / 1000
         self._choice = ControllerChoice(settings.controllers, random.Random(), longest_pause_s)
         self._announcements = ControlAnnouncements(settings)
--- a/limedyke/proxy/control/intake.py
+++ b/limedyke/proxy/control/intake.py
@@ -13,7 +13,7 @@
 from limedyke.transport.link import LinkClosedError
 
 
-class ControlIntake:
+class ControlStateReceiver:
     """Takes snapshots and updates in, and puts the views they make into force.
 
     :param store: the proxy's disk
