--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -10,10 +10,10 @@
 from limedyke.core.queueing.queue_answer import Refused
 from limedyke.core.statements.session import RunOnMember, StatementSession, refusal
 from limedyke.messages.statements import AnswerKind, StatementAnswer
-from limedyke.proxy.statements.giving_up import UNKNOWN_READY_S, give_up
 from limedyke.proxy.statements.group import StatementGroup
 from limedyke.proxy.statements.members.member_pool import MemberPool
 from limedyke.proxy.statements.statement_log import NotSent, StatementLog, Try
+from limedyke.proxy.statements.statement_refusal import UNKNOWN_READY_S, give_up
 from limedyke.result_codes import ResultCode
 
 MS_PER_S = 1_000.0
--- a/limedyke/proxy/statements/homes/forwarded_attempt.py
+++ b/limedyke/proxy/statements/homes/forwarded_attempt.py
@@ -16,8 +16,8 @@
     MS_PER_S,
     RETRY_PAUSE_S,
 )
-from limedyke.proxy.statements.giving_up import UNKNOWN_READY_S, give_up
 from limedyke.proxy.statements.group import StatementGroup
+from limedyke.proxy.statements.statement_refusal import UNKNOWN_READY_S, give_up
 from limedyke.result_codes import ResultCode, did_not_run
 
 LEASE_WAIT_SHARE = 0.7
--- a/limedyke/proxy/statements/settlement.py
+++ b/limedyke/proxy/statements/settlement.py
@@ -9,9 +9,9 @@
     StatementAnswer,
     StatementKind,
 )
-from limedyke.proxy.statements.giving_up import RETRY_AFTER_MS
 from limedyke.proxy.statements.members.pinned_connection import PinnedConnection
 from limedyke.proxy.statements.placed_answer import PlacedAnswer
+from limedyke.proxy.statements.statement_refusal import RETRY_AFTER_MS
 from limedyke.result_codes import ResultCode
 
 MAY_HAVE_RUN = frozenset({AnswerKind.LOST, AnswerKind.TIMED_OUT, AnswerKind.FAILED})
