--- a/limedyke/controller/call_desk.py
+++ b/limedyke/controller/call_desk.py
@@ -79,7 +79,7 @@
     return failed(Failure(ResultCode.CONTROL_OUTCOME_UNKNOWN, reason))
 
 
-class CallDesk:
+class CallRouter:
     """Answers calls: on the leader itself, else through a link to the leader.
 
     :param calls: carries calls out on the leader; None before the cluster is founded
--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -11,7 +11,7 @@
 import curio
 from result import Err, Ok
 
-from limedyke.controller.call_desk import CallDesk
+from limedyke.controller.call_desk import CallRouter
 from limedyke.controller.clock import boot_seconds
 from limedyke.controller.founding_phase import FoundingPhase
 from limedyke.controller.keys import ControllerKeys
@@ -71,7 +71,7 @@
 
     authority: PromotionAuthority | None
 
-    async def run(self, desk: CallDesk, learn_peers: LearnPeers) -> None:
+    async def run(self, desk: CallRouter, learn_peers: LearnPeers) -> None:
         """Serve calls until cancelled.
 
         :param learn_peers: takes the controllers that changed settings name
@@ -130,7 +130,7 @@
         self._leader: LeaderService | None = None
         self._leader_task: curio.Task | None = None
         self._requests: OperatorRequests | None = None
-        self._desk = CallDesk(
+        self._desk = CallRouter(
             lambda: self._calls,
             self._leader_address,
             replace(self._link_identity, role=PeerRole.FORWARDER),
