--- a/features/mutants/simulator_safeguards.py
+++ b/features/mutants/simulator_safeguards.py
@@ -29,7 +29,7 @@
 from limedyke.messages.control import ControlSnapshot
 from limedyke.messages.work import LogPosition
 from limedyke.proxy import drain, local_executor, unit_write
-from limedyke.proxy.control.intake import ControlStateReceiver
+from limedyke.proxy.control.state_receiver import ControlStateReceiver
 from limedyke.proxy.members.connection import BackendConnection, ConnectionLostError
 from limedyke.proxy.members.gate import MemberGate
 from limedyke.proxy.members.held_leases import HeldLeases
--- a/features/steps/control_proxies_steps.py
+++ b/features/steps/control_proxies_steps.py
@@ -21,8 +21,8 @@
 from limedyke.messages.control import MemberHealth, MemberReport
 from limedyke.proxy.control import store as control_store
 from limedyke.proxy.control.client import ControlClient
-from limedyke.proxy.control.intake import ControlStateReceiver
 from limedyke.proxy.control.report_answer_timer import ReportAnswerTimer
+from limedyke.proxy.control.state_receiver import ControlStateReceiver
 from limedyke.proxy.control.store import ControlStore, view_of
 
 SHORT_S = 0.3
--- a/limedyke/proxy/control/client.py
+++ b/limedyke/proxy/control/client.py
@@ -37,12 +37,12 @@
 from limedyke.proxy.control.announcements import ControlAnnouncements
 from limedyke.proxy.control.controller_choice import ControllerChoice
 from limedyke.proxy.control.handler import ControlHandler
-from limedyke.proxy.control.intake import ControlStateReceiver
 from limedyke.proxy.control.leader_search import FoundLeader, LeaderSearch
 from limedyke.proxy.control.leases import ControlLeases
 from limedyke.proxy.control.quorum_watch import QuorumWatch
 from limedyke.proxy.control.reports import ControlReports
 from limedyke.proxy.control.settings import ControlClientSettings
+from limedyke.proxy.control.state_receiver import ControlStateReceiver
 from limedyke.proxy.control.store import ControlStore, StoredControl
 from limedyke.proxy.control.view import ControlView
 from limedyke.proxy.control.view_check import ViewCheck
