--- a/limedyke/controller/leading/proxy_sessions.py
+++ b/limedyke/controller/leading/proxy_sessions.py
@@ -13,7 +13,7 @@
     LeaderEvent,
     LeasesReturned,
     MemberReported,
-    OperationsAsked,
+    OperationsRequested,
     PromotionAnswered,
     ProxyConnected,
     ProxyDisconnected,
@@ -214,7 +214,7 @@
         case MemberReport():
             return MemberReported(proxy, message)
         case OperationsRequest():
-            return OperationsAsked(proxy, message)
+            return OperationsRequested(proxy, message)
         case LeaseReturned():
             return LeasesReturned(proxy, message.leases)
         case PromoteResult():
--- a/limedyke/core/control/events.py
+++ b/limedyke/core/control/events.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OperationsAsked:
+class OperationsRequested:
     """A proxy asks for operations of tenants with a limit."""
 
     proxy: str
@@ -137,7 +137,7 @@
     | HeartbeatReceived
     | LeasesReturned
     | MemberReported
-    | OperationsAsked
+    | OperationsRequested
     | PromotionAnswered
     | WritesPausedReported
     | ProxyLeft
--- a/limedyke/core/control/leader.py
+++ b/limedyke/core/control/leader.py
@@ -19,7 +19,7 @@
     LeaderEvent,
     LeasesReturned,
     MemberReported,
-    OperationsAsked,
+    OperationsRequested,
     PlatformListed,
     PromotionAnswered,
     Propose,
@@ -128,7 +128,7 @@
             case MemberReported():
                 self.failover.report(event.proxy, event.report, now)
                 self.authority.report(event.proxy, event.report, now)
-            case OperationsAsked():
+            case OperationsRequested():
                 granted = self.limits.wanted(event.proxy, event.request, now)
                 self._commands.append(SendToProxy(event.proxy, granted))
             case AuthorityAnswered():
