--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -35,10 +35,10 @@
 from limedyke.proxy.statements.clients.session_end import end_session
 from limedyke.proxy.statements.executor import StatementExecutor
 from limedyke.proxy.statements.groups import StatementGroups
-from limedyke.proxy.statements.placed_answer import PlacedAnswer, TransactionPlace
 from limedyke.proxy.statements.settlement import settle_unanswered
 from limedyke.proxy.statements.statement_log import StatementLog, StatementUnderWay
 from limedyke.proxy.statements.statement_refusal import give_up
+from limedyke.proxy.statements.statement_result import PlacedAnswer, TransactionPlace
 from limedyke.result_codes import ResultCode
 
 RECEIVE_BYTES = 64 * 1024
--- a/limedyke/proxy/statements/executor.py
+++ b/limedyke/proxy/statements/executor.py
@@ -8,12 +8,12 @@
 from limedyke.proxy.statements.group import StatementGroup
 from limedyke.proxy.statements.groups import StatementGroups
 from limedyke.proxy.statements.homes.forwarding import StatementForwarding
-from limedyke.proxy.statements.placed_answer import (
+from limedyke.proxy.statements.runner import StatementRunner
+from limedyke.proxy.statements.statement_result import (
     ForwardedTransaction,
     PlacedAnswer,
     TransactionPlace,
 )
-from limedyke.proxy.statements.runner import StatementRunner
 from limedyke.result_codes import ResultCode
 
 UNDECLARED_RETRY_AFTER_MS = 200
--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -16,9 +16,9 @@
 from limedyke.proxy.statements.members.member_exchange import MemberExchange
 from limedyke.proxy.statements.members.member_pool import MemberPool
 from limedyke.proxy.statements.members.member_questions import MemberQuestions
-from limedyke.proxy.statements.placed_answer import PlacedAnswer
 from limedyke.proxy.statements.settlement import settle_first
 from limedyke.proxy.statements.statement_log import NotSent
+from limedyke.proxy.statements.statement_result import PlacedAnswer
 from limedyke.result_codes import ResultCode
 
 STALENESS_MARGIN_S = 0.03
--- a/limedyke/proxy/statements/runner.py
+++ b/limedyke/proxy/statements/runner.py
@@ -16,11 +16,11 @@
 from limedyke.proxy.statements.members.member_exchange import MemberExchange
 from limedyke.proxy.statements.members.member_questions import MemberQuestions
 from limedyke.proxy.statements.members.pinned_connection import PinnedConnection
-from limedyke.proxy.statements.placed_answer import PlacedAnswer
 from limedyke.proxy.statements.read_runner import ReadRunner
 from limedyke.proxy.statements.settlement import settle_first, settle_in_transaction
 from limedyke.proxy.statements.statement_log import NotSent, StatementLog
 from limedyke.proxy.statements.statement_metrics import StatementMetrics
+from limedyke.proxy.statements.statement_result import PlacedAnswer
 from limedyke.result_codes import ResultCode, did_not_run
 
 
