--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -11,7 +11,7 @@
 import curio
 from result import Err, Ok
 
-from limedyke.controller.call_desk import CallRouter
+from limedyke.controller.call_router import CallRouter
 from limedyke.controller.clock import boot_seconds
 from limedyke.controller.founding_phase import FoundingPhase
 from limedyke.controller.keys import ControllerKeys
