--- a/limedyke/proxy/control/client.py
+++ b/limedyke/proxy/control/client.py
@@ -34,7 +34,6 @@
 from limedyke.messages.declaration import Tenant
 from limedyke.messages.handshake import PeerRole
 from limedyke.messages.limits import OperationsGranted
-from limedyke.proxy.control.announcements import ControlAnnouncements
 from limedyke.proxy.control.controller_choice import ControllerChoice
 from limedyke.proxy.control.handler import ControlHandler
 from limedyke.proxy.control.leader_search import FoundLeader, LeaderSearch
@@ -43,6 +42,7 @@
 from limedyke.proxy.control.reports import ControlReports
 from limedyke.proxy.control.settings import ControlClientSettings
 from limedyke.proxy.control.state_receiver import ControlStateReceiver
+from limedyke.proxy.control.status_messages import ControlAnnouncements
 from limedyke.proxy.control.store import ControlStore, StoredControl
 from limedyke.proxy.control.view import ControlView
 from limedyke.proxy.control.view_check import ViewCheck
