--- a/limedyke/core/limits/operation_limits.py
+++ b/limedyke/core/limits/operation_limits.py
@@ -27,7 +27,7 @@
     OperationReport,
     OperationsGranted,
     OperationsRequest,
-    ReturnTime,
+    RetryTime,
 )
 
 SECONDS_PER_MINUTE = 60
@@ -359,7 +359,7 @@
 
 def _grant_by_priority(
     budget: TenantBudget, demand: OperationDemand, now: float
-) -> tuple[int, list[float], tuple[ReturnTime, ...]]:
+) -> tuple[int, list[float], tuple[RetryTime, ...]]:
     """Return how many operations may run now, when further ones may, and when others come back."""
     if not demand.by_priority:
         return budget.bucket.take(demand.operations, now), [], ()
@@ -377,9 +377,9 @@
     return granted, sorted(waits_s), returns
 
 
-def _return_time(budget: TenantBudget, priority: int, operations: int, now: float) -> ReturnTime:
+def _return_time(budget: TenantBudget, priority: int, operations: int, now: float) -> RetryTime:
     first_s, step_s = budget.returns_in_s(priority, operations, now)
-    return ReturnTime(priority, math.ceil(first_s * MS_PER_S), math.ceil(step_s * MS_PER_S))
+    return RetryTime(priority, math.ceil(first_s * MS_PER_S), math.ceil(step_s * MS_PER_S))
 
 
 def _rate(tenant: Tenant) -> float:
--- a/limedyke/messages/limits.py
+++ b/limedyke/messages/limits.py
@@ -72,7 +72,7 @@
 
 @message(235)
 @dataclass(frozen=True, slots=True)
-class ReturnTime:
+class RetryTime:
     """When refused operations of a priority may be asked for again.
 
     :param after_ms: the first of them
@@ -105,7 +105,7 @@
     retry_after_ms: int = 0
     alone_per_minute: int = 0
     waits_ms: tuple[int, ...] = ()
-    returns: tuple[ReturnTime, ...] = ()
+    returns: tuple[RetryTime, ...] = ()
     alone_of_per_minute: int = 0
     alone_tenths: int = 0
 
--- a/limedyke/proxy/limits/operation_limiter.py
+++ b/limedyke/proxy/limits/operation_limiter.py
@@ -22,7 +22,7 @@
     OperationsGranted,
     OperationsOfPriority,
     OperationsRequest,
-    ReturnTime,
+    RetryTime,
 )
 from limedyke.proxy.limits.limit_log import LimitLog
 from limedyke.proxy.limits.limit_metrics import LimitMetrics, Refused
@@ -353,7 +353,7 @@
 
 def _return_s(grant: OperationGrant, priority: int, before: int) -> float:
     """Return when an operation should come back, so many of its priority before it."""
-    fallback = ReturnTime(priority, grant.retry_after_ms, 0)
+    fallback = RetryTime(priority, grant.retry_after_ms, 0)
     told = next((told for told in grant.returns if told.priority == priority), None)
     told = told or (grant.returns[-1] if grant.returns else fallback)
     in_s = (told.after_ms + before * told.step_ms) / MS_PER_S
