--- a/features/steps/statement_log_steps.py
+++ b/features/steps/statement_log_steps.py
@@ -10,7 +10,7 @@
 from behave import given, then, when
 
 from features.steps.statement_path_steps import step_write_at_once
-from limedyke.proxy.statements.line_budget import LineBudget
+from limedyke.proxy.statements.log_rate_limiter import LineBudget
 from limedyke.proxy.statements.statement_log import StatementLog
 
 METRIC = "limedyke_statements_"
--- a/limedyke/proxy/limits/limit_log.py
+++ b/limedyke/proxy/limits/limit_log.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from limedyke.event_log import EventLog
-from limedyke.proxy.statements.line_budget import LineBudget
+from limedyke.proxy.statements.log_rate_limiter import LineBudget
 
 LINES_PER_SECOND = 20
 MS_PER_S = 1_000
--- a/limedyke/proxy/statements/statement_log.py
+++ b/limedyke/proxy/statements/statement_log.py
@@ -15,7 +15,7 @@
     StatementAnswer,
     StatementUnit,
 )
-from limedyke.proxy.statements.line_budget import LineBudget
+from limedyke.proxy.statements.log_rate_limiter import LineBudget
 from limedyke.proxy.statements.statement_metrics import StatementMetrics
 from limedyke.result_codes import CODE_BY_NUMBER, ResultCode
 
