--- a/limedyke/controller/leading/voter_care.py
+++ b/limedyke/controller/leading/voter_care.py
@@ -16,7 +16,7 @@
 EVENTS = EventLog("voters")
 
 
-class VoterCare:
+class VoterManager:
     """Carries out what the policy wants, one change at a time.
 
     :param advertise: where the other controllers reach this one (``ip:port``)
--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -19,7 +19,7 @@
 from limedyke.controller.leading.leader_service import LeaderService
 from limedyke.controller.leading.operator_changes import ControllerChanges
 from limedyke.controller.leading.operator_requests import OperatorRequests
-from limedyke.controller.leading.voter_care import VoterCare
+from limedyke.controller.leading.voter_care import VoterManager
 from limedyke.controller.membership_search import MembershipSearch
 from limedyke.controller.peer_network import PeerMessage, PeerNetwork
 from limedyke.controller.promotion_authority import PromotionAuthority
@@ -242,11 +242,11 @@
                 for known in recorded_addresses(entry.payload):
                     self._network.set_address(known.name, known.address)
 
-    def _voter_care(self) -> VoterCare:
+    def _voter_care(self) -> VoterManager:
         settings = self._settings
         silence_limit_s = settings.voter_silence_limit_ms / 1000
         policy = VoterPolicy(settings.voters_wanted, silence_limit_s)
-        return VoterCare(self._replica, policy, settings.advertise)
+        return VoterManager(self._replica, policy, settings.advertise)
 
     def _stored_before_start(self) -> StoredState:
         """Return what was on the disk when this process began."""
