--- a/limedyke/proxy/control/client.py
+++ b/limedyke/proxy/control/client.py
@@ -38,7 +38,7 @@
 from limedyke.proxy.control.handler import ControlHandler
 from limedyke.proxy.control.leader_search import FoundLeader, LeaderSearch
 from limedyke.proxy.control.leases import ControlLeases
-from limedyke.proxy.control.quorum_watch import QuorumWatch
+from limedyke.proxy.control.quorum_stamp_tracker import QuorumWatch
 from limedyke.proxy.control.reports import ControlReports
 from limedyke.proxy.control.settings import ControlClientSettings
 from limedyke.proxy.control.state_receiver import ControlStateReceiver
