--- a/features/steps/announced_members_steps.py
+++ b/features/steps/announced_members_steps.py
@@ -11,7 +11,7 @@
     a_member,
     with_address_of,
 )
-from limedyke.core.control.announcements import AnnouncementBook
+from limedyke.core.control.announcements import AnnouncementTracker
 from limedyke.core.control.displaced_members import DisplacedMembers
 from limedyke.core.control.events import AuthorityOutcome
 from limedyke.messages.control import MemberHealth
@@ -25,7 +25,7 @@
     roles = dict(member.split(":") for member in members.split())
     context.members = {name: a_member(name, role) for name, role in roles.items()}
     context.displaced = DisplacedMembers()
-    context.book = AnnouncementBook(context.members, context.displaced, NOW)
+    context.book = AnnouncementTracker(context.members, context.displaced, NOW)
     for member in context.members.values():
         assert context.book.announced(member, 1, NOW) is None
     context.learned = None
@@ -65,7 +65,7 @@
     take(context, context.book.announced(with_address_of(a_member("d", "replica"), address), 1, 51))
     if "a new leader, " in later:
         context.displaced = DisplacedMembers(context.displaced.recorded())
-        context.book = AnnouncementBook(context.members, context.displaced, 52.0)
+        context.book = AnnouncementTracker(context.members, context.displaced, 52.0)
     b = a_member("b", "primary")
     if "from elsewhere" in later:
         b = with_address_of(b, a_member("e", "replica"))
--- a/features/support/incarnations_world.py
+++ b/features/support/incarnations_world.py
@@ -6,7 +6,7 @@
 
 from features.support.announced_world import a_member, with_address_of
 from features.support.control_builders import StateUnderTest
-from limedyke.core.control.announcements import AnnouncementBook
+from limedyke.core.control.announcements import AnnouncementTracker
 from limedyke.core.control.state import ControlState
 from limedyke.messages.control_entries import RecordMembers
 from limedyke.messages.databases import AnnouncedMember
@@ -51,7 +51,7 @@
     def lead(self) -> None:
         """Let another controller lead from now on."""
         state = self.test.state
-        self.book = AnnouncementBook(state.announced, state.displaced, self.now, state.ended)
+        self.book = AnnouncementTracker(state.announced, state.displaced, self.now, state.ended)
 
     def read_snapshot(self) -> None:
         """Have the controllers read their state from a snapshot, and one of them lead."""
--- a/limedyke/core/control/announcements.py
+++ b/limedyke/core/control/announcements.py
@@ -43,7 +43,7 @@
     started_at_ms: int
 
 
-class AnnouncementBook:
+class AnnouncementTracker:
     """Decides which announcements change the log.
 
     :param members: the recorded members by identity, read only
--- a/limedyke/core/control/leader.py
+++ b/limedyke/core/control/leader.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from random import Random
 
-from limedyke.core.control.announcements import AnnouncementBook
+from limedyke.core.control.announcements import AnnouncementTracker
 from limedyke.core.control.events import (
     AnswerHeartbeat,
     AuthorityAnswered,
@@ -95,7 +95,7 @@
             state.primaries, state.switchover_targets, self.membership, timing, generator
         )
         self.limits = OperationLimits(state.declared.tenants, timing.lease_s, now, other_began_at)
-        self.announcements = AnnouncementBook(state.announced, state.displaced, now, state.ended)
+        self.announcements = AnnouncementTracker(state.announced, state.displaced, now, state.ended)
         self.authority = AuthorityFailover(
             state.primaries,
             state.announced,
--- a/limedyke/core/control/primaries/authority_failover.py
+++ b/limedyke/core/control/primaries/authority_failover.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from limedyke.core.control.announcements import AnnouncementBook
+from limedyke.core.control.announcements import AnnouncementTracker
 from limedyke.core.control.events import AskAuthority, AuthorityOutcome, NoteDecision, Propose
 from limedyke.core.control.lease_table import reissue_after_s
 from limedyke.core.control.membership import ProxyMembership
@@ -53,7 +53,7 @@
         primaries: Mapping[str, GroupPrimary],
         members: Mapping[str, AnnouncedMember],
         proxies: Mapping[str, ProxyRecord],
-        book: AnnouncementBook,
+        book: AnnouncementTracker,
         membership: ProxyMembership,
         homes: HomeDirectory,
         timing: ControlTiming,
--- a/limedyke/core/control/primaries/authority_judgement.py
+++ b/limedyke/core/control/primaries/authority_judgement.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from limedyke.core.control.announcements import AnnouncementBook
+from limedyke.core.control.announcements import AnnouncementTracker
 from limedyke.core.control.membership import ProxyMembership
 from limedyke.core.control.primaries.authority_care import AuthorityCare, Grounds, Suspicion
 from limedyke.core.control.primaries.group_members import GroupMembers
@@ -33,7 +33,7 @@
         self,
         members: Mapping[str, AnnouncedMember],
         proxies: Mapping[str, ProxyRecord],
-        book: AnnouncementBook,
+        book: AnnouncementTracker,
         membership: ProxyMembership,
         homes: HomeDirectory,
         timing: ControlTiming,
