--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -19,6 +19,7 @@
 from limedyke.core.statements.observed_member import FIRST_ANSWER_S, OPENING, ObservedMember
 from limedyke.messages.statements import AnswerKind
 from limedyke.messages.work import TransactionStatus
+from limedyke.proxy.statements.members.checked_out_connections import LentConnections
 from limedyke.proxy.statements.members.connection_waiter import (
     ANY_TENANT,
     ConnectionWaiter,
@@ -26,7 +27,6 @@
     TurnedAwayError,
 )
 from limedyke.proxy.statements.members.idle_connections import IdleConnections
-from limedyke.proxy.statements.members.lent_connections import LentConnections
 from limedyke.proxy.statements.members.member_codec import MemberCodec
 from limedyke.proxy.statements.members.member_connection import (
     ConnectionRefusedByMemberError,
