--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -19,7 +19,7 @@
 from limedyke.controller.leading.leader_service import LeaderService
 from limedyke.controller.leading.operator_changes import ControllerChanges
 from limedyke.controller.leading.operator_requests import OperatorRequests
-from limedyke.controller.leading.voter_care import VoterManager
+from limedyke.controller.leading.voter_manager import VoterManager
 from limedyke.controller.membership_search import MembershipSearch
 from limedyke.controller.peer_network import PeerMessage, PeerNetwork
 from limedyke.controller.promotion_authority import PromotionAuthority
