--- a/features/mutants/simulator_safeguards.py
+++ b/features/mutants/simulator_safeguards.py
@@ -22,7 +22,7 @@
 )
 from limedyke.core.agreement.lease import LeaderLease
 from limedyke.core.control import lease_table
-from limedyke.core.control.plan_book import PlanBook
+from limedyke.core.control.plan_book import PlanStore
 from limedyke.core.control.state import Applied, ControlState
 from limedyke.core.group_view import GroupView
 from limedyke.core.promotion import Promotion
@@ -217,7 +217,7 @@
 def _first_answer_forgotten() -> tuple[Replacement, ...]:
     return (
         (ControlState, "first_answer", lambda state, operator, request_id: None),
-        (PlanBook, "outcome", lambda book, plan_id: None),
+        (PlanStore, "outcome", lambda book, plan_id: None),
     )
 
 
--- a/features/support/plan_world.py
+++ b/features/support/plan_world.py
@@ -19,7 +19,7 @@
     a_declaration,
     a_group,
 )
-from limedyke.core.control.plan_book import PlanBook
+from limedyke.core.control.plan_book import PlanStore
 from limedyke.core.control.state import ControlState
 from limedyke.messages.operator import Confirmed, Plan
 
@@ -158,7 +158,7 @@
         ControlState, "first_answer", lambda state, operator, request_id: None
     ),
     "plans expire": lambda: mock.patch.object(ControlState, "_advance_time", _never_expire),
-    "a conflict names the winner": lambda: mock.patch.object(PlanBook, "settle", lambda *a: None),
+    "a conflict names the winner": lambda: mock.patch.object(PlanStore, "settle", lambda *a: None),
 }
 
 
--- a/limedyke/core/control/plan_book.py
+++ b/limedyke/core/control/plan_book.py
@@ -27,7 +27,7 @@
     return Refused(request_id, code.value.number, detail, revision)
 
 
-class PlanBook:
+class PlanStore:
     """Plans that wait, bounded; outcomes of settled plans; history, the newest last."""
 
     def __init__(
--- a/limedyke/core/control/state.py
+++ b/limedyke/core/control/state.py
@@ -7,7 +7,7 @@
 from limedyke.core.control.declaration_change import DeclaredState, is_empty
 from limedyke.core.control.displaced_members import DisplacedMembers
 from limedyke.core.control.ended_incarnations import EndedIncarnations
-from limedyke.core.control.plan_book import PlanBook, outcome_answer, refusal, summary_of
+from limedyke.core.control.plan_book import PlanStore, outcome_answer, refusal, summary_of
 from limedyke.core.control.plan_rules import refusal_of_change
 from limedyke.core.control.primaries.primary_table import PrimaryTable
 from limedyke.core.control.proxy_records import record_proxies, remove_proxies
@@ -76,7 +76,7 @@
         self.announced: dict[str, AnnouncedMember] = {}
         self.displaced = DisplacedMembers()
         self.ended = EndedIncarnations()
-        self.plans = PlanBook()
+        self.plans = PlanStore()
         self._primary_table = PrimaryTable()
         self._answers = AnswerBook()
 
@@ -194,7 +194,7 @@
         self.proxies = {proxy.name: proxy for proxy in snapshot.proxies}
         self.home_proxies_per_group = snapshot.home_proxies_per_group
         self._primary_table = PrimaryTable(snapshot.primaries, snapshot.switchover_targets)
-        self.plans = PlanBook(snapshot.plans, snapshot.outcomes, snapshot.history)
+        self.plans = PlanStore(snapshot.plans, snapshot.outcomes, snapshot.history)
         self._answers = AnswerBook(snapshot.answers)
         self._learn_controllers(snapshot.controllers)
         self.version = snapshot.version
