--- a/limedyke/proxy/executor.py
+++ b/limedyke/proxy/executor.py
@@ -57,7 +57,7 @@
     )
 
 
-def told_unanswered(end: AnswerEnd) -> AnswerEnd:
+def as_unanswered_read(end: AnswerEnd) -> AnswerEnd:
     """Return the end of a read that a member may have seen: never that it did not run."""
     if not did_not_run(end.code):
         return end
--- a/limedyke/proxy/forwarding/executor.py
+++ b/limedyke/proxy/forwarding/executor.py
@@ -7,7 +7,7 @@
 
 from limedyke.messages.work import AbandonWork, Access, AnswerChunk, AnswerEnd, WorkUnit
 from limedyke.proxy.control.view import ControlView
-from limedyke.proxy.executor import Relay, jittered, refusal, told_unanswered
+from limedyke.proxy.executor import Relay, as_unanswered_read, jittered, refusal
 from limedyke.proxy.forwarding.home_links import HomeLinks
 from limedyke.proxy.forwarding.link import NOT_SENT, HomeLink, NotSent
 from limedyke.proxy.unit_context import may_end_transaction
@@ -83,7 +83,7 @@
                 refused = bool(tried) and not lost
                 limit_s = min(wait_s, REFUSED_WAIT_S) if refused else wait_s
                 if not await self._pause(started_at + limit_s):
-                    return told_unanswered(end) if lost else end
+                    return as_unanswered_read(end) if lost else end
                 tried.clear()
                 continue
             tried.add(link.home)
--- a/limedyke/proxy/unit_read.py
+++ b/limedyke/proxy/unit_read.py
@@ -11,7 +11,7 @@
 from limedyke.core.routing import FIRST_TERM, RoutingDecision, RoutingRequest, choose_member
 from limedyke.messages.work import AnswerEnd, LogPosition
 from limedyke.postgres.member_frames import PositionAnswer
-from limedyke.proxy.executor import jittered, told_unanswered
+from limedyke.proxy.executor import as_unanswered_read, jittered
 from limedyke.proxy.members.connection import BackendConnection, ConnectionLostError
 from limedyke.proxy.members.gate import Grant, MemberGate
 from limedyke.proxy.metrics import RetryCause
@@ -60,7 +60,7 @@
     async def run(self) -> AnswerEnd:
         """Run the read and return the end of its answer."""
         end = await self._run()
-        return told_unanswered(end) if self._attempts.sent else end
+        return as_unanswered_read(end) if self._attempts.sent else end
 
     async def _run(self) -> AnswerEnd:
         required = await self._find_required()
