--- a/features/steps/foundation_metrics_steps.py
+++ b/features/steps/foundation_metrics_steps.py
@@ -8,7 +8,7 @@
 from behave import then, when
 from prometheus_client import CollectorRegistry
 
-from limedyke.controller.leading.leader_meter import LeaderMeter
+from limedyke.controller.leading.leader_meter import LeaderMetrics
 from limedyke.controller.metrics import ControllerMetrics
 from limedyke.core.control.events import (
     AnswerHeartbeat,
@@ -44,7 +44,7 @@
     return SendToProxy("p", LeaseUpdate((ConnectionLease("g", "t", connections),)))
 
 
-def _lose_and_record(meter: LeaderMeter) -> None:
+def _lose_and_record(meter: LeaderMetrics) -> None:
     meter.state_changed(LOST, 10.0)
     meter.state_changed(RECORDED, 12.0)
 
@@ -100,7 +100,7 @@
 @when("metrics: a leader {does}")
 def step_leader(context, does):
     context.registry = CollectorRegistry()
-    ACTIONS[does](LeaderMeter(ControllerMetrics(context.registry)))
+    ACTIONS[does](LeaderMetrics(ControllerMetrics(context.registry)))
 
 
 @when("metrics: the pools' opened connections are seen as {seen}")
--- a/limedyke/controller/leading/leader_meter.py
+++ b/limedyke/controller/leading/leader_meter.py
@@ -20,7 +20,7 @@
 TAKEN_BACK = "taken-back"
 
 
-class LeaderMeter:
+class LeaderMetrics:
     """Turns events and commands of one leadership into counts.
 
     :param metrics: of the process
--- a/limedyke/controller/leading/leader_service.py
+++ b/limedyke/controller/leading/leader_service.py
@@ -8,7 +8,7 @@
 from prometheus_client import CollectorRegistry
 
 from limedyke.controller.clock import boot_seconds
-from limedyke.controller.leading.leader_meter import LeaderMeter
+from limedyke.controller.leading.leader_meter import LeaderMetrics
 from limedyke.controller.leading.news import NewsBoard
 from limedyke.controller.leading.proxy_sessions import ProxySessions
 from limedyke.controller.mailbox import Mailbox
@@ -71,7 +71,7 @@
         self._replica = replica
         self._authority = authority
         self.started_at = boot_seconds()
-        self._meter = LeaderMeter(metrics or ControllerMetrics(CollectorRegistry()))
+        self._meter = LeaderMetrics(metrics or ControllerMetrics(CollectorRegistry()))
         self._timing = timing
         self._events: Mailbox[LeaderEvent] = Mailbox()
         self.news = NewsBoard(replica.state, replica.updates)
