--- a/features/mutants/simulator_safeguards.py
+++ b/features/mutants/simulator_safeguards.py
@@ -22,7 +22,7 @@
 )
 from limedyke.core.agreement.lease import LeaderLease
 from limedyke.core.control import lease_table
-from limedyke.core.control.plan_book import PlanStore
+from limedyke.core.control.plan_store import PlanStore
 from limedyke.core.control.state import Applied, ControlState
 from limedyke.core.group_view import GroupView
 from limedyke.core.promotion import Promotion
--- a/features/support/plan_world.py
+++ b/features/support/plan_world.py
@@ -19,7 +19,7 @@
     a_declaration,
     a_group,
 )
-from limedyke.core.control.plan_book import PlanStore
+from limedyke.core.control.plan_store import PlanStore
 from limedyke.core.control.state import ControlState
 from limedyke.messages.operator import Confirmed, Plan
 
--- a/limedyke/core/control/state.py
+++ b/limedyke/core/control/state.py
@@ -7,8 +7,8 @@
 from limedyke.core.control.declaration_change import DeclaredState, is_empty
 from limedyke.core.control.displaced_members import DisplacedMembers
 from limedyke.core.control.ended_incarnations import EndedIncarnations
-from limedyke.core.control.plan_book import PlanStore, outcome_answer, refusal, summary_of
 from limedyke.core.control.plan_rules import refusal_of_change
+from limedyke.core.control.plan_store import PlanStore, outcome_answer, refusal, summary_of
 from limedyke.core.control.primaries.primary_table import PrimaryTable
 from limedyke.core.control.proxy_records import record_proxies, remove_proxies
 from limedyke.core.control.state_snapshot import unpack_snapshot
