--- a/features/steps/statement_member_steps.py
+++ b/features/steps/statement_member_steps.py
@@ -12,7 +12,7 @@
 from features.support.line_platform.member_session import ALWAYS
 from features.support.statement_path import GROUP, elapsed_ms
 from limedyke.proxy.statements.members.member_connection import MemberConnection
-from limedyke.proxy.statements.members.member_questions import MemberQuestions
+from limedyke.proxy.statements.members.member_queries import MemberQuestions
 
 HANGS_S = 3_600.0
 
