--- a/features/mutants/simulator_safeguards.py
+++ b/features/mutants/simulator_safeguards.py
@@ -190,7 +190,7 @@
     """Neither what came while a connection was idle nor the check behind a read is looked at."""
 
     def plan(read: UnitRead, decision: object, connection: BackendConnection) -> ExchangePlan:
-        return ExchangePlan(None, check_behind=False, is_write=False)
+        return ExchangePlan(None, check_after=False, is_write=False)
 
     return (
         (BackendConnection, "check_idle", lambda connection: True),
--- a/limedyke/proxy/unit_exchange.py
+++ b/limedyke/proxy/unit_exchange.py
@@ -25,14 +25,14 @@
 
     :param accept_before: asks for the position ahead of the batch; the answer is relayed only
         when this accepts it
-    :param check_behind: asks for the position behind the batch
+    :param check_after: asks for the position behind the batch
     :param is_write: CommandComplete is held back until the check behind was answered
     :param ahead: messages of the proxy itself sent ahead of the batch
     :param read_ahead: reads their answers
     """
 
     accept_before: Accept | None
-    check_behind: bool
+    check_after: bool
     is_write: bool
     ahead: bytes = b""
     read_ahead: Callable[[BackendConnection], Awaitable[None]] | None = None
@@ -84,7 +84,7 @@
         connection = self.connection
         plan = self._plan
         mark_before = connection.next_mark() if plan.accept_before is not None else None
-        mark_behind = connection.next_mark() if plan.check_behind else None
+        mark_behind = connection.next_mark() if plan.check_after else None
         parses, parse_count = connection.state.prepare(self._unit.prepared)
         self.reader = AnswerReader(mark_before, mark_behind, parse_count)
         pieces = [plan.ahead, parses, self._unit.data]
--- a/limedyke/proxy/unit_once_write.py
+++ b/limedyke/proxy/unit_once_write.py
@@ -62,7 +62,7 @@
     def _once_plan(self) -> ExchangePlan:
         ahead = frames.query(f"BEGIN; {self._key.insert_sql}")
         return ExchangePlan(
-            None, check_behind=True, is_write=True, ahead=ahead, read_ahead=self._read_insert
+            None, check_after=True, is_write=True, ahead=ahead, read_ahead=self._read_insert
         )
 
     async def _read_insert(self, connection: BackendConnection) -> None:
--- a/limedyke/proxy/unit_read.py
+++ b/limedyke/proxy/unit_read.py
@@ -172,7 +172,7 @@
         )
         # Behind a unit that opens a transaction no query may run: see may_set_transaction.
         alone = self._unit.transaction == 0
-        return ExchangePlan(None if known else accept, check_behind=alone, is_write=False)
+        return ExchangePlan(None if known else accept, check_after=alone, is_write=False)
 
     def _accepts(self, decision: RoutingDecision) -> Accept:
         """Return the condition under which the member's answer counts."""
--- a/limedyke/proxy/unit_transaction.py
+++ b/limedyke/proxy/unit_transaction.py
@@ -88,7 +88,7 @@
 
     async def _exchange_batch(self) -> Exchange:
         check = may_end_transaction(self._unit) or not may_set_transaction(self._unit)
-        plan = ExchangePlan(None, check_behind=check, is_write=self._may_commit)
+        plan = ExchangePlan(None, check_after=check, is_write=self._may_commit)
         exchange = await self._context.exchange(self._transaction.connection, plan)
         self._transaction.status = exchange.reader.status
         return exchange
@@ -96,7 +96,7 @@
     async def _exchange_once(self) -> Exchange:
         """Write the key row ahead of the batch, unless it is there."""
         connection = self._transaction.connection
-        plan = ExchangePlan(None, check_behind=False, is_write=True)
+        plan = ExchangePlan(None, check_after=False, is_write=True)
         unsent = Exchange(connection, self._unit, self._context.relay, plan)
         key = OnceKey.of(self._unit.once_key, self._unit.data, self._unit.prepared)
         try:
--- a/limedyke/proxy/unit_write.py
+++ b/limedyke/proxy/unit_write.py
@@ -196,7 +196,7 @@
     def _plan(self) -> ExchangePlan:
         # Behind a unit that opens a transaction no query may run: see may_set_transaction.
         alone = self._unit.transaction == 0
-        return ExchangePlan(None, check_behind=alone, is_write=True)
+        return ExchangePlan(None, check_after=alone, is_write=True)
 
     async def _settle(self, exchange: Exchange, term: int) -> tuple[Failure | None, LogPosition]:
         reader = exchange.reader
