--- a/features/steps/foundation_metrics_steps.py
+++ b/features/steps/foundation_metrics_steps.py
@@ -8,7 +8,7 @@
 from behave import then, when
 from prometheus_client import CollectorRegistry
 
-from limedyke.controller.leading.leader_meter import LeaderMetrics
+from limedyke.controller.leading.leader_metrics import LeaderMetrics
 from limedyke.controller.metrics import ControllerMetrics
 from limedyke.core.control.events import (
     AnswerHeartbeat,
--- a/limedyke/controller/leading/leader_service.py
+++ b/limedyke/controller/leading/leader_service.py
@@ -8,7 +8,7 @@
 from prometheus_client import CollectorRegistry
 
 from limedyke.controller.clock import boot_seconds
-from limedyke.controller.leading.leader_meter import LeaderMetrics
+from limedyke.controller.leading.leader_metrics import LeaderMetrics
 from limedyke.controller.leading.news import NewsBoard
 from limedyke.controller.leading.proxy_sessions import ProxySessions
 from limedyke.controller.mailbox import Mailbox
