--- a/limedyke/core/control/answer_book.py
+++ b/limedyke/core/control/answer_book.py
@@ -10,7 +10,7 @@
 MAXIMUM_ANSWERS = 2_048
 
 
-class AnswerBook:
+class AnswerStore:
     """Answers by operator and request id, the oldest forgotten."""
 
     def __init__(self, answers: tuple[RecordedAnswer, ...] = ()) -> None:
--- a/limedyke/core/control/state.py
+++ b/limedyke/core/control/state.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from limedyke.core.control.answer_book import AnswerBook, decode_answer
+from limedyke.core.control.answer_book import AnswerStore, decode_answer
 from limedyke.core.control.applied import Applied
 from limedyke.core.control.declaration_change import DeclaredState, is_empty
 from limedyke.core.control.displaced_members import DisplacedMembers
@@ -78,7 +78,7 @@
         self.ended = EndedIncarnations()
         self.plans = PlanStore()
         self._primary_table = PrimaryTable()
-        self._answers = AnswerBook()
+        self._answers = AnswerStore()
 
     @property
     def primaries(self) -> dict[str, GroupPrimary]:
@@ -195,7 +195,7 @@
         self.home_proxies_per_group = snapshot.home_proxies_per_group
         self._primary_table = PrimaryTable(snapshot.primaries, snapshot.switchover_targets)
         self.plans = PlanStore(snapshot.plans, snapshot.outcomes, snapshot.history)
-        self._answers = AnswerBook(snapshot.answers)
+        self._answers = AnswerStore(snapshot.answers)
         self._learn_controllers(snapshot.controllers)
         self.version = snapshot.version
         self.document = snapshot.document
