--- a/limedyke/postgres/member_answer.py
+++ b/limedyke/postgres/member_answer.py
@@ -75,15 +75,15 @@
     """Takes the frames of one exchange until ``done``.
 
     :param mark_before: mark of the position check sent before the batch, or None
-    :param mark_behind: mark of the position check sent behind it, or None
+    :param mark_after: mark of the position check sent behind it, or None
     :param parses: Parse messages the proxy put before the caller's; their answers are dropped
     """
 
     def __init__(
-        self, mark_before: int | None = None, mark_behind: int | None = None, parses: int = 0
+        self, mark_before: int | None = None, mark_after: int | None = None, parses: int = 0
     ) -> None:
         self._mark_before = mark_before
-        self._mark_behind = mark_behind
+        self._mark_behind = mark_after
         self._parses = parses
         self._piece = _Piece.CALLER if mark_before is None else _Piece.CHECK_BEFORE
         self._check: PositionAnswer | None = None
@@ -174,8 +174,8 @@
         if self.tag.startswith(COMMIT_TAGS):
             self.committed = True
 
-    def _next_piece(self, mark_behind: int | None) -> None:
-        if mark_behind is None:
+    def _next_piece(self, mark_after: int | None) -> None:
+        if mark_after is None:
             self._piece = _Piece.DONE
             self.done = True
         else:
--- a/limedyke/proxy/unit_exchange.py
+++ b/limedyke/proxy/unit_exchange.py
@@ -84,14 +84,14 @@
         connection = self.connection
         plan = self._plan
         mark_before = connection.next_mark() if plan.accept_before is not None else None
-        mark_behind = connection.next_mark() if plan.check_after else None
+        mark_after = connection.next_mark() if plan.check_after else None
         parses, parse_count = connection.state.prepare(self._unit.prepared)
-        self.reader = AnswerReader(mark_before, mark_behind, parse_count)
+        self.reader = AnswerReader(mark_before, mark_after, parse_count)
         pieces = [plan.ahead, parses, self._unit.data]
         if mark_before is not None:
             pieces.insert(0, frames.position_query(mark_before))
-        if mark_behind is not None:
-            pieces.append(frames.position_query(mark_behind))
+        if mark_after is not None:
+            pieces.append(frames.position_query(mark_after))
         self.asked_at = time.monotonic()
         await connection.send(b"".join(pieces))
         self.sent = True
