--- a/features/steps/control_news_steps.py
+++ b/features/steps/control_news_steps.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 
 from features.support.control_builders import StateUnderTest, a_declaration, a_group, a_proxy
-from limedyke.controller.leading.news import NewsBoard
+from limedyke.controller.leading.news import UpdateCache
 from limedyke.core.control.update_ring import UpdateRing
 from limedyke.messages.codec import decode, encode
 from limedyke.messages.control import ControlSnapshot
@@ -32,7 +32,7 @@
     def __init__(self, kept: int) -> None:
         self.test = StateUnderTest()
         self.ring = UpdateRing(kept)
-        self.board = NewsBoard(self.test.state, self.ring)
+        self.board = UpdateCache(self.test.state, self.ring)
 
     def change(self, number: int) -> None:
         """Record a proxy that is not known yet."""
@@ -44,7 +44,7 @@
 class Follower:
     """A proxy that takes what the board gives."""
 
-    def __init__(self, board: NewsBoard) -> None:
+    def __init__(self, board: UpdateCache) -> None:
         self._board = board
         self.builder = ControlViewBuilder()
         self.snapshots = 0
--- a/limedyke/controller/leading/leader_service.py
+++ b/limedyke/controller/leading/leader_service.py
@@ -9,7 +9,7 @@
 
 from limedyke.controller.clock import boot_seconds
 from limedyke.controller.leading.leader_metrics import LeaderMetrics
-from limedyke.controller.leading.news import NewsBoard
+from limedyke.controller.leading.news import UpdateCache
 from limedyke.controller.leading.proxy_sessions import ProxySessions
 from limedyke.controller.mailbox import Mailbox
 from limedyke.controller.metrics import ControllerMetrics
@@ -74,7 +74,7 @@
         self._meter = LeaderMetrics(metrics or ControllerMetrics(CollectorRegistry()))
         self._timing = timing
         self._events: Mailbox[LeaderEvent] = Mailbox()
-        self.news = NewsBoard(replica.state, replica.updates)
+        self.news = UpdateCache(replica.state, replica.updates)
         self._news_waiting = curio.Event()
         self._platform: PlatformListReader | None = None
         if platform_list_url:
--- a/limedyke/controller/leading/news.py
+++ b/limedyke/controller/leading/news.py
@@ -41,7 +41,7 @@
         return cls(message.control_index, data, framed, message.control_index)
 
 
-class NewsBoard:
+class UpdateCache:
     """Keeps the newest encoded snapshot and the encoded updates to the present state.
 
     A snapshot is made anew only when the updates that follow it are no longer kept: while many
