--- a/limedyke/core/control/state.py
+++ b/limedyke/core/control/state.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from limedyke.core.control.answer_book import AnswerStore, decode_answer
+from limedyke.core.control.answer_store import AnswerStore, decode_answer
 from limedyke.core.control.applied import Applied
 from limedyke.core.control.declaration_change import DeclaredState, is_empty
 from limedyke.core.control.displaced_members import DisplacedMembers
