--- a/limedyke/postgres/member_answer.py
+++ b/limedyke/postgres/member_answer.py
@@ -93,7 +93,7 @@
         self.pending_bytes = 0
         self.done = False
         self.position_before: PositionAnswer | None = None
-        self.position_behind: PositionAnswer | None = None
+        self.position_after: PositionAnswer | None = None
         self.status = TransactionStatus.IDLE
         self.sqlstate = ""
         self.tag = b""
@@ -221,7 +221,7 @@
         else:
             if body != self.status.value.encode():
                 raise AnswerViolationError("transaction state changed behind the batch")
-            self.position_behind = self._check
+            self.position_after = self._check
             self._piece = _Piece.DONE
             self.done = True
         self._check = None
--- a/limedyke/proxy/unit_exchange.py
+++ b/limedyke/proxy/unit_exchange.py
@@ -131,7 +131,7 @@
 
     def _learn(self) -> None:
         reader = self.reader
-        answer = reader.position_behind or reader.position_before
+        answer = reader.position_after or reader.position_before
         if answer is not None:
             self.connection.learn(answer)
         failed_to_prepare = bool(reader.sqlstate) and bool(self._unit.prepared)
@@ -142,4 +142,4 @@
     def checked(self) -> bool:
         """Whether the member told its position in this exchange."""
         reader = self.reader
-        return reader.position_behind is not None or reader.position_before is not None
+        return reader.position_after is not None or reader.position_before is not None
--- a/limedyke/proxy/unit_transaction.py
+++ b/limedyke/proxy/unit_transaction.py
@@ -60,7 +60,7 @@
                     self._context,
                     transaction.connection,
                     transaction.term,
-                    exchange.reader.position_behind,
+                    exchange.reader.position_after,
                 )
         finally:
             transaction.running = False
--- a/limedyke/proxy/unit_write.py
+++ b/limedyke/proxy/unit_write.py
@@ -206,7 +206,7 @@
         only_failed = bool(reader.sqlstate) and not reader.committed
         if in_transaction or only_failed:
             return None, LogPosition()
-        return await settle_commit(self._context, exchange.connection, term, reader.position_behind)
+        return await settle_commit(self._context, exchange.connection, term, reader.position_after)
 
     def _failure_of(self, exchange: Exchange, failure: Failure) -> Failure:
         """Tell what is known of a batch that was sent and not answered whole."""
