--- a/limedyke/core/control/primaries/authority_care.py
+++ b/limedyke/core/control/primaries/authority_care.py
@@ -121,7 +121,7 @@
 
 
 @dataclass(slots=True)
-class AuthorityCare:
+class AuthorityGroupState:
     """The leader's care for one group.
 
     :param deadline: when the present step is looked at again
--- a/limedyke/core/control/primaries/authority_failover.py
+++ b/limedyke/core/control/primaries/authority_failover.py
@@ -16,7 +16,7 @@
 from limedyke.core.control.membership import ProxyMembership
 from limedyke.core.control.primaries.authority_care import (
     NEVER,
-    AuthorityCare,
+    AuthorityGroupState,
     AuthorityStep,
     is_of_former,
 )
@@ -68,7 +68,7 @@
         self._timing = timing
         self._lease_over_s = reissue_after_s(timing.primary_lease_s)
         self._started_at = now
-        self._cares: dict[str, AuthorityCare] = {}
+        self._cares: dict[str, AuthorityGroupState] = {}
         self._proposals = ProposalBatch()
         self._commands: list[AskAuthority | NoteDecision] = []
 
@@ -81,7 +81,7 @@
         """Take a declared group; one whose promotion an earlier leader began goes on."""
         if group in self._cares:
             return
-        care = self._cares[group] = AuthorityCare(seen_at=now)
+        care = self._cares[group] = AuthorityGroupState(seen_at=now)
         recorded = self._recorded(group)
         if recorded.term > 0 and not recorded.primary:
             care.enter(AuthorityStep.BACKING_OFF, now)
@@ -177,7 +177,7 @@
     def _recorded(self, group: str) -> GroupPrimary:
         return self._primaries.get(group, GroupPrimary(group, 0, ""))
 
-    def _look_at(self, group: str, care: AuthorityCare, now: float) -> None:
+    def _look_at(self, group: str, care: AuthorityGroupState, now: float) -> None:
         match care.step:
             case AuthorityStep.WATCHED | AuthorityStep.SUSPECTED:
                 self._judge(group, care, now)
@@ -187,7 +187,7 @@
             case AuthorityStep.CALLING | AuthorityStep.PROMOTING | AuthorityStep.BACKING_OFF:
                 self._follow_promoted(group, care, now)
 
-    def _judge(self, group: str, care: AuthorityCare, now: float) -> None:
+    def _judge(self, group: str, care: AuthorityGroupState, now: float) -> None:
         recorded = self._recorded(group)
         if not recorded.primary:
             self._find_first_primary(group, care, recorded, now)
@@ -210,7 +210,7 @@
             self._grant(group, care, now)
 
     def _find_first_primary(
-        self, group: str, care: AuthorityCare, recorded: GroupPrimary, now: float
+        self, group: str, care: AuthorityGroupState, recorded: GroupPrimary, now: float
     ) -> None:
         """Record the primary that a new group's members tell; without one, have one promoted."""
         exposed = [member for member in self._judgement.members_of(group) if member.is_primary]
@@ -220,7 +220,7 @@
             self._grant(group, care, now)
 
     def _follow_other(
-        self, group: str, care: AuthorityCare, recorded: GroupPrimary, now: float
+        self, group: str, care: AuthorityGroupState, recorded: GroupPrimary, now: float
     ) -> bool:
         """Follow a promotion carried out late: the primary says it is none, another that it is."""
         since = care.recorded_at + TOLD_AFTER_S
@@ -236,7 +236,7 @@
         return True
 
     def _follow_restart(
-        self, group: str, care: AuthorityCare, recorded: GroupPrimary, now: float
+        self, group: str, care: AuthorityGroupState, recorded: GroupPrimary, now: float
     ) -> bool:
         """Replace a primary that has started again, and holds nothing of its log any more.
 
@@ -254,7 +254,7 @@
             self._grant(group, care, now)
         return True
 
-    def _grant(self, group: str, care: AuthorityCare, now: float) -> None:
+    def _grant(self, group: str, care: AuthorityGroupState, now: float) -> None:
         """Propose the next term; the group has no primary from then on."""
         recorded = self._recorded(group)
         care.replaced = recorded.primary or care.replaced
@@ -274,7 +274,7 @@
                 return False
         return True
 
-    def _call(self, group: str, care: AuthorityCare, now: float) -> None:
+    def _call(self, group: str, care: AuthorityGroupState, now: float) -> None:
         able = self._judgement.candidates(group, care, "", now)
         able = [member for member in able if member.identity != care.replaced] or able
         if not able:
@@ -287,7 +287,7 @@
         self._commands.append(AskAuthority(group, care.target, fence))
         care.enter(AuthorityStep.CALLING, now + self._timing.authority_timeout_s)
 
-    def _follow_promoted(self, group: str, care: AuthorityCare, now: float) -> None:
+    def _follow_promoted(self, group: str, care: AuthorityGroupState, now: float) -> None:
         """Record the target of an unanswered call when it says that it leads."""
         target = self._members.get(care.target)
         if target is None or not target.is_primary:
@@ -300,19 +300,21 @@
         if not is_replaced or self._book.heard_at(care.target) >= care.promoted_at:
             self._record(group, care, self._recorded(group).term, care.target, now)
 
-    def _record(self, group: str, care: AuthorityCare, term: int, primary: str, now: float) -> None:
+    def _record(
+        self, group: str, care: AuthorityGroupState, term: int, primary: str, now: float
+    ) -> None:
         expected = self._recorded(group).term
         member = self._members.get(primary)
         started_at_ms = member.started_at_ms if member is not None else 0
         self._proposals.record(PrimaryChange(group, expected, term, primary, started_at_ms))
         care.enter(AuthorityStep.RECORDING, now + PROPOSAL_RETRY_S)
 
-    def _back_off(self, care: AuthorityCare, now: float) -> None:
+    def _back_off(self, care: AuthorityGroupState, now: float) -> None:
         care.failures += 1
         longest = self._timing.shortest_backoff_s * 2 ** min(care.failures - 1, 4)
         care.enter(AuthorityStep.BACKING_OFF, now + min(longest, self._timing.longest_backoff_s))
 
-    def _time_out(self, group: str, care: AuthorityCare, now: float) -> None:
+    def _time_out(self, group: str, care: AuthorityGroupState, now: float) -> None:
         care.deadline = NEVER
         recorded = self._recorded(group)
         match care.step:
--- a/limedyke/core/control/primaries/authority_judgement.py
+++ b/limedyke/core/control/primaries/authority_judgement.py
@@ -6,7 +6,7 @@
 
 from limedyke.core.control.announcements import AnnouncementTracker
 from limedyke.core.control.membership import ProxyMembership
-from limedyke.core.control.primaries.authority_care import AuthorityCare, Grounds, Suspicion
+from limedyke.core.control.primaries.authority_care import AuthorityGroupState, Grounds, Suspicion
 from limedyke.core.control.primaries.group_members import GroupMembers
 from limedyke.core.control.primaries.primary_suspicion import vote_hold_s
 from limedyke.core.control.timing import ControlTiming
@@ -59,7 +59,7 @@
         return self._by_group.applied(changed, removed)
 
     def suspicion(
-        self, group: str, care: AuthorityCare, primary: str, now: float
+        self, group: str, care: AuthorityGroupState, primary: str, now: float
     ) -> Suspicion | None:
         """Return why a primary should be replaced; None when it should not."""
         member = self._members.get(primary)
@@ -72,7 +72,7 @@
         return self._votes_against(group, care, primary, now)
 
     def _votes_against(
-        self, group: str, care: AuthorityCare, primary: str, now: float
+        self, group: str, care: AuthorityGroupState, primary: str, now: float
     ) -> Suspicion | None:
         """Return what the home proxies report against a primary.
 
@@ -100,7 +100,12 @@
         return self._silence(care, primary, live, unreached, now)
 
     def _silence(
-        self, care: AuthorityCare, primary: str, live: set[str], unreached: set[str], now: float
+        self,
+        care: AuthorityGroupState,
+        primary: str,
+        live: set[str],
+        unreached: set[str],
+        now: float,
     ) -> Suspicion | None:
         """Return what a primary's own silence says, where no majority speaks against it."""
         silent_s = now - self._book.heard_at(primary)
@@ -125,14 +130,14 @@
         return 2 * heard < len(serving)
 
     def candidates(
-        self, group: str, care: AuthorityCare, leaving: str, now: float
+        self, group: str, care: AuthorityGroupState, leaving: str, now: float
     ) -> list[AnnouncedMember]:
         """Return the members that could lead, the best first."""
         able = self._able(group, care, leaving, now)
         return sorted(able, key=lambda member: self._rank(care, member, now))
 
     def _able(
-        self, group: str, care: AuthorityCare, leaving: str, now: float
+        self, group: str, care: AuthorityGroupState, leaving: str, now: float
     ) -> list[AnnouncedMember]:
         """Return the members that could lead, in no order."""
         return [
@@ -143,7 +148,7 @@
             and care.excluded.get(member.identity, 0.0) <= now
         ]
 
-    def _rank(self, care: AuthorityCare, member: AnnouncedMember, now: float) -> Rank:
+    def _rank(self, care: AuthorityGroupState, member: AnnouncedMember, now: float) -> Rank:
         """Order members: not emptied, heard, following, reached, leading already, far in the log.
 
         One that has started again is empty until a proxy has seen a log there: to promote it would
