--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -38,7 +38,7 @@
 from limedyke.proxy.statements.settlement import settle_unanswered
 from limedyke.proxy.statements.statement_log import StatementLog, StatementUnderWay
 from limedyke.proxy.statements.statement_refusal import give_up
-from limedyke.proxy.statements.statement_result import PlacedAnswer, TransactionPlace
+from limedyke.proxy.statements.statement_result import PlacedAnswer, TransactionLocation
 from limedyke.result_codes import ResultCode
 
 RECEIVE_BYTES = 64 * 1024
@@ -107,7 +107,7 @@
         self._codec = codec
         self._services = services
         self._session: StatementSession | None = None
-        self._place: TransactionPlace | None = None
+        self._place: TransactionLocation | None = None
         self._is_sent_away = False
         self._is_over = False
         self._events: deque[ClientEvent] = deque()
--- a/limedyke/proxy/statements/executor.py
+++ b/limedyke/proxy/statements/executor.py
@@ -12,7 +12,7 @@
 from limedyke.proxy.statements.statement_result import (
     ForwardedTransaction,
     PlacedAnswer,
-    TransactionPlace,
+    TransactionLocation,
 )
 from limedyke.result_codes import ResultCode
 
@@ -37,7 +37,7 @@
         return self._forwarding.links.has_home(group)
 
     async def run(
-        self, session: StatementSession, run: RunOnMember, place: TransactionPlace | None
+        self, session: StatementSession, run: RunOnMember, place: TransactionLocation | None
     ) -> PlacedAnswer:
         """Run a statement.
 
@@ -90,14 +90,14 @@
             return await self._forwarding.run_at_tenants_home(session, run, group)
         return None
 
-    async def roll_back(self, place: TransactionPlace) -> None:
+    async def roll_back(self, place: TransactionLocation) -> None:
         """End a transaction that is not to be committed."""
         if isinstance(place, ForwardedTransaction):
             await self._forwarding.roll_back(place)
         else:
             await place.roll_back()
 
-    async def abandon(self, place: TransactionPlace) -> None:
+    async def abandon(self, place: TransactionLocation) -> None:
         """End the transaction of a client that is gone; a statement may be under way."""
         if isinstance(place, ForwardedTransaction):
             await self._forwarding.roll_back(place)
--- a/limedyke/proxy/statements/statement_result.py
+++ b/limedyke/proxy/statements/statement_result.py
@@ -20,7 +20,7 @@
     number: int
 
 
-TransactionPlace = PinnedConnection | ForwardedTransaction
+TransactionLocation = PinnedConnection | ForwardedTransaction
 """Where a client's transaction is open: on a connection of this proxy, or at a home proxy."""
 
 
@@ -32,4 +32,4 @@
     """
 
     answer: StatementAnswer
-    place: TransactionPlace | None = None
+    place: TransactionLocation | None = None
