--- a/features/steps/control_news_steps.py
+++ b/features/steps/control_news_steps.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 
 from features.support.control_builders import StateUnderTest, a_declaration, a_group, a_proxy
-from limedyke.controller.leading.news import UpdateCache
+from limedyke.controller.leading.update_cache import UpdateCache
 from limedyke.core.control.update_ring import UpdateRing
 from limedyke.messages.codec import decode, encode
 from limedyke.messages.control import ControlSnapshot
--- a/limedyke/controller/leading/leader_service.py
+++ b/limedyke/controller/leading/leader_service.py
@@ -9,8 +9,8 @@
 
 from limedyke.controller.clock import boot_seconds
 from limedyke.controller.leading.leader_metrics import LeaderMetrics
-from limedyke.controller.leading.news import UpdateCache
 from limedyke.controller.leading.proxy_sessions import ProxySessions
+from limedyke.controller.leading.update_cache import UpdateCache
 from limedyke.controller.mailbox import Mailbox
 from limedyke.controller.metrics import ControllerMetrics
 from limedyke.controller.platform_list import PlatformListReader
--- a/limedyke/controller/leading/proxy_sessions.py
+++ b/limedyke/controller/leading/proxy_sessions.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from limedyke.controller.leading.news import News
+from limedyke.controller.leading.update_cache import News
 from limedyke.core.control.events import (
     HeartbeatReceived,
     LeaderEvent,
