--- a/limedyke/core/control/primaries/authority_failover.py
+++ b/limedyke/core/control/primaries/authority_failover.py
@@ -14,7 +14,7 @@
 from limedyke.core.control.events import AskAuthority, AuthorityOutcome, NoteDecision, Propose
 from limedyke.core.control.lease_table import reissue_after_s
 from limedyke.core.control.membership import ProxyMembership
-from limedyke.core.control.primaries.authority_care import (
+from limedyke.core.control.primaries.authority_group_state import (
     NEVER,
     AuthorityGroupState,
     AuthorityStep,
--- a/limedyke/core/control/primaries/authority_judgement.py
+++ b/limedyke/core/control/primaries/authority_judgement.py
@@ -6,7 +6,11 @@
 
 from limedyke.core.control.announcements import AnnouncementTracker
 from limedyke.core.control.membership import ProxyMembership
-from limedyke.core.control.primaries.authority_care import AuthorityGroupState, Grounds, Suspicion
+from limedyke.core.control.primaries.authority_group_state import (
+    AuthorityGroupState,
+    Grounds,
+    Suspicion,
+)
 from limedyke.core.control.primaries.group_members import GroupMembers
 from limedyke.core.control.primaries.primary_suspicion import vote_hold_s
 from limedyke.core.control.timing import ControlTiming
