--- a/features/steps/statement_log_steps.py
+++ b/features/steps/statement_log_steps.py
@@ -10,7 +10,7 @@
 from behave import given, then, when
 
 from features.steps.statement_path_steps import step_write_at_once
-from limedyke.proxy.statements.log_rate_limiter import LineBudget
+from limedyke.proxy.statements.log_rate_limiter import LogRateLimiter
 from limedyke.proxy.statements.statement_log import StatementLog
 
 METRIC = "limedyke_statements_"
@@ -31,8 +31,8 @@
     step_keep(context)
     log: StatementLog = context.path.services.log
     context.began_at = time.monotonic()
-    log._outcomes = LineBudget(limit, context.began_at)
-    log._tries = LineBudget(limit // 2, context.began_at)
+    log._outcomes = LogRateLimiter(limit, context.began_at)
+    log._tries = LogRateLimiter(limit // 2, context.began_at)
 
 
 @when("statement log: {count:d} clients write at once")
@@ -83,7 +83,7 @@
 
 @given("statement log: a budget of {rate:d} lines a second")
 def step_budget(context, rate):
-    context.budget = LineBudget(rate, 0.0)
+    context.budget = LogRateLimiter(rate, 0.0)
 
 
 @then("statement log: {asked:d} lines asked for at {seconds:f} s get {taken:d}")
--- a/limedyke/proxy/limits/limit_log.py
+++ b/limedyke/proxy/limits/limit_log.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from limedyke.event_log import EventLog
-from limedyke.proxy.statements.log_rate_limiter import LineBudget
+from limedyke.proxy.statements.log_rate_limiter import LogRateLimiter
 
 LINES_PER_SECOND = 20
 MS_PER_S = 1_000
@@ -17,7 +17,7 @@
     """
 
     def __init__(self, now: float) -> None:
-        self._budget = LineBudget(LINES_PER_SECOND, now)
+        self._budget = LogRateLimiter(LINES_PER_SECOND, now)
 
     def waited(self, request: str, tenant: str, priority: int, waited_s: float, now: float) -> None:
         """Write that an operation runs after it waited for its token."""
--- a/limedyke/proxy/statements/log_rate_limiter.py
+++ b/limedyke/proxy/statements/log_rate_limiter.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class LineBudget:
+class LogRateLimiter:
     """Lines that may be written now; unused ones are kept for one second.
 
     :param lines_per_second: the rate, and the most that can be written at once
--- a/limedyke/proxy/statements/statement_log.py
+++ b/limedyke/proxy/statements/statement_log.py
@@ -15,7 +15,7 @@
     StatementAnswer,
     StatementUnit,
 )
-from limedyke.proxy.statements.log_rate_limiter import LineBudget
+from limedyke.proxy.statements.log_rate_limiter import LogRateLimiter
 from limedyke.proxy.statements.statement_metrics import StatementMetrics
 from limedyke.result_codes import CODE_BY_NUMBER, ResultCode
 
@@ -91,9 +91,9 @@
     ) -> None:
         self._metrics = metrics
         now = time.monotonic()
-        self._outcomes = LineBudget(lines_per_second, now)
-        self._tries = LineBudget(int(lines_per_second * TRIES_SHARE), now)
-        self._turned_away = LineBudget(int(lines_per_second * TRIES_SHARE), now)
+        self._outcomes = LogRateLimiter(lines_per_second, now)
+        self._tries = LogRateLimiter(int(lines_per_second * TRIES_SHARE), now)
+        self._turned_away = LogRateLimiter(int(lines_per_second * TRIES_SHARE), now)
         self._left_out = 0
         self._summed_at = now
         self._served = 0
@@ -212,7 +212,7 @@
         if self._may_write(self._outcomes):
             EVENTS.info("session-refused", database=database, code=label)
 
-    def _may_write(self, budget: LineBudget) -> bool:
+    def _may_write(self, budget: LogRateLimiter) -> bool:
         if budget.take(time.monotonic()):
             return True
         self._left_out += 1
