--- a/features/steps/leader_search_steps.py
+++ b/features/steps/leader_search_steps.py
@@ -6,15 +6,15 @@
 
 from behave import given, then, when
 
-from limedyke.proxy.control.controller_choice import ControllerChoice
+from limedyke.proxy.control.controller_choice import ControllerSelector
 
 REFUSAL_S = 0.002
 """A machine that works and has no listener refuses at once."""
 SEEDS = range(50)
 
 
-def _choice(context, seed: int) -> ControllerChoice:
-    return ControllerChoice(context.addresses, random.Random(seed), context.longest_pause_s)
+def _choice(context, seed: int) -> ControllerSelector:
+    return ControllerSelector(context.addresses, random.Random(seed), context.longest_pause_s)
 
 
 @given("leader search: {count:d} controllers, pauses of up to {longest:d} ms")
--- a/limedyke/proxy/control/client.py
+++ b/limedyke/proxy/control/client.py
@@ -34,7 +34,7 @@
 from limedyke.messages.declaration import Tenant
 from limedyke.messages.handshake import PeerRole
 from limedyke.messages.limits import OperationsGranted
-from limedyke.proxy.control.controller_choice import ControllerChoice
+from limedyke.proxy.control.controller_choice import ControllerSelector
 from limedyke.proxy.control.handler import ControlHandler
 from limedyke.proxy.control.leader_search import FoundLeader, LeaderSearch
 from limedyke.proxy.control.leases import ControlLeases
@@ -91,7 +91,7 @@
         self._handler = handler
         self._intake = ControlStateReceiver(store, handler.control_changed)
         longest_pause_s = settings.control_retry_limit_ms / 1000
-        self._choice = ControllerChoice(settings.controllers, random.Random(), longest_pause_s)
+        self._choice = ControllerSelector(settings.controllers, random.Random(), longest_pause_s)
         self._announcements = ControlAnnouncements(settings)
         self._quorum = QuorumWatch()
         self._view_check = ViewCheck(self._ask_leader, self._index_in_force)
--- a/limedyke/proxy/control/controller_choice.py
+++ b/limedyke/proxy/control/controller_choice.py
@@ -16,7 +16,7 @@
 MOST_GROWTHS = 20
 
 
-class ControllerChoice:
+class ControllerSelector:
     """Follows redirects to the leader, else goes round the controllers with growing pauses.
 
     :param addresses: the controllers of the settings
