--- a/limedyke/core/control/primaries/failover.py
+++ b/limedyke/core/control/primaries/failover.py
@@ -18,7 +18,7 @@
 
 from limedyke.core.control.events import Propose, SendToProxy
 from limedyke.core.control.membership import ProxyMembership
-from limedyke.core.control.primaries.group_care import NEVER, GroupCare, Step
+from limedyke.core.control.primaries.group_care import NEVER, GroupFailoverState, Step
 from limedyke.core.control.primaries.group_watch import ExposedPrimary, GroupWatch
 from limedyke.core.control.primaries.primary_suspicion import PrimarySuspicion
 from limedyke.core.control.primaries.promotion_places import PromotionPlaces
@@ -62,7 +62,7 @@
         self._membership = membership
         self._timing = timing
         self._generator = generator
-        self._cares: dict[str, GroupCare] = {}
+        self._cares: dict[str, GroupFailoverState] = {}
         self._groups_of_proxy: dict[str, set[str]] = {}
         self._deadlines: list[tuple[float, int, str]] = []
         self._deadline_numbers = itertools.count()
@@ -86,7 +86,7 @@
         """Take a declared group, or a changed one."""
         care = self._cares.get(group.name)
         if care is None:
-            care = self._cares[group.name] = GroupCare(GroupWatch(group, ()))
+            care = self._cares[group.name] = GroupFailoverState(GroupWatch(group, ()))
             if self._recorded(group.name).term > 0:
                 self._resume(group.name, care, now)
         care.watch.set_group(group)
@@ -193,7 +193,7 @@
     def _recorded(self, group: str) -> GroupPrimary:
         return self._primaries.get(group, GroupPrimary(group, 0, ""))
 
-    def _resume(self, group: str, care: GroupCare, now: float) -> None:
+    def _resume(self, group: str, care: GroupFailoverState, now: float) -> None:
         """Go on where an earlier leader stood; its order may still be carried out."""
         recorded = self._recorded(group)
         if recorded.switching_over:
@@ -201,7 +201,7 @@
         elif not recorded.primary:
             self._enter(group, care, Step.ORDERED, now + self._timing.resume_hold_s)
 
-    def _enter(self, group: str, care: GroupCare, step: Step, deadline: float) -> None:
+    def _enter(self, group: str, care: GroupFailoverState, step: Step, deadline: float) -> None:
         care.step = step
         care.deadline = deadline
         if deadline != NEVER:
@@ -219,7 +219,7 @@
                 if care.paused.issuperset(self._suspicion.live_homes(care.watch, now)):
                     self._want_promotion(group, care, now)
 
-    def _follow_exposed(self, group: str, care: GroupCare, now: float) -> bool:
+    def _follow_exposed(self, group: str, care: GroupFailoverState, now: float) -> bool:
         """Record a primary that the group itself exposes; tell whether there is one."""
         recorded = self._recorded(group)
         if recorded.term > 0 and not recorded.primary:
@@ -234,7 +234,7 @@
         return True
 
     def _evaluate_primary(
-        self, group: str, care: GroupCare, recorded: GroupPrimary, now: float
+        self, group: str, care: GroupFailoverState, recorded: GroupPrimary, now: float
     ) -> None:
         if care.watch.group.promotion is not PromotionMode.CONTROLLERS:
             return
@@ -250,7 +250,9 @@
         if care.step is Step.WATCHED or care.deadline != care.doubted_at + hold_s:
             self._enter(group, care, Step.DOUBTED, care.doubted_at + hold_s)
 
-    def _move_from_leaving(self, group: str, care: GroupCare, recorded: GroupPrimary) -> None:
+    def _move_from_leaving(
+        self, group: str, care: GroupFailoverState, recorded: GroupPrimary
+    ) -> None:
         """Begin a switchover when the primary is declared leaving."""
         if not recorded.primary or not care.watch.is_leaving(recorded.primary):
             return
@@ -259,14 +261,16 @@
             entry = BeginSwitchover("", "", group, recorded.term, target)
             self._proposals.begin_switchover(entry)
 
-    def _record(self, group: str, care: GroupCare, exposed: ExposedPrimary, now: float) -> None:
+    def _record(
+        self, group: str, care: GroupFailoverState, exposed: ExposedPrimary, now: float
+    ) -> None:
         """Propose a primary; no higher term is granted while the proposal is under way."""
         expected = self._recorded(group).term
         change = PrimaryChange(group, expected, exposed.term, exposed.member)
         self._proposals.record(change)
         self._enter(group, care, Step.RECORDING, now + PROPOSAL_RETRY_S)
 
-    def _time_out(self, group: str, care: GroupCare, now: float) -> None:
+    def _time_out(self, group: str, care: GroupFailoverState, now: float) -> None:
         care.deadline = NEVER
         match care.step:
             case Step.DOUBTED:
@@ -283,7 +287,7 @@
             case Step.ORDERED:
                 self._fail(group, care, now)
 
-    def _record_lost(self, group: str, care: GroupCare, now: float) -> None:
+    def _record_lost(self, group: str, care: GroupFailoverState, now: float) -> None:
         """Look anew at a group whose proposed primary did not come out of the log."""
         recorded = self._recorded(group)
         if recorded.switching_over:
@@ -295,7 +299,7 @@
             self._fail(group, care, now)
         self._evaluate(group, now)
 
-    def _want_promotion(self, group: str, care: GroupCare, now: float) -> None:
+    def _want_promotion(self, group: str, care: GroupFailoverState, now: float) -> None:
         """Begin a promotion, or wait for a place; without a live home proxy try again later."""
         self._release(care)
         care.replaced = self._recorded(group).primary or care.replaced
@@ -308,7 +312,7 @@
         else:
             self._grant(group, care, now)
 
-    def _take_place(self, care: GroupCare, live: list[str]) -> bool:
+    def _take_place(self, care: GroupFailoverState, live: list[str]) -> bool:
         """Take a place among the promotions under way; False when there is none."""
         executor = self._places.choose_executor(care, live)
         if not executor:
@@ -318,14 +322,14 @@
         self._places.take(executor)
         return True
 
-    def _grant(self, group: str, care: GroupCare, now: float) -> None:
+    def _grant(self, group: str, care: GroupFailoverState, now: float) -> None:
         """Propose the next term; its order follows when the term is in the log."""
         recorded = self._recorded(group)
         term = max(recorded.term, care.watch.highest_term()) + 1
         self._proposals.grant(TermGrant(group, recorded.term, term))
         self._enter(group, care, Step.GRANTING, now + PROPOSAL_RETRY_S)
 
-    def _order(self, group: str, care: GroupCare, now: float) -> None:
+    def _order(self, group: str, care: GroupFailoverState, now: float) -> None:
         """Give the order of the term just recorded to the chosen home proxy."""
         if not care.has_place or not self._membership.is_live(care.executor, now):
             self._fail(group, care, now)
@@ -340,7 +344,7 @@
         self._messages.append(SendToProxy(care.executor, order))
         self._enter(group, care, Step.ORDERED, now + patience_s)
 
-    def _fail(self, group: str, care: GroupCare, now: float) -> None:
+    def _fail(self, group: str, care: GroupFailoverState, now: float) -> None:
         """Wait before the next try, longer each time; meanwhile others may promote."""
         self._release(care)
         care.failures += 1
@@ -348,7 +352,7 @@
         pause_s = min(longest, self._timing.longest_backoff_s) * self._generator.uniform(0.5, 1.0)
         self._enter(group, care, Step.BACKING_OFF, now + pause_s)
 
-    def _release(self, care: GroupCare) -> None:
+    def _release(self, care: GroupFailoverState) -> None:
         """Give a place back; the groups that wait for one are looked at by the next tick."""
         if care.has_place:
             care.has_place = False
--- a/limedyke/core/control/primaries/group_care.py
+++ b/limedyke/core/control/primaries/group_care.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class GroupCare:
+class GroupFailoverState:
     """The leader's care for one group.
 
     :param deadline: when the present step is looked at again
--- a/limedyke/core/control/primaries/promotion_places.py
+++ b/limedyke/core/control/primaries/promotion_places.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from limedyke.core.control.primaries.group_care import GroupCare
+from limedyke.core.control.primaries.group_care import GroupFailoverState
 
 
 class PromotionPlaces:
@@ -45,7 +45,7 @@
         if self._taken_at[proxy] == 0:
             del self._taken_at[proxy]
 
-    def choose_executor(self, care: GroupCare, live: list[str]) -> str:
+    def choose_executor(self, care: GroupFailoverState, live: list[str]) -> str:
         """Return the home proxy that should promote, or an empty string without a free place.
 
         One that reaches a majority of the members goes first, then one that misses the
