--- a/limedyke/proxy/statements/members/checked_out_connections.py
+++ b/limedyke/proxy/statements/members/checked_out_connections.py
@@ -12,7 +12,7 @@
 CHANGE_SMOOTHING = 0.2
 
 
-class LentConnections:
+class CheckedOutConnections:
     """Which request has which connection, and how often one is replaced for another tenant.
 
     :ivar change_share: share of the turns for which a connection had to be opened anew
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -19,7 +19,7 @@
 from limedyke.core.statements.observed_member import FIRST_ANSWER_S, OPENING, ObservedMember
 from limedyke.messages.statements import AnswerKind
 from limedyke.messages.work import TransactionStatus
-from limedyke.proxy.statements.members.checked_out_connections import LentConnections
+from limedyke.proxy.statements.members.checked_out_connections import CheckedOutConnections
 from limedyke.proxy.statements.members.connection_waiter import (
     ANY_TENANT,
     ConnectionWaiter,
@@ -101,7 +101,7 @@
         self._opening: Counter[str] = Counter()
         self._idle = IdleConnections()
         self._queue = RequestQueue(FIRST_ANSWER_S)
-        self._lent = LentConnections()
+        self._lent = CheckedOutConnections()
         self._turns = TurnRate()
         self._returns = ReturnSchedule()
         self._recount_at = 0.0
