--- a/features/steps/control_proxies_steps.py
+++ b/features/steps/control_proxies_steps.py
@@ -59,7 +59,7 @@
     if not context.runs_first:
         context.c1.run = curio.Event().wait
     with mock.patch(
-        "limedyke.proxy.control.controller_choice.Random.randrange", lambda self, n: n - 1
+        "limedyke.proxy.control.controller_selector.Random.randrange", lambda self, n: n - 1
     ):
         context.client, context.held = curio.run(
             run_client, folder, controllers, context.handler, until, timeout_s, silence_ms, report
--- a/features/steps/leader_search_steps.py
+++ b/features/steps/leader_search_steps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from limedyke.proxy.control.controller_choice import ControllerSelector
+from limedyke.proxy.control.controller_selector import ControllerSelector
 
 REFUSAL_S = 0.002
 """A machine that works and has no listener refuses at once."""
--- a/limedyke/proxy/control/client.py
+++ b/limedyke/proxy/control/client.py
@@ -34,7 +34,7 @@
 from limedyke.messages.declaration import Tenant
 from limedyke.messages.handshake import PeerRole
 from limedyke.messages.limits import OperationsGranted
-from limedyke.proxy.control.controller_choice import ControllerSelector
+from limedyke.proxy.control.controller_selector import ControllerSelector
 from limedyke.proxy.control.handler import ControlHandler
 from limedyke.proxy.control.leader_search import FoundLeader, LeaderSearch
 from limedyke.proxy.control.leases import ControlLeases
--- a/limedyke/proxy/control/leader_search.py
+++ b/limedyke/proxy/control/leader_search.py
@@ -12,7 +12,7 @@
 from limedyke.event_log import EventLog
 from limedyke.messages.control import NotLeader, ProxyHello, ProxyRefused
 from limedyke.messages.handshake import PeerRole
-from limedyke.proxy.control.controller_choice import ControllerSelector
+from limedyke.proxy.control.controller_selector import ControllerSelector
 from limedyke.transport.link import Link, LinkClosedError, LinkIdentity, dial
 
 DIAL_TIMEOUT_S = 0.4
