--- a/features/steps/controller_full_disk_steps.py
+++ b/features/steps/controller_full_disk_steps.py
@@ -69,7 +69,7 @@
     context.full = world.leader() if which == "the leader" else world.follower()
     disk = world.disks[context.full]
     context.openings = disk.openings
-    context.heard_at = world.replica(context.full).agreement.leader_heard_at
+    context.heard_at = world.replica(context.full).agreement.leader_contact_at
 
     async def refuse() -> None:
         disk.refuse()
@@ -180,8 +180,11 @@
 @then("full disk: it knows when it last heard a leader before")
 def step_heard(context):
     stored = context.world.controllers[context.full].started_from[-1]
-    assert stored.leader_heard_at is not None
-    assert stored.leader_heard_at >= context.heard_at, (stored.leader_heard_at, context.heard_at)
+    assert stored.leader_contact_at is not None
+    assert stored.leader_contact_at >= context.heard_at, (
+        stored.leader_contact_at,
+        context.heard_at,
+    )
 
 
 @when("full disk: a sync of the leader's disk hangs, and its note of the leader fails once")
--- a/features/steps/durable_log_steps.py
+++ b/features/steps/durable_log_steps.py
@@ -304,4 +304,4 @@
 def step_leader_known(context, time):
     reopen(context)
     expected = None if time == "nothing" else float(time)
-    assert context.stored.leader_heard_at == expected, context.stored.leader_heard_at
+    assert context.stored.leader_contact_at == expected, context.stored.leader_contact_at
--- a/features/support/agreement_lease_scripts.py
+++ b/features/support/agreement_lease_scripts.py
@@ -60,7 +60,7 @@
 
 
 def _heard_within(machine, seconds: float) -> bool:
-    return machine.local_now - machine.agreement._state.leader_heard_at < seconds
+    return machine.local_now - machine.agreement._state.leader_contact_at < seconds
 
 
 def restarted_voter(cluster: ScriptedCluster) -> None:
--- a/features/support/agreement_mutants.py
+++ b/features/support/agreement_mutants.py
@@ -56,7 +56,7 @@
 
 def _start_without_silence(self: AgreementState, *arguments) -> None:
     _STATE_INIT(self, *arguments)
-    self.leader_heard_at = float("-inf")
+    self.leader_contact_at = float("-inf")
 
 
 def _read_without_checks(self: Leader, event) -> None:
@@ -104,7 +104,7 @@
 
 def _forget_leader_contact(self: AgreementState, *arguments) -> None:
     _STATE_INIT(self, *arguments)
-    self.leader_heard_at = self.now
+    self.leader_contact_at = self.now
     self.reset_first_election_deadline()
 
 
--- a/limedyke/controller/replica.py
+++ b/limedyke/controller/replica.py
@@ -127,7 +127,7 @@
         self._answers: dict[int, object] = {}
         self._snapshot_schedule = SnapshotSchedule()
         self._next_announcement_at = 0.0
-        self._noted_leader_heard_at = self.agreement.leader_heard_at
+        self._noted_leader_heard_at = self.agreement.leader_contact_at
         self._longest_step_s = 0.0
         self._longest_sync_s = 0.0
 
@@ -303,7 +303,7 @@
 
         :returns: the commands to carry out; without messages when it could not be noted
         """
-        heard_at = self.agreement.leader_heard_at
+        heard_at = self.agreement.leader_contact_at
         if heard_at == self._noted_leader_heard_at:
             return commands
         self._noted_leader_heard_at = heard_at
--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -219,7 +219,7 @@
 
         :returns: None when what the disk holds can't be used
         """
-        heard_at = self._replica.agreement.leader_heard_at
+        heard_at = self._replica.agreement.leader_contact_at
         while True:
             opened = await curio.run_in_thread(reopen_durable_log, self.log)
             if isinstance(opened, Ok):
--- a/limedyke/core/agreement/agreement.py
+++ b/limedyke/core/agreement/agreement.py
@@ -204,7 +204,7 @@
             return
         self._become_follower(message.term, sender)
         state.vouch_for(sender)
-        state.leader_heard_at = state.now
+        state.leader_contact_at = state.now
         state.reset_election_deadline()
         state.quorum_stamp = max(state.quorum_stamp, message.quorum_stamp)
         if isinstance(message, AppendEntriesRequest):
--- a/limedyke/core/agreement/records.py
+++ b/limedyke/core/agreement/records.py
@@ -49,14 +49,14 @@
     """Everything a controller finds on its disk at start.
 
     :param entries: the entries after the snapshot, without gaps
-    :param leader_heard_at: when an earlier process last heard a leader, by the same clock
+    :param leader_contact_at: when an earlier process last heard a leader, by the same clock
         that this one reads; None when that is not known
     """
 
     hard_state: HardState = field(default_factory=HardState)
     snapshot: Snapshot = field(default_factory=Snapshot)
     entries: tuple[LogEntry, ...] = ()
-    leader_heard_at: float | None = None
+    leader_contact_at: float | None = None
 
     def after_process_start(self, started_at: float) -> StoredState:
         """Return the same with the latest moment at which a leader can have been heard.
@@ -66,15 +66,15 @@
 
         :param started_at: when this process began, by the clock that it reads
         """
-        is_bounded = self.leader_heard_at is not None or self.hard_state.term == 0
-        return self if is_bounded else replace(self, leader_heard_at=started_at)
+        is_bounded = self.leader_contact_at is not None or self.hard_state.term == 0
+        return self if is_bounded else replace(self, leader_contact_at=started_at)
 
     def heard_leader_at(self, heard_at: float) -> StoredState:
         """Return the same for a process that has answered leaders itself.
 
         :param heard_at: when it last heard one, by its clock; no note on the disk is later
         """
-        return replace(self, leader_heard_at=heard_at)
+        return replace(self, leader_contact_at=heard_at)
 
 
 def _pack_identity(identity: ControllerIdentity | None) -> list[str] | None:
--- a/limedyke/core/agreement/state.py
+++ b/limedyke/core/agreement/state.py
@@ -80,12 +80,12 @@
         self.quorum_stamp = QuorumStamp()
         # When it isn't known what this controller vouched for before it restarted, it waits as
         # if it had heard a leader just now, so that no lease is broken.
-        self.leader_heard_at = now
-        if stored.leader_heard_at is not None:
-            self.leader_heard_at = min(now, stored.leader_heard_at)
+        self.leader_contact_at = now
+        if stored.leader_contact_at is not None:
+            self.leader_contact_at = min(now, stored.leader_contact_at)
         elif stored.hard_state.term == 0:
             # Before a leader is answered its term is on the disk: none was answered yet.
-            self.leader_heard_at = float("-inf")
+            self.leader_contact_at = float("-inf")
         self.election_deadline = now
         self.commands: list[Command] = []
         self._write_number = 0
@@ -171,7 +171,7 @@
             self.election_deadline = self.now + self.timing.pre_vote_retry_minimum_s / 2
             return
         spread = self.rng.uniform(0.0, self.timing.pre_vote_retry_minimum_s)
-        bound_until = self.leader_heard_at + self.timing.election_timeout_minimum_s
+        bound_until = self.leader_contact_at + self.timing.election_timeout_minimum_s
         links_are_up_at = self.now + self.timing.pre_vote_retry_minimum_s
         self.election_deadline = max(bound_until, links_are_up_at) + spread
 
@@ -183,7 +183,7 @@
 
     def heard_leader_recently(self) -> bool:
         """Tell whether a lease that this voter vouched for may still run."""
-        return self.now < self.leader_heard_at + self.timing.election_timeout_minimum_s
+        return self.now < self.leader_contact_at + self.timing.election_timeout_minimum_s
 
     def set_role(self, role: Role, leader: ControllerIdentity | None) -> None:
         """Change the role and the known leader, and report a change."""
--- a/limedyke/core/agreement/view.py
+++ b/limedyke/core/agreement/view.py
@@ -41,9 +41,9 @@
         return self._state.leader
 
     @property
-    def leader_heard_at(self) -> float:
+    def leader_contact_at(self) -> float:
         """When this controller last heard a leader; to be noted before commands are carried out."""
-        return self._state.leader_heard_at
+        return self._state.leader_contact_at
 
     @property
     def configuration(self) -> MemberConfiguration:
--- a/limedyke/storage/durable_log.py
+++ b/limedyke/storage/durable_log.py
@@ -119,7 +119,7 @@
             hard_state=self._hard_state,
             snapshot=self._snapshot,
             entries=tuple(self._entries[skipped:]),
-            leader_heard_at=self._leader_contact.read(),
+            leader_contact_at=self._leader_contact.read(),
         )
         self._entries = []
         return stored
--- a/limedyke_lab/agreement_simulation/machine.py
+++ b/limedyke_lab/agreement_simulation/machine.py
@@ -125,7 +125,7 @@
         self.identity = self._log.identity
         self._storage = AgreementStorage(self._log)
         self.agreement = self.make_agreement()
-        self._noted_leader_heard_at = self.agreement.leader_heard_at
+        self._noted_leader_heard_at = self.agreement.leader_contact_at
         self.world.note(f"start {self.identity}")
         self.world.checkers.process_started(self.identity)
         self.handle(Started())
@@ -192,8 +192,8 @@
                 self._held_while_frozen.append(event)
             return
         commands = self.agreement.handle(event, self.local_now)
-        if self.agreement.leader_heard_at != self._noted_leader_heard_at:
-            self._noted_leader_heard_at = self.agreement.leader_heard_at
+        if self.agreement.leader_contact_at != self._noted_leader_heard_at:
+            self._noted_leader_heard_at = self.agreement.leader_contact_at
             self._storage.note_leader_heard(self._noted_leader_heard_at)
         self._carry_out(commands)
         self._take_snapshot_if_due()
