--- a/limedyke/core/control/primaries/promotion_places.py
+++ b/limedyke/core/control/primaries/promotion_places.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from limedyke.core.control.primaries.group_care import GroupFailoverState
+from limedyke.core.control.primaries.group_failover_state import GroupFailoverState
 
 
 class PromotionPlaces:
