--- a/features/steps/controller_full_disk_steps.py
+++ b/features/steps/controller_full_disk_steps.py
@@ -199,7 +199,7 @@
         await curio.spawn(world.propose, replica, world.proposed + 1, daemon=True)
         await curio.sleep(0.1)
         world.disks[context.full].failing_notes = 1
-        failed = replica._storage.note_leader_heard(time.monotonic())
+        failed = replica._storage.save_leader_contact(time.monotonic())
         assert failed is not None
         await replica._note_storage_failure(failed)
 
--- a/features/steps/durable_log_steps.py
+++ b/features/steps/durable_log_steps.py
@@ -296,7 +296,7 @@
 
 @when("durable log: a leader was heard at {time:g}, and {event}")
 def step_leader_heard(context, time, event):
-    context.log.note_leader_heard(time).unwrap()
+    context.log.save_leader_contact(time).unwrap()
     change_note(context.log, context.disk, time, event)
 
 
--- a/features/support/agreement_mutants.py
+++ b/features/support/agreement_mutants.py
@@ -149,7 +149,7 @@
 _CONFIRM = LeaderLease.confirm
 _VOUCH_FOR = AgreementState.vouch_for
 _CONTINUE_TRANSFER = Leader._continue_transfer
-_NOTE = DurableLog.note_leader_heard
+_NOTE = DurableLog.save_leader_contact
 _READ = Leader.read
 _STATE_INIT = AgreementState.__init__
 _LEADER_STOP = Leader.stop
@@ -187,7 +187,7 @@
         ((AgreementState, "__init__", _start_without_silence),)
     ),
     "notes only its first contact with a leader": Mutant(
-        ((DurableLog, "note_leader_heard", _note_only_once),)
+        ((DurableLog, "save_leader_contact", _note_only_once),)
     ),
     "forgets at a restart when it heard a leader": Mutant(
         ((AgreementState, "__init__", _forget_leader_contact),)
--- a/features/support/durable_log_damage.py
+++ b/features/support/durable_log_damage.py
@@ -134,7 +134,7 @@
     match event:
         case "the process restarts" | "another was heard at 13.5":
             if event != "the process restarts":
-                log.note_leader_heard(13.5).unwrap()
+                log.save_leader_contact(13.5).unwrap()
             disk.kill_process()
         case "the process ends":
             log.close()
--- a/limedyke/controller/replica.py
+++ b/limedyke/controller/replica.py
@@ -307,7 +307,7 @@
         if heard_at == self._noted_leader_heard_at:
             return commands
         self._noted_leader_heard_at = heard_at
-        failed = self._storage.note_leader_heard(heard_at)
+        failed = self._storage.save_leader_contact(heard_at)
         if failed is None:
             return commands
         await self._note_storage_failure(failed)
--- a/limedyke/core/agreement/__init__.py
+++ b/limedyke/core/agreement/__init__.py
@@ -8,7 +8,7 @@
    ``InstallGenesis`` (pass its snapshot to ``log.install_snapshot``) or ``JoinCluster``.
 3. Make an :class:`Agreement` from ``log.take_stored_state()`` and hand it ``Started``.
 4. For every event: ``commands = agreement.handle(event, now)``; note ``leader_contact_at`` with
-   ``AgreementStorage.note_leader_heard`` when it has changed; then carry out the storage commands
+   ``AgreementStorage.save_leader_contact`` when it has changed; then carry out the storage commands
    with ``AgreementStorage.execute(commands)`` and the others in order; hand the event that
    ``execute`` returned back to the core, and so on until there is none.  Messages that vouch
    for a write are emitted only after its ``StorageSynced``.
--- a/limedyke/storage/agreement_storage.py
+++ b/limedyke/storage/agreement_storage.py
@@ -65,12 +65,12 @@
             return StorageFailed(str(outcome.unwrap_err()))
         return StorageSynced(write_number)
 
-    def note_leader_heard(self, heard_at: float) -> StorageFailed | None:
+    def save_leader_contact(self, heard_at: float) -> StorageFailed | None:
         """Note when a leader was heard, before it is answered; this forces nothing to the disk.
 
         :returns: a failure, to be handed to the core in place of answering
         """
-        noted = self._log.note_leader_heard(heard_at)
+        noted = self._log.save_leader_contact(heard_at)
         return StorageFailed(str(noted.unwrap_err())) if noted.is_err() else None
 
     def disk_takes_writes(self) -> bool:
--- a/limedyke/storage/durable_log.py
+++ b/limedyke/storage/durable_log.py
@@ -151,7 +151,7 @@
         """
         return self._guard(lambda: self._install_snapshot(snapshot, keep_entries))
 
-    def note_leader_heard(self, heard_at: float) -> Result[None, Failure]:
+    def save_leader_contact(self, heard_at: float) -> Result[None, Failure]:
         """Note when a leader was heard, for the next process; may run beside another write."""
         if self._failure is not None:
             return Err(self._failure)
--- a/limedyke_lab/agreement_simulation/machine.py
+++ b/limedyke_lab/agreement_simulation/machine.py
@@ -194,7 +194,7 @@
         commands = self.agreement.handle(event, self.local_now)
         if self.agreement.leader_contact_at != self._noted_leader_heard_at:
             self._noted_leader_heard_at = self.agreement.leader_contact_at
-            self._storage.note_leader_heard(self._noted_leader_heard_at)
+            self._storage.save_leader_contact(self._noted_leader_heard_at)
         self._carry_out(commands)
         self._take_snapshot_if_due()
 
