--- a/features/steps/control_failover_steps.py
+++ b/features/steps/control_failover_steps.py
@@ -23,7 +23,7 @@
     WritesPausedReported,
 )
 from limedyke.core.control.leader import LeaderDecisions
-from limedyke.core.control.primaries.group_watch import GroupWatch
+from limedyke.core.control.primaries.group_watch import GroupReports
 from limedyke.core.control.timing import ControlTiming
 from limedyke.messages.control import (
     MemberHealth,
@@ -180,7 +180,7 @@
 @given("failover: the rule on blind witnesses is {state:w}")
 def _(context, state):
     if state == "off":
-        patch = mock.patch.object(GroupWatch, "sees_majority", lambda self, proxy: True)
+        patch = mock.patch.object(GroupReports, "sees_majority", lambda self, proxy: True)
         patch.start()
         context.add_cleanup(patch.stop)
 
--- a/limedyke/core/control/primaries/failover.py
+++ b/limedyke/core/control/primaries/failover.py
@@ -19,7 +19,7 @@
 from limedyke.core.control.events import Propose, SendToProxy
 from limedyke.core.control.membership import ProxyMembership
 from limedyke.core.control.primaries.group_failover_state import NEVER, GroupFailoverState, Step
-from limedyke.core.control.primaries.group_watch import ExposedPrimary, GroupWatch
+from limedyke.core.control.primaries.group_watch import ExposedPrimary, GroupReports
 from limedyke.core.control.primaries.primary_suspicion import PrimarySuspicion
 from limedyke.core.control.primaries.promotion_places import PromotionPlaces
 from limedyke.core.control.proposal_batch import ProposalBatch
@@ -86,7 +86,7 @@
         """Take a declared group, or a changed one."""
         care = self._cares.get(group.name)
         if care is None:
-            care = self._cares[group.name] = GroupFailoverState(GroupWatch(group, ()))
+            care = self._cares[group.name] = GroupFailoverState(GroupReports(group, ()))
             if self._recorded(group.name).term > 0:
                 self._resume(group.name, care, now)
         care.watch.set_group(group)
--- a/limedyke/core/control/primaries/group_failover_state.py
+++ b/limedyke/core/control/primaries/group_failover_state.py
@@ -5,7 +5,7 @@
 import enum
 from dataclasses import dataclass, field
 
-from limedyke.core.control.primaries.group_watch import GroupWatch
+from limedyke.core.control.primaries.group_watch import GroupReports
 
 NEVER = float("inf")
 FAILOVERS_AT_FULL_SPEED = 2
@@ -41,7 +41,7 @@
     :param paused: home proxies that have paused writes for a switchover
     """
 
-    watch: GroupWatch
+    watch: GroupReports
     step: Step = Step.WATCHED
     deadline: float = NEVER
     doubted_at: float = 0.0
--- a/limedyke/core/control/primaries/group_watch.py
+++ b/limedyke/core/control/primaries/group_watch.py
@@ -18,7 +18,7 @@
     member: str
 
 
-class GroupWatch:
+class GroupReports:
     """The reports on one group, by home proxy and member.
 
     :param group: the declared group
--- a/limedyke/core/control/primaries/primary_suspicion.py
+++ b/limedyke/core/control/primaries/primary_suspicion.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from limedyke.core.control.membership import ProxyMembership
-from limedyke.core.control.primaries.group_watch import GroupWatch
+from limedyke.core.control.primaries.group_watch import GroupReports
 from limedyke.core.control.timing import ControlTiming
 from limedyke.messages.control import GroupPrimary
 
@@ -18,11 +18,11 @@
         self._membership = membership
         self._timing = timing
 
-    def live_homes(self, watch: GroupWatch, now: float) -> list[str]:
+    def live_homes(self, watch: GroupReports, now: float) -> list[str]:
         """Return the group's home proxies that are heard, the heaviest first."""
         return [proxy for proxy in watch.homes if self._membership.is_live(proxy, now)]
 
-    def hold_s(self, watch: GroupWatch, recorded: GroupPrimary, now: float) -> float | None:
+    def hold_s(self, watch: GroupReports, recorded: GroupPrimary, now: float) -> float | None:
         """Return how long the present suspicion must last before the term rises; None without one.
 
         A majority that can't reach the primary needs a short hold; one that sees it work as a
@@ -50,7 +50,7 @@
         return self._hold_of(watch, unreachable | demoted, live, timing.demoted_hold_s)
 
     def _hold_of(
-        self, watch: GroupWatch, votes: set[str], live: set[str], majority_hold_s: float
+        self, watch: GroupReports, votes: set[str], live: set[str], majority_hold_s: float
     ) -> float | None:
         """Return how long these votes must last, or None when they are too few."""
         return vote_hold_s(votes, live, watch.majority, majority_hold_s, self._timing)
