--- a/limedyke/controller/leading/proxy_sessions.py
+++ b/limedyke/controller/leading/proxy_sessions.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from limedyke.controller.leading.update_cache import News
+from limedyke.controller.leading.update_cache import EncodedUpdate
 from limedyke.core.control.events import (
     HeartbeatReceived,
     LeaderEvent,
@@ -78,7 +78,7 @@
         self._closing = self._closing or reason
         await self._wakeup.set()
 
-    async def write_all(self, news: Callable[[int], News | None]) -> None:
+    async def write_all(self, news: Callable[[int], EncodedUpdate | None]) -> None:
         """Send what is queued until the link is closed.
 
         :param news: returns the next message for the index that the proxy has; None when there
@@ -96,7 +96,7 @@
                 EVENTS.info("proxy-link-closed", proxy=self.name, reason=self._closing)
                 raise LinkClosedError(self._closing)
 
-    async def _send_news(self, news: Callable[[int], News | None]) -> None:
+    async def _send_news(self, news: Callable[[int], EncodedUpdate | None]) -> None:
         """Send what is new; the first time also that there is nothing new."""
         while (found := news(self.sent_index)) is not None:
             is_newer = found.control_index > self.sent_index
@@ -127,7 +127,7 @@
     def __init__(
         self,
         post: Callable[[LeaderEvent], Awaitable[None]],
-        news: Callable[[int], News | None],
+        news: Callable[[int], EncodedUpdate | None],
         admits: Callable[[ProxyHello], bool],
     ) -> None:
         self._post = post
--- a/limedyke/controller/leading/update_cache.py
+++ b/limedyke/controller/leading/update_cache.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class EncodedUpdate:
     """A snapshot or update, and the control index of a proxy that has taken it.
 
     :param message: encoded
@@ -34,7 +34,7 @@
         return len(self.message) > COMPRESS_ABOVE_BYTES
 
     @classmethod
-    def of(cls, message: ControlSnapshot | ControlUpdate) -> News:
+    def of(cls, message: ControlSnapshot | ControlUpdate) -> EncodedUpdate:
         """Encode and frame what brings a proxy to the message's control index."""
         data = encode(message)
         framed = compressed_frame(data) if len(data) > COMPRESS_ABOVE_BYTES else frame(data)
@@ -55,12 +55,12 @@
     def __init__(self, state: ControlState, updates: UpdateRing) -> None:
         self._state = state
         self._updates = updates
-        self._snapshot: News | None = None
-        self._updates_to_present: dict[int, News] = {}
+        self._snapshot: EncodedUpdate | None = None
+        self._updates_to_present: dict[int, EncodedUpdate] = {}
         self._present_index = -1
         self.snapshots_encoded = 0
 
-    def since(self, control_index: int) -> News | None:
+    def since(self, control_index: int) -> EncodedUpdate | None:
         """Return the next message for a proxy at an index, or None when it is at the present.
 
         :param control_index: what the proxy has; 0 for nothing
@@ -73,7 +73,7 @@
         update = self._update_since(control_index) if control_index else None
         return update or self._whole()
 
-    def _update_since(self, control_index: int) -> News | None:
+    def _update_since(self, control_index: int) -> EncodedUpdate | None:
         known = self._updates_to_present.get(control_index)
         if known is not None:
             return known
@@ -82,16 +82,16 @@
             return None
         if len(self._updates_to_present) >= MAXIMUM_CACHED_UPDATES:
             self._updates_to_present.clear()
-        news = News.of(update)
+        news = EncodedUpdate.of(update)
         self._updates_to_present[control_index] = news
         return news
 
-    def _whole(self) -> News:
+    def _whole(self) -> EncodedUpdate:
         snapshot = self._snapshot
         if snapshot is not None and self._can_follow(snapshot.control_index):
             return replace(snapshot, present_index=self._state.control_index)
         self.snapshots_encoded += 1
-        self._snapshot = News.of(self._state.snapshot_for_proxies())
+        self._snapshot = EncodedUpdate.of(self._state.snapshot_for_proxies())
         return self._snapshot
 
     def _can_follow(self, control_index: int) -> bool:
