--- a/features/steps/control_failover_steps.py
+++ b/features/steps/control_failover_steps.py
@@ -23,7 +23,7 @@
     WritesPausedReported,
 )
 from limedyke.core.control.leader import LeaderDecisions
-from limedyke.core.control.primaries.group_watch import GroupReports
+from limedyke.core.control.primaries.group_reports import GroupReports
 from limedyke.core.control.timing import ControlTiming
 from limedyke.messages.control import (
     MemberHealth,
--- a/limedyke/core/control/primaries/failover.py
+++ b/limedyke/core/control/primaries/failover.py
@@ -19,7 +19,7 @@
 from limedyke.core.control.events import Propose, SendToProxy
 from limedyke.core.control.membership import ProxyMembership
 from limedyke.core.control.primaries.group_failover_state import NEVER, GroupFailoverState, Step
-from limedyke.core.control.primaries.group_watch import ExposedPrimary, GroupReports
+from limedyke.core.control.primaries.group_reports import ExposedPrimary, GroupReports
 from limedyke.core.control.primaries.primary_suspicion import PrimarySuspicion
 from limedyke.core.control.primaries.promotion_places import PromotionPlaces
 from limedyke.core.control.proposal_batch import ProposalBatch
--- a/limedyke/core/control/primaries/group_failover_state.py
+++ b/limedyke/core/control/primaries/group_failover_state.py
@@ -5,7 +5,7 @@
 import enum
 from dataclasses import dataclass, field
 
-from limedyke.core.control.primaries.group_watch import GroupReports
+from limedyke.core.control.primaries.group_reports import GroupReports
 
 NEVER = float("inf")
 FAILOVERS_AT_FULL_SPEED = 2
--- a/limedyke/core/control/primaries/primary_suspicion.py
+++ b/limedyke/core/control/primaries/primary_suspicion.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from limedyke.core.control.membership import ProxyMembership
-from limedyke.core.control.primaries.group_watch import GroupReports
+from limedyke.core.control.primaries.group_reports import GroupReports
 from limedyke.core.control.timing import ControlTiming
 from limedyke.messages.control import GroupPrimary
 
