--- a/limedyke/core/statements/session.py
+++ b/limedyke/core/statements/session.py
@@ -97,7 +97,7 @@
     answer_by: float = float("inf")
     tries_under_way: int = 0
     may_run_elsewhere: bool = False
-    untold: ResultCode | None = None
+    unreported_failure: ResultCode | None = None
 
     @property
     def was_sent(self) -> bool:
@@ -172,7 +172,7 @@
         The client believes it open: its next statement is told that nothing was kept.
         """
         self.fail_transaction()
-        self.untold = reason
+        self.unreported_failure = reason
 
     def close_transaction(self) -> None:
         """Return to the state outside a transaction."""
@@ -199,7 +199,7 @@
         return EndTransaction(StatementAnswer()) if was_at_member else StatementAnswer()
 
     def _plan_after_failure(self, statement: Statement) -> Plan:
-        untold, self.untold = self.untold, None
+        untold, self.unreported_failure = self.unreported_failure, None
         if statement.kind is StatementKind.ROLLBACK:
             self.close_transaction()
             return StatementAnswer()
