--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -190,7 +190,7 @@
             await self._founding.run()
         self._start_replica(self._stored_before_start())
         while await self._run_replica():
-            stored = await self._read_anew()
+            stored = await self._reopen_log()
             if stored is None:
                 return
             self._start_replica(stored)
@@ -211,7 +211,7 @@
         EVENTS.error("work-ended", task=ended.name, reason=repr(ended.exception))
         return False
 
-    async def _read_anew(self) -> StoredState | None:
+    async def _reopen_log(self) -> StoredState | None:
         """Read the log anew, as a new process would; nothing held in memory counts any more.
 
         But for one thing: this process knows when it last heard a leader. The vote that it owes
--- a/limedyke_lab/simulator/controllers.py
+++ b/limedyke_lab/simulator/controllers.py
@@ -38,9 +38,9 @@
         super().__init__(*arguments)
         self._note = note
 
-    async def _read_anew(self) -> StoredState | None:
+    async def _reopen_log(self) -> StoredState | None:
         self._note()
-        return await super()._read_anew()
+        return await super()._reopen_log()
 
 
 class SimulatedController:
