--- a/limedyke/core/control/primaries/authority_failover.py
+++ b/limedyke/core/control/primaries/authority_failover.py
@@ -20,7 +20,7 @@
     AuthorityStep,
     is_of_former,
 )
-from limedyke.core.control.primaries.authority_judgement import AuthorityJudgement
+from limedyke.core.control.primaries.authority_judgement import PrimaryEvaluator
 from limedyke.core.control.proposal_batch import ProposalBatch
 from limedyke.core.control.timing import ControlTiming
 from limedyke.core.home import HomeDirectory
@@ -59,7 +59,7 @@
         timing: ControlTiming,
         now: float,
     ) -> None:
-        self._judgement = AuthorityJudgement(members, proxies, book, membership, homes, timing, now)
+        self._judgement = PrimaryEvaluator(members, proxies, book, membership, homes, timing, now)
         self._primaries = primaries
         self._members = members
         self._proxies = proxies
--- a/limedyke/core/control/primaries/authority_judgement.py
+++ b/limedyke/core/control/primaries/authority_judgement.py
@@ -22,7 +22,7 @@
 Rank = tuple[bool, bool, bool, int, bool, int, str]
 
 
-class AuthorityJudgement:
+class PrimaryEvaluator:
     """Judges by what home proxies report and by what members announce.
 
     :param members: the recorded members by identity, read only
