--- a/features/steps/home_choice_steps.py
+++ b/features/steps/home_choice_steps.py
@@ -13,7 +13,7 @@
 from features.support.statement_homes import ForwardingPath
 from features.support.statement_path import GROUP
 from limedyke.core import home_choice
-from limedyke.core.home_choice import ToldLoads
+from limedyke.core.home_choice import ReportedLoads
 from limedyke.messages.control import ConnectionLease, ProxyRecord, ProxyState
 from limedyke.messages.databases import Consistency
 from limedyke.messages.statements import HomeLoad
@@ -90,7 +90,7 @@
 
 @when('home choice: h1 told waits of "{writes}" ms for writes and "{reads}" ms for reads')
 def step_told(context, writes, reads):
-    context.loads = ToldLoads()
+    context.loads = ReportedLoads()
     load = HomeLoad(
         tuple(int(wait) for wait in writes.split()), tuple(int(wait) for wait in reads.split())
     )
--- a/features/support/home_choice_world.py
+++ b/features/support/home_choice_world.py
@@ -8,7 +8,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from limedyke.core.home_choice import HomeCandidate, ToldLoads, choose_home
+from limedyke.core.home_choice import HomeCandidate, ReportedLoads, choose_home
 from limedyke.messages.statements import HomeLoad
 
 PROXIES = 68
@@ -58,7 +58,7 @@
         self.generator = random.Random(seed)
         self.now = 0.0
         self.homes = {f"h{n}": _Home(n % ZONES) for n in range(HOMES)}
-        self.loads = [ToldLoads() for _ in range(PROXIES)]
+        self.loads = [ReportedLoads() for _ in range(PROXIES)]
         self.served: list[_Served] = []
         self._events: list = []
         self._number = itertools.count()
--- a/limedyke/core/home_choice.py
+++ b/limedyke/core/home_choice.py
@@ -74,7 +74,7 @@
     at: float
 
 
-class ToldLoads:
+class ReportedLoads:
     """The waits that home proxies told, by home proxy and group."""
 
     def __init__(self) -> None:
--- a/limedyke/proxy/forwarding/home_links.py
+++ b/limedyke/proxy/forwarding/home_links.py
@@ -12,7 +12,7 @@
 from result import Err, Result
 
 from limedyke.core.backoff import Backoff
-from limedyke.core.home_choice import LEAST_GAIN_S, HomeCandidate, ToldLoads, choose_home
+from limedyke.core.home_choice import LEAST_GAIN_S, HomeCandidate, ReportedLoads, choose_home
 from limedyke.event_log import EventLog
 from limedyke.messages.control import ProxyRecord, ProxyState
 from limedyke.messages.handshake import PeerRole
@@ -85,7 +85,7 @@
         self._dialing: dict[str, curio.Event] = {}
         self._backoffs: dict[str, Backoff] = {}
         self.is_any_silent = False
-        self.loads = ToldLoads()
+        self.loads = ReportedLoads()
         self._generator = random.Random()
 
     def control_changed(self, view: ControlView) -> None:
