--- a/limedyke/core/control/primaries/authority_failover.py
+++ b/limedyke/core/control/primaries/authority_failover.py
@@ -20,7 +20,7 @@
     AuthorityStep,
     is_of_former,
 )
-from limedyke.core.control.primaries.authority_judgement import PrimaryEvaluator
+from limedyke.core.control.primaries.primary_evaluator import PrimaryEvaluator
 from limedyke.core.control.proposal_batch import ProposalBatch
 from limedyke.core.control.timing import ControlTiming
 from limedyke.core.home import HomeDirectory
