--- a/limedyke/core/control/primaries/failover.py
+++ b/limedyke/core/control/primaries/failover.py
@@ -21,7 +21,7 @@
 from limedyke.core.control.primaries.group_failover_state import NEVER, GroupFailoverState, Step
 from limedyke.core.control.primaries.group_reports import ExposedPrimary, GroupReports
 from limedyke.core.control.primaries.primary_suspicion import PrimarySuspicion
-from limedyke.core.control.primaries.promotion_places import PromotionPlaces
+from limedyke.core.control.primaries.promotion_places import PromotionSlots
 from limedyke.core.control.proposal_batch import ProposalBatch
 from limedyke.core.control.timing import ControlTiming
 from limedyke.messages.control import GroupPrimary, MemberReport, PromoteOrder
@@ -68,7 +68,7 @@
         self._deadline_numbers = itertools.count()
         self._waiting: deque[str] = deque()
         self._suspicion = PrimarySuspicion(membership, timing)
-        self._places = PromotionPlaces(timing.promotions_at_once, timing.promotions_per_proxy)
+        self._places = PromotionSlots(timing.promotions_at_once, timing.promotions_per_proxy)
         self._proposals = ProposalBatch()
         self._messages: list[SendToProxy] = []
 
--- a/limedyke/core/control/primaries/promotion_places.py
+++ b/limedyke/core/control/primaries/promotion_places.py
@@ -7,7 +7,7 @@
 from limedyke.core.control.primaries.group_failover_state import GroupFailoverState
 
 
-class PromotionPlaces:
+class PromotionSlots:
     """Counts promotions under way.
 
     :param total: promotions under way over all groups
