--- a/limedyke/core/control/primaries/group_members.py
+++ b/limedyke/core/control/primaries/group_members.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from limedyke.core.member_record import fault_of
+from limedyke.core.member_record import invalid_field
 from limedyke.messages.databases import AnnouncedMember
 
 
@@ -39,7 +39,7 @@
         return [
             member
             for member in records
-            if member is not None and member.group == group and not fault_of(member)
+            if member is not None and member.group == group and not invalid_field(member)
         ]
 
     def _drop(self, identity: str) -> str:
--- a/limedyke/core/member_record.py
+++ b/limedyke/core/member_record.py
@@ -32,7 +32,7 @@
     return port > 0
 
 
-def fault_of(member: AnnouncedMember) -> str:
+def invalid_field(member: AnnouncedMember) -> str:
     """Return why a record names no member to use; empty when it does."""
     if not is_name(member.identity):
         return "identity"
--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -12,7 +12,7 @@
 import curio
 
 from limedyke.core.access_keys import AccessKeys
-from limedyke.core.member_record import fault_of
+from limedyke.core.member_record import invalid_field
 from limedyke.core.statements.connection_demand import DemandReporter
 from limedyke.core.statements.observed_member import ObservedMember
 from limedyke.core.statements.primary_outage import OutageTimes
@@ -132,7 +132,7 @@
 
     def _is_usable(self, member: AnnouncedMember) -> bool:
         """Tell whether a record names a member to use; log once why one does not."""
-        fault = fault_of(member)
+        fault = invalid_field(member)
         if not fault:
             self._unusable.discard(member.identity)
             return True
