--- a/limedyke/core/control/primaries/failover.py
+++ b/limedyke/core/control/primaries/failover.py
@@ -21,7 +21,7 @@
 from limedyke.core.control.primaries.group_failover_state import NEVER, GroupFailoverState, Step
 from limedyke.core.control.primaries.group_reports import ExposedPrimary, GroupReports
 from limedyke.core.control.primaries.primary_suspicion import PrimarySuspicion
-from limedyke.core.control.primaries.promotion_places import PromotionSlots
+from limedyke.core.control.primaries.promotion_slots import PromotionSlots
 from limedyke.core.control.proposal_batch import ProposalBatch
 from limedyke.core.control.timing import ControlTiming
 from limedyke.messages.control import GroupPrimary, MemberReport, PromoteOrder
