--- a/limedyke/core/queueing/queued_request.py
+++ b/limedyke/core/queueing/queued_request.py
@@ -56,7 +56,7 @@
         return max(changes_at, now + LEAST_STEP_S)
 
 
-def turn_of(request: QueuedRequest) -> tuple[bool, float, float, int]:
+def queue_sort_key(request: QueuedRequest) -> tuple[bool, float, float, int]:
     """Return the sort key among the requests of one tenant and level."""
     due_at = request.deadline_at
     if not request.is_late:
--- a/limedyke/core/queueing/tenant_flow.py
+++ b/limedyke/core/queueing/tenant_flow.py
@@ -5,7 +5,7 @@
 import bisect
 from collections.abc import Iterator
 
-from limedyke.core.queueing.queued_request import QueuedRequest, turn_of
+from limedyke.core.queueing.queued_request import QueuedRequest, queue_sort_key
 
 COST_SMOOTHING = 0.1
 OUTLIER_FACTOR = 8.0
@@ -35,13 +35,13 @@
 
     def add(self, request: QueuedRequest) -> None:
         """Insert a request by its level and turn."""
-        bisect.insort(self._levels.setdefault(request.level, []), request, key=turn_of)
+        bisect.insort(self._levels.setdefault(request.level, []), request, key=queue_sort_key)
         self.waiting += 1
 
     def discard(self, request: QueuedRequest) -> None:
         """Take out a request that waits here."""
         waiting = self._levels[request.level]
-        del waiting[bisect.bisect_left(waiting, turn_of(request), key=turn_of)]
+        del waiting[bisect.bisect_left(waiting, queue_sort_key(request), key=queue_sort_key)]
         if not waiting:
             del self._levels[request.level]
         self.waiting -= 1
@@ -63,7 +63,7 @@
         """Return how many go before a request that is ranked, and may not wait yet."""
         count = self.above(request.level)
         same = self._levels.get(request.level, [])
-        return count + bisect.bisect_left(same, turn_of(request), key=turn_of)
+        return count + bisect.bisect_left(same, queue_sort_key(request), key=queue_sort_key)
 
     def above(self, level: int) -> int:
         """Return how many are more urgent than a level."""
