--- a/limedyke/controller/leading/leader_service.py
+++ b/limedyke/controller/leading/leader_service.py
@@ -23,7 +23,7 @@
     DisconnectProxy,
     LeaderCommand,
     LeaderEvent,
-    NoteDecision,
+    LogDecision,
     Propose,
     SendToProxy,
     TimePassed,
@@ -140,7 +140,7 @@
                 await self._replica.propose_without_answer(command.entry)
             case DisconnectProxy():
                 await self.sessions.disconnect(command.proxy, command.reason)
-            case NoteDecision():
+            case LogDecision():
                 EVENTS.info("decision", group=command.group, text=command.text)
             case AskAuthority():
                 await curio.spawn(self._ask_authority, command, daemon=True)
--- a/limedyke/core/control/events.py
+++ b/limedyke/core/control/events.py
@@ -192,7 +192,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoteDecision:
+class LogDecision:
     """Write to the event log why something is done."""
 
     group: str
@@ -200,5 +200,5 @@
 
 
 LeaderCommand = (
-    Propose | SendToProxy | AnswerHeartbeat | DisconnectProxy | AskAuthority | NoteDecision
+    Propose | SendToProxy | AnswerHeartbeat | DisconnectProxy | AskAuthority | LogDecision
 )
--- a/limedyke/core/control/primaries/authority_failover.py
+++ b/limedyke/core/control/primaries/authority_failover.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 
 from limedyke.core.control.announcements import AnnouncementTracker
-from limedyke.core.control.events import AskAuthority, AuthorityOutcome, NoteDecision, Propose
+from limedyke.core.control.events import AskAuthority, AuthorityOutcome, LogDecision, Propose
 from limedyke.core.control.lease_table import reissue_after_s
 from limedyke.core.control.membership import ProxyMembership
 from limedyke.core.control.primaries.authority_group_state import (
@@ -70,7 +70,7 @@
         self._started_at = now
         self._cares: dict[str, AuthorityGroupState] = {}
         self._proposals = ProposalBatch()
-        self._commands: list[AskAuthority | NoteDecision] = []
+        self._commands: list[AskAuthority | LogDecision] = []
 
     def step_of(self, group: str) -> AuthorityStep | None:
         """Return where a group stands."""
@@ -168,7 +168,7 @@
             else:
                 self._look_at(group, care, now)
 
-    def take_commands(self) -> list[Propose | AskAuthority | NoteDecision]:
+    def take_commands(self) -> list[Propose | AskAuthority | LogDecision]:
         """Return the collected proposals and calls."""
         commands = [*self._proposals.take(), *self._commands]
         self._commands = []
@@ -326,4 +326,4 @@
                 self._back_off(care, now)
 
     def _note(self, group: str, text: str) -> None:
-        self._commands.append(NoteDecision(group, text))
+        self._commands.append(LogDecision(group, text))
