--- a/limedyke/core/units/unit_answer.py
+++ b/limedyke/core/units/unit_answer.py
@@ -15,7 +15,7 @@
     follow_transaction,
     judge_failure,
     leave_transaction,
-    wrote_unplaced,
+    wrote_at_unknown_position,
 )
 from limedyke.messages.work import AnswerEnd
 from limedyke.postgres.client_messages import failure_response
@@ -57,7 +57,7 @@
 def _follow_completion(state: SessionState, running: RunningUnit, end: AnswerEnd) -> bool:
     """Follow a unit that was answered; tell whether the session token changed."""
     binds = binds_position(state, running, end)
-    unplaced = wrote_unplaced(running, end)
+    unplaced = wrote_at_unknown_position(running, end)
     follow_transaction(state, running, end.status)
     changed = state.position.take_end(end, binds)
     if unplaced:
--- a/limedyke/core/units/unit_outcome.py
+++ b/limedyke/core/units/unit_outcome.py
@@ -107,7 +107,7 @@
     return Effect.ROLLBACK in effects and Effect.COMMIT not in effects
 
 
-def wrote_unplaced(running: RunningUnit, end: AnswerEnd) -> bool:
+def wrote_at_unknown_position(running: RunningUnit, end: AnswerEnd) -> bool:
     """Tell whether a unit may have committed a write whose position its answer doesn't tell.
 
     That is a write that the client let run as a read, but no replica served, and a commit
