--- a/features/support/announced_world.py
+++ b/features/support/announced_world.py
@@ -8,13 +8,13 @@
 
 from features.support.control_builders import StateUnderTest
 from limedyke.core.control.events import (
-    AskAuthority,
     AuthorityAnswered,
     AuthorityOutcome,
     HeartbeatReceived,
     MemberReported,
     Propose,
     ProxyConnected,
+    RequestPromotion,
     TimePassed,
     UpdateApplied,
 )
@@ -64,7 +64,7 @@
         self.silent: set[str] = set()
         self.unconfirming: set[str] = set()
         self.sequences = dict.fromkeys(members, 1)
-        self.calls: list[AskAuthority] = []
+        self.calls: list[RequestPromotion] = []
         self.heartbeats = 0
         self.proxies = list(PROXIES)
         self.timing = ControlTiming(lease_s=30.0)
@@ -103,7 +103,7 @@
             self.leader.handle(event, self.now)
         while commands := self.leader.take_commands():
             for command in commands:
-                if isinstance(command, AskAuthority):
+                if isinstance(command, RequestPromotion):
                     self.calls.append(command)
                 elif isinstance(command, Propose):
                     self.apply(command.entry)
--- a/limedyke/controller/leading/leader_service.py
+++ b/limedyke/controller/leading/leader_service.py
@@ -18,13 +18,13 @@
 from limedyke.controller.replica import Replica
 from limedyke.core.control.events import (
     AnswerHeartbeat,
-    AskAuthority,
     AuthorityAnswered,
     DisconnectProxy,
     LeaderCommand,
     LeaderEvent,
     LogDecision,
     Propose,
+    RequestPromotion,
     SendToProxy,
     TimePassed,
     UpdateApplied,
@@ -142,10 +142,10 @@
                 await self.sessions.disconnect(command.proxy, command.reason)
             case LogDecision():
                 EVENTS.info("decision", group=command.group, text=command.text)
-            case AskAuthority():
+            case RequestPromotion():
                 await curio.spawn(self._ask_authority, command, daemon=True)
 
-    async def _ask_authority(self, command: AskAuthority) -> None:
+    async def _ask_authority(self, command: RequestPromotion) -> None:
         """Call the promotion authority, only under the leader lease."""
         if self._authority is None or not self._replica.leads:
             return
--- a/limedyke/core/control/events.py
+++ b/limedyke/core/control/events.py
@@ -180,7 +180,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskAuthority:
+class RequestPromotion:
     """Have the promotion authority make a member the primary of its group.
 
     :param fence: no call under a lower number may be carried out afterwards
@@ -200,5 +200,5 @@
 
 
 LeaderCommand = (
-    Propose | SendToProxy | AnswerHeartbeat | DisconnectProxy | AskAuthority | LogDecision
+    Propose | SendToProxy | AnswerHeartbeat | DisconnectProxy | RequestPromotion | LogDecision
 )
--- a/limedyke/core/control/primaries/authority_failover.py
+++ b/limedyke/core/control/primaries/authority_failover.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 
 from limedyke.core.control.announcements import AnnouncementTracker
-from limedyke.core.control.events import AskAuthority, AuthorityOutcome, LogDecision, Propose
+from limedyke.core.control.events import AuthorityOutcome, LogDecision, Propose, RequestPromotion
 from limedyke.core.control.lease_table import reissue_after_s
 from limedyke.core.control.membership import ProxyMembership
 from limedyke.core.control.primaries.authority_group_state import (
@@ -70,7 +70,7 @@
         self._started_at = now
         self._cares: dict[str, AuthorityGroupState] = {}
         self._proposals = ProposalBatch()
-        self._commands: list[AskAuthority | LogDecision] = []
+        self._commands: list[RequestPromotion | LogDecision] = []
 
     def step_of(self, group: str) -> AuthorityStep | None:
         """Return where a group stands."""
@@ -168,7 +168,7 @@
             else:
                 self._look_at(group, care, now)
 
-    def take_commands(self) -> list[Propose | AskAuthority | LogDecision]:
+    def take_commands(self) -> list[Propose | RequestPromotion | LogDecision]:
         """Return the collected proposals and calls."""
         commands = [*self._proposals.take(), *self._commands]
         self._commands = []
@@ -284,7 +284,7 @@
         care.target_started_at_ms = able[0].started_at_ms
         care.promoted_at = NEVER
         fence = self._recorded(group).fence
-        self._commands.append(AskAuthority(group, care.target, fence))
+        self._commands.append(RequestPromotion(group, care.target, fence))
         care.enter(AuthorityStep.CALLING, now + self._timing.authority_timeout_s)
 
     def _follow_promoted(self, group: str, care: AuthorityGroupState, now: float) -> None:
