--- a/limedyke/core/limits/operation_limits.py
+++ b/limedyke/core/limits/operation_limits.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from limedyke.core.limits.operation_allowance import SHARE_LIFE_S
-from limedyke.core.limits.quiet_time import QuietTime
+from limedyke.core.limits.quiet_time import ProcessEnds
 from limedyke.core.limits.tenant_budget import TenantBudget
 from limedyke.core.limits.token_bucket import TokenBucket
 from limedyke.core.limits.use_adoption import UseAdoption
@@ -108,7 +108,7 @@
         self._running_alone: dict[str, dict[str, float]] = {}
         self._told: dict[str, dict[str, ToldShare]] = {}
         self._adoption = UseAdoption()
-        self._quiet = QuietTime()
+        self._quiet = ProcessEnds()
 
     def known_share(self, share: float, now: float) -> None:
         """Take which share of the registered proxies has come to this leader.
--- a/limedyke/core/limits/quiet_time.py
+++ b/limedyke/core/limits/quiet_time.py
@@ -9,7 +9,7 @@
 from collections.abc import Set
 
 
-class QuietTime:
+class ProcessEnds:
     """Ends of proxies' processes, as their successors prove them; seconds of a steady clock."""
 
     def __init__(self) -> None:
