--- a/limedyke/core/control/primaries/authority_group_state.py
+++ b/limedyke/core/control/primaries/authority_group_state.py
@@ -26,7 +26,7 @@
     BACKING_OFF = "backing-off"
 
 
-class Grounds(enum.StrEnum):
+class SuspicionReason(enum.StrEnum):
     """What speaks against a primary."""
 
     LEFT = "left"
@@ -44,7 +44,7 @@
     :param hold_s: how long it has to last first
     """
 
-    grounds: Grounds
+    grounds: SuspicionReason
     text: str
     hold_s: float = 0.0
 
--- a/limedyke/core/control/primaries/primary_evaluator.py
+++ b/limedyke/core/control/primaries/primary_evaluator.py
@@ -8,8 +8,8 @@
 from limedyke.core.control.membership import ProxyMembership
 from limedyke.core.control.primaries.authority_group_state import (
     AuthorityGroupState,
-    Grounds,
     Suspicion,
+    SuspicionReason,
 )
 from limedyke.core.control.primaries.group_members import GroupMembers
 from limedyke.core.control.primaries.primary_suspicion import vote_hold_s
@@ -68,11 +68,11 @@
         """Return why a primary should be replaced; None when it should not."""
         member = self._members.get(primary)
         if member is None:
-            return Suspicion(Grounds.LEFT, "it has left")
+            return Suspicion(SuspicionReason.LEFT, "it has left")
         if not self._able(group, care, primary, now):
             return None
         if member.state is MemberState.DRAINING:
-            return Suspicion(Grounds.DRAINS, "it is draining")
+            return Suspicion(SuspicionReason.DRAINS, "it is draining")
         return self._votes_against(group, care, primary, now)
 
     def _votes_against(
@@ -96,11 +96,11 @@
             hold_s = max(hold_s, timing.settling_hold_s)
         if hold_s is not None:
             counted = f"{len(unreached)} of {len(homes)} home proxies, {len(live)} of them heard"
-            return Suspicion(Grounds.UNREACHABLE, f"{counted}, can't reach it", hold_s)
+            return Suspicion(SuspicionReason.UNREACHABLE, f"{counted}, can't reach it", hold_s)
         denied = {name for name in live if care.reports.was_denied(name, primary)}
         if len(denied) >= majority:
             text = f"{len(denied)} of {len(homes)} home proxies were told that it does not lead"
-            return Suspicion(Grounds.DENIES, text, timing.demoted_hold_s)
+            return Suspicion(SuspicionReason.DENIES, text, timing.demoted_hold_s)
         return self._silence(care, primary, live, unreached, now)
 
     def _silence(
@@ -117,10 +117,10 @@
             return None
         if unreached:
             text = f"silent for {silent_s:.1f} s, {len(unreached)} can't reach it"
-            return Suspicion(Grounds.SILENT, text)
+            return Suspicion(SuspicionReason.SILENT, text)
         if not any(care.reports.is_seen_by(name, primary) for name in live):
             text = f"silent for {silent_s:.1f} s, and nobody reaches it"
-            return Suspicion(Grounds.SILENT, text)
+            return Suspicion(SuspicionReason.SILENT, text)
         return None
 
     def _most_proxies_are_missing(self, now: float) -> bool:
