--- a/limedyke/core/limits/operation_limits.py
+++ b/limedyke/core/limits/operation_limits.py
@@ -17,7 +17,7 @@
 from limedyke.core.limits.quiet_time import ProcessEnds
 from limedyke.core.limits.tenant_budget import TenantBudget
 from limedyke.core.limits.token_bucket import TokenBucket
-from limedyke.core.limits.use_adoption import UseAdoption
+from limedyke.core.limits.use_adoption import InheritedUse
 from limedyke.core.limits.use_rate import UseRate
 from limedyke.core.limits.use_window import SLOT_S, WINDOW_S
 from limedyke.messages.declaration import Tenant
@@ -107,7 +107,7 @@
         self._heard_at: dict[str, float] = {}
         self._running_alone: dict[str, dict[str, float]] = {}
         self._told: dict[str, dict[str, ToldShare]] = {}
-        self._adoption = UseAdoption()
+        self._adoption = InheritedUse()
         self._quiet = ProcessEnds()
 
     def known_share(self, share: float, now: float) -> None:
--- a/limedyke/core/limits/use_adoption.py
+++ b/limedyke/core/limits/use_adoption.py
@@ -30,7 +30,7 @@
     is_reported: bool = False
 
 
-class UseAdoption:
+class InheritedUse:
     """Use by tenant from before and since a controller began to lead.
 
     :ivar are_all_heard: each proxy of before has come, or has ended
