--- a/limedyke/core/control/group_leases.py
+++ b/limedyke/core/control/group_leases.py
@@ -14,7 +14,7 @@
 from limedyke.core.home import budget_share
 from limedyke.core.member_caps import common_part, divided_part, holds_common
 from limedyke.messages.control import (
-    MEMBER_MARK,
+    MEMBER_SEPARATOR,
     ConnectionDemand,
     ConnectionLease,
     member_budget,
@@ -276,7 +276,11 @@
         if tenant not in self._divided:
             return self._limit
         most = max(
-            (self.held_of(key) for key in self._shares if key.startswith(f"{tenant}{MEMBER_MARK}")),
+            (
+                self.held_of(key)
+                for key in self._shares
+                if key.startswith(f"{tenant}{MEMBER_SEPARATOR}")
+            ),
             default=0,
         )
         return self._whole[tenant] - self.held_of(tenant) - most
@@ -289,7 +293,7 @@
             return
         held = self._held_by_member()
         for key, division in self._divisions.items():
-            tenant, _, member = key.partition(MEMBER_MARK)
+            tenant, _, member = key.partition(MEMBER_SEPARATOR)
             group_free = self._limit - held[""] - held[member]
             free = min(self._divided_at(tenant, member) - self.held_of(key), group_free)
             free = min(free, self._whole[tenant] - self.held_of(tenant) - self.held_of(key))
@@ -321,7 +325,7 @@
     def _wanted(self, tenant: str, proxy: str) -> int:
         if tenant == PROBE_TENANT:
             return 1 if proxy in self.homes and self._budgets.get(PROBE_TENANT, 0) else 0
-        if MEMBER_MARK in tenant:
+        if MEMBER_SEPARATOR in tenant:
             division = self._divisions.get(tenant)
             return division.shares.get(proxy, 0) if division is not None else 0
         return budget_share(self._budgets.get(tenant, 0), self.homes, proxy)
--- a/limedyke/messages/control.py
+++ b/limedyke/messages/control.py
@@ -167,18 +167,18 @@
     connections: int
 
 
-MEMBER_MARK = "@"
+MEMBER_SEPARATOR = "@"
 """In the tenant of a lease: the connections are to one member only. No tenant's name holds it."""
 
 
 def member_budget(tenant: str, member: str) -> str:
     """Return what stands for a tenant in leases of connections to one member alone."""
-    return f"{tenant}{MEMBER_MARK}{member}"
+    return f"{tenant}{MEMBER_SEPARATOR}{member}"
 
 
 def member_of_budget(tenant: str) -> str:
     """Return the member whose connections a lease is for; empty when it is for each member."""
-    return tenant.partition(MEMBER_MARK)[2]
+    return tenant.partition(MEMBER_SEPARATOR)[2]
 
 
 @message(38)
