--- a/limedyke/core/limits/operation_limits.py
+++ b/limedyke/core/limits/operation_limits.py
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldShare:
+class GrantedShare:
     """What a proxy was told it may run alone: operations a second, and when."""
 
     rate: float
@@ -106,7 +106,7 @@
         self._uses: dict[str, dict[str, UseRate]] = {}
         self._heard_at: dict[str, float] = {}
         self._running_alone: dict[str, dict[str, float]] = {}
-        self._told: dict[str, dict[str, ToldShare]] = {}
+        self._told: dict[str, dict[str, GrantedShare]] = {}
         self._adoption = InheritedUse()
         self._quiet = ProcessEnds()
 
@@ -157,7 +157,7 @@
             for age, operations in reversed(list(enumerate(report.granted))):
                 use.count(operations, now - age * SLOT_S)
             share = report.alone_per_minute / SECONDS_PER_MINUTE
-            self._told.setdefault(report.tenant, {})[proxy] = ToldShare(share, now)
+            self._told.setdefault(report.tenant, {})[proxy] = GrantedShare(share, now)
             budget = self._budgets.get(report.tenant)
             if budget is not None:
                 self._adopt(report.tenant, budget.bucket, now)
@@ -267,7 +267,7 @@
         heard_rate = _rate(tenant) - self._unheard_rate(tenant)
         left = heard_rate - self._told_rate(tenant.name, now)
         rate = max(0.0, min(heard_rate * uses[proxy].at(now) / total, left))
-        told[proxy] = ToldShare(rate, now)
+        told[proxy] = GrantedShare(rate, now)
         return rate
 
     def _told_rate(self, tenant: str, now: float) -> float:
