--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -37,8 +37,8 @@
 from limedyke.proxy.statements.groups import StatementGroups
 from limedyke.proxy.statements.settlement import settle_unanswered
 from limedyke.proxy.statements.statement_log import StatementLog, StatementUnderWay
+from limedyke.proxy.statements.statement_outcome import PlacedAnswer, TransactionLocation
 from limedyke.proxy.statements.statement_refusal import give_up
-from limedyke.proxy.statements.statement_result import PlacedAnswer, TransactionLocation
 from limedyke.result_codes import ResultCode
 
 RECEIVE_BYTES = 64 * 1024
--- a/limedyke/proxy/statements/executor.py
+++ b/limedyke/proxy/statements/executor.py
@@ -9,7 +9,7 @@
 from limedyke.proxy.statements.groups import StatementGroups
 from limedyke.proxy.statements.homes.forwarding import StatementForwarding
 from limedyke.proxy.statements.runner import StatementRunner
-from limedyke.proxy.statements.statement_result import (
+from limedyke.proxy.statements.statement_outcome import (
     ForwardedTransaction,
     PlacedAnswer,
     TransactionLocation,
--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -18,7 +18,7 @@
 from limedyke.proxy.statements.homes.forwarded_attempt import UNREACHED_TRIES, ForwardedAttempt
 from limedyke.proxy.statements.settlement import settle_unanswered
 from limedyke.proxy.statements.statement_metrics import StatementMetrics
-from limedyke.proxy.statements.statement_result import ForwardedTransaction, PlacedAnswer
+from limedyke.proxy.statements.statement_outcome import ForwardedTransaction, PlacedAnswer
 from limedyke.result_codes import ResultCode, did_not_run
 
 OWN_LEASE_WAIT_S = 0.1
--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -18,7 +18,7 @@
 from limedyke.proxy.statements.members.member_queries import MemberQuestions
 from limedyke.proxy.statements.settlement import settle_first
 from limedyke.proxy.statements.statement_log import NotSent
-from limedyke.proxy.statements.statement_result import PlacedAnswer
+from limedyke.proxy.statements.statement_outcome import PlacedAnswer
 from limedyke.result_codes import ResultCode
 
 STALENESS_MARGIN_S = 0.03
--- a/limedyke/proxy/statements/runner.py
+++ b/limedyke/proxy/statements/runner.py
@@ -20,7 +20,7 @@
 from limedyke.proxy.statements.settlement import settle_first, settle_in_transaction
 from limedyke.proxy.statements.statement_log import NotSent, StatementLog
 from limedyke.proxy.statements.statement_metrics import StatementMetrics
-from limedyke.proxy.statements.statement_result import PlacedAnswer
+from limedyke.proxy.statements.statement_outcome import PlacedAnswer
 from limedyke.result_codes import ResultCode, did_not_run
 
 
--- a/limedyke/proxy/statements/settlement.py
+++ b/limedyke/proxy/statements/settlement.py
@@ -10,8 +10,8 @@
     StatementKind,
 )
 from limedyke.proxy.statements.members.pinned_connection import PinnedConnection
+from limedyke.proxy.statements.statement_outcome import PlacedAnswer
 from limedyke.proxy.statements.statement_refusal import RETRY_AFTER_MS
-from limedyke.proxy.statements.statement_result import PlacedAnswer
 from limedyke.result_codes import ResultCode
 
 MAY_HAVE_RUN = frozenset({AnswerKind.LOST, AnswerKind.TIMED_OUT, AnswerKind.FAILED})
