--- a/features/mutants/simulator_safeguards.py
+++ b/features/mutants/simulator_safeguards.py
@@ -23,7 +23,7 @@
 from limedyke.core.agreement.lease import LeaderLease
 from limedyke.core.control import lease_table
 from limedyke.core.control.plan_store import PlanStore
-from limedyke.core.control.state import Applied, ControlState
+from limedyke.core.control.state import ApplyResult, ControlState
 from limedyke.core.group_view import GroupView
 from limedyke.core.promotion import Promotion
 from limedyke.messages.control import ControlSnapshot
@@ -225,13 +225,13 @@
     """Return the replacement that brings each plan into force as soon as it is recorded."""
     apply = ControlState.apply
 
-    def apply_plan(state: ControlState, index: int, entry: object) -> Applied:
+    def apply_plan(state: ControlState, index: int, entry: object) -> ApplyResult:
         applied = apply(state, index, entry)
         plan = state.plans.plan(getattr(entry, "plan_id", ""))
         if plan is None or plan.base_revision != state.revision:
             return applied
         _, update = state._bring_into_force(index, plan, entry)
-        return Applied(applied.answer, update)
+        return ApplyResult(applied.answer, update)
 
     return ((ControlState, "apply", apply_plan),)
 
--- a/features/support/control_builders.py
+++ b/features/support/control_builders.py
@@ -4,7 +4,7 @@
 
 from limedyke.core.control.declaration_change import plan_id_of
 from limedyke.core.control.plan_rules import describe_change
-from limedyke.core.control.state import Applied, ControlState
+from limedyke.core.control.state import ApplyResult, ControlState
 from limedyke.messages.control import ProxyRecord, ProxyState
 from limedyke.messages.control_entries import ConfirmPlan, RecordPlan
 from limedyke.messages.declaration import (
@@ -64,7 +64,7 @@
         self.state = ControlState()
         self.index = 0
 
-    def apply(self, entry: object) -> Applied:
+    def apply(self, entry: object) -> ApplyResult:
         """Apply an entry at the next index."""
         self.index += 1
         return self.state.apply(self.index, entry)
--- a/limedyke/core/control/applied.py
+++ b/limedyke/core/control/applied.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
+class ApplyResult:
     """What applying one entry gave.
 
     :param answer: the answer to the operator's request in the entry, if it held one
--- a/limedyke/core/control/state.py
+++ b/limedyke/core/control/state.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from limedyke.core.control.answer_store import AnswerStore, decode_answer
-from limedyke.core.control.applied import Applied
+from limedyke.core.control.applied import ApplyResult
 from limedyke.core.control.declaration_change import DeclaredState, is_empty
 from limedyke.core.control.displaced_members import DisplacedMembers
 from limedyke.core.control.ended_incarnations import EndedIncarnations
@@ -90,12 +90,12 @@
         """The member that a planned switchover goes to, by group; read only."""
         return self._primary_table.switchover_targets
 
-    def apply(self, index: int, entry: object) -> Applied:
+    def apply(self, index: int, entry: object) -> ApplyResult:
         """Apply the entry at ``index``; unknown entries only count."""
         self.applied_index = index
         match entry:
             case RecordPlan():
-                return Applied(answer=self._record_plan(entry))
+                return ApplyResult(answer=self._record_plan(entry))
             case ConfirmPlan():
                 return self._confirm_plan(index, entry)
             case GrantTerms():
@@ -114,14 +114,14 @@
             case RecordLimits():
                 return self._record_limits(index, entry)
             case RecordAnswer():
-                return Applied(answer=self._record_answer(entry))
+                return ApplyResult(answer=self._record_answer(entry))
             case RecordControllers():
                 return self._record_controllers(index, entry)
             case DeclareVersion():
                 return self._declare_version(index, entry)
             case RecordMembers():
                 return self._record_members(index, entry)
-        return Applied()
+        return ApplyResult()
 
     def first_answer(self, operator: str, request_id: str) -> object | None:
         """Return the answer already given to a request, if there was one."""
@@ -206,30 +206,30 @@
     def _learn_controllers(self, controllers: tuple[ControllerAddress, ...]) -> None:
         self.controllers.update((found.name, found.address) for found in controllers)
 
-    def _record_controllers(self, index: int, entry: RecordControllers) -> Applied:
+    def _record_controllers(self, index: int, entry: RecordControllers) -> ApplyResult:
         known = dict(self.controllers)
         for name in entry.removed:
             self.controllers.pop(name, None)
         self._learn_controllers(entry.controllers)
         if known == self.controllers:
-            return Applied()
+            return ApplyResult()
         addresses = tuple(self.controllers.values())
-        return Applied(update=self._update(index, controllers=addresses))
+        return ApplyResult(update=self._update(index, controllers=addresses))
 
-    def _declare_version(self, index: int, entry: DeclareVersion) -> Applied:
+    def _declare_version(self, index: int, entry: DeclareVersion) -> ApplyResult:
         """Bring a whole declaration into force; one that isn't newer changes nothing."""
         if entry.version <= self.version:
-            return Applied(DeclaredVersion(self.version))
+            return ApplyResult(DeclaredVersion(self.version))
         self.version = entry.version
         self.document = entry.document
         change = self.declared.change_to(self.declared.with_caps(entry.declaration))
         if is_empty(change):
-            return Applied(DeclaredVersion(self.version))
+            return ApplyResult(DeclaredVersion(self.version))
         self.revision += 1
         self.declared.apply(change)
-        return Applied(DeclaredVersion(self.version), self._update_of(index, change))
+        return ApplyResult(DeclaredVersion(self.version), self._update_of(index, change))
 
-    def _record_members(self, index: int, entry: RecordMembers) -> Applied:
+    def _record_members(self, index: int, entry: RecordMembers) -> ApplyResult:
         self.displaced.apply(entry, self.announced)
         self.ended.apply(entry)
         removed = tuple(name for name in entry.removed if self.announced.pop(name, None))
@@ -238,13 +238,13 @@
         )
         self.announced.update((member.identity, member) for member in changed)
         applied = self._announce(index, announced=changed, removed_announced=removed)
-        return Applied(MembersRecorded(), applied.update)
+        return ApplyResult(MembersRecorded(), applied.update)
 
-    def _announce(self, index: int, **changes: tuple) -> Applied:
+    def _announce(self, index: int, **changes: tuple) -> ApplyResult:
         """Return the update for the proxies, if there are changes."""
         if not any(changes.values()):
-            return Applied()
-        return Applied(update=self._update(index, **changes))
+            return ApplyResult()
+        return ApplyResult(update=self._update(index, **changes))
 
     def _update(self, index: int, **changes: object) -> ControlUpdate:
         """Return the update that the entry at ``index`` makes, and move the index on."""
@@ -261,14 +261,14 @@
         self._answers.keep_plan(entry.operator, entry.request_id, entry.plan_id)
         return self.plans.plan_answer(entry.request_id, entry.plan_id, self.time)
 
-    def _confirm_plan(self, index: int, entry: ConfirmPlan) -> Applied:
+    def _confirm_plan(self, index: int, entry: ConfirmPlan) -> ApplyResult:
         self._advance_time(entry.confirmed_at)
         known = self.first_answer(entry.operator, entry.request_id)
         if known is not None:
-            return Applied(answer=known)
+            return ApplyResult(answer=known)
         answer, update = self._decide_plan(index, entry)
         self._answers.keep(entry.operator, entry.request_id, answer)
-        return Applied(answer, update)
+        return ApplyResult(answer, update)
 
     def _decide_plan(
         self, index: int, entry: ConfirmPlan
@@ -318,36 +318,36 @@
         """Add what was confirmed; ``plan_id`` is empty for what makes no revision."""
         self.plans.write_history(HistoryEntry(self.revision, plan_id, operator, self.time, summary))
 
-    def _begin_switchover(self, index: int, entry: BeginSwitchover) -> Applied:
+    def _begin_switchover(self, index: int, entry: BeginSwitchover) -> ApplyResult:
         """Begin a planned switchover; one without a request id is the controllers' own."""
         self._advance_time(entry.confirmed_at)
         if not entry.request_id:
             return self._decide_switchover(index, entry)
         known_answer = self.first_answer(entry.operator, entry.request_id)
         if known_answer is not None:
-            return Applied(answer=known_answer)
+            return ApplyResult(answer=known_answer)
         applied = self._decide_switchover(index, entry)
         if isinstance(applied.answer, SwitchoverAnswer):
             self._write_history("", entry.operator, applied.answer.state)
         self._answers.keep(entry.operator, entry.request_id, applied.answer)
         return applied
 
-    def _decide_switchover(self, index: int, entry: BeginSwitchover) -> Applied:
+    def _decide_switchover(self, index: int, entry: BeginSwitchover) -> ApplyResult:
         known = self._primary_table.find(entry.group, self.declared.groups)
         if known is None or not known.primary or known.term != entry.expected_term:
             detail = f"Group {entry.group} has no primary under term {entry.expected_term}."
-            return Applied(answer=refusal(entry.request_id, ResultCode.NO_PRIMARY, detail))
+            return ApplyResult(answer=refusal(entry.request_id, ResultCode.NO_PRIMARY, detail))
         announced = self._primary_table.begin_switchover(known, entry.target)
         update = self._update(index, primaries=(announced,))
         state = f"switchover of {entry.group} to {entry.target} began under term {known.term}"
-        return Applied(SwitchoverAnswer(entry.request_id, state), update)
+        return ApplyResult(SwitchoverAnswer(entry.request_id, state), update)
 
-    def _record_limits(self, index: int, entry: RecordLimits) -> Applied:
+    def _record_limits(self, index: int, entry: RecordLimits) -> ApplyResult:
         if entry.home_proxies_per_group == self.home_proxies_per_group:
-            return Applied()
+            return ApplyResult()
         self.home_proxies_per_group = entry.home_proxies_per_group
         limit = entry.home_proxies_per_group
-        return Applied(update=self._update(index, home_proxies_per_group=limit))
+        return ApplyResult(update=self._update(index, home_proxies_per_group=limit))
 
     def _record_answer(self, entry: RecordAnswer) -> object:
         self._advance_time(entry.confirmed_at)
--- a/limedyke_lab/simulator/instruments.py
+++ b/limedyke_lab/simulator/instruments.py
@@ -10,7 +10,7 @@
 from limedyke.core.agreement.commands import Role
 from limedyke.core.control.declaration_change import DeclaredState
 from limedyke.core.control.lease_table import LeaseTable
-from limedyke.core.control.state import Applied, ControlState
+from limedyke.core.control.state import ApplyResult, ControlState
 from limedyke.messages.declaration import Declaration
 from limedyke.proxy import unit_write
 from limedyke.proxy.control.bridge import ControlBridge
@@ -72,7 +72,7 @@
     def wrap_apply(self, original: Callable) -> Callable:
         """Record each new revision that a controller applies."""
 
-        def apply(state: ControlState, index: int, entry: object) -> Applied:
+        def apply(state: ControlState, index: int, entry: object) -> ApplyResult:
             before = state.revision
             applied = original(state, index, entry)
             if state.revision != before:
