--- a/limedyke/core/control/state.py
+++ b/limedyke/core/control/state.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from limedyke.core.control.answer_store import AnswerStore, decode_answer
-from limedyke.core.control.applied import ApplyResult
+from limedyke.core.control.apply_result import ApplyResult
 from limedyke.core.control.declaration_change import DeclaredState, is_empty
 from limedyke.core.control.displaced_members import DisplacedMembers
 from limedyke.core.control.ended_incarnations import EndedIncarnations
