--- a/features/steps/member_choice_steps.py
+++ b/features/steps/member_choice_steps.py
@@ -310,7 +310,7 @@
 
 @given("choice: a told {ago:d} ms ago that {count:d} are under way there")
 def step_told(context, ago, count):
-    context.observed_members["a"].told_busy(count, NOW - ago / MS_PER_S)
+    context.observed_members["a"].report_busy_slots(count, NOW - ago / MS_PER_S)
 
 
 @given("choice: a turned work away, and answered another read")
--- a/limedyke/core/statements/observed_member.py
+++ b/limedyke/core/statements/observed_member.py
@@ -192,7 +192,7 @@
         others = self._others if now - self._others_at < TOLD_S else 0
         return self.under_way(now) + others
 
-    def told_busy(self, busy: int, now: float) -> None:
+    def report_busy_slots(self, busy: int, now: float) -> None:
         """Take how many of its slots are in use, that of the question itself included."""
         self._others = max(0, busy - self.under_way(now))
         self._others_at = now
--- a/limedyke/proxy/statements/members/member_queries.py
+++ b/limedyke/proxy/statements/members/member_queries.py
@@ -158,7 +158,7 @@
             if status is None:
                 observed.concurrency.turned_away(now - asked_at, now)
             else:
-                observed.told_busy(status.busy, now)
+                observed.report_busy_slots(status.busy, now)
         except curio.TaskTimeout:
             is_answered = observed.contact_at >= asked_at
         except ConnectionLostError:
