--- a/features/steps/statement_decisions_steps.py
+++ b/features/steps/statement_decisions_steps.py
@@ -104,7 +104,7 @@
 
 @given("decisions: {name:w} can't be reached")
 def step_unreachable(context, name):
-    context.observed_members[name].was_silent(NOW)
+    context.observed_members[name].probe_timed_out(NOW)
 
 
 @given("decisions: {name:w} was found behind")
--- a/features/steps/statement_forwarding_steps.py
+++ b/features/steps/statement_forwarding_steps.py
@@ -86,7 +86,7 @@
 @step("statement homes: {name:w} can't reach the primary")
 def step_unreached(context, name):
     observed = context.path.homes[name].groups.groups[GROUP].pools["a"].observed
-    observed.was_silent(time.monotonic())
+    observed.probe_timed_out(time.monotonic())
 
 
 @then("statement homes: of {limit:g} s with {travel:g} s on the way a home proxy gets {home:g} s")
--- a/features/steps/statement_member_steps.py
+++ b/features/steps/statement_member_steps.py
@@ -194,7 +194,7 @@
     asked_at = time.monotonic()
     await questions.ask_status(pool, limit_s)
     if pool.observed.contact_at < asked_at:
-        pool.observed.was_silent(time.monotonic())
+        pool.observed.probe_timed_out(time.monotonic())
 
 
 @step("statement path: {name:w} answers again")
--- a/limedyke/core/statements/observed_member.py
+++ b/limedyke/core/statements/observed_member.py
@@ -272,7 +272,7 @@
         self.busy_until = now + self._busy_s
         self._busy_s = min(2 * self._busy_s, LONGEST_BUSY_S)
 
-    def was_silent(self, now: float) -> None:
+    def probe_timed_out(self, now: float) -> None:
         """Note that a probe got no answer for its whole time."""
         self._owes_answer = True
         self._trouble(now, TROUBLES_FOR_UNREACHABLE)
@@ -284,7 +284,7 @@
         """
         if self.awaited_s(asked_at, now) < limit_s:
             return False
-        self.was_silent(now)
+        self.probe_timed_out(now)
         return True
 
     def broke(self, now: float) -> None:
--- a/limedyke/proxy/statements/members/member_queries.py
+++ b/limedyke/proxy/statements/members/member_queries.py
@@ -95,7 +95,7 @@
             connection = await pool.getconn(ANY_TENANT, {}, 0, limit_s)
         except PoolTimeoutError:
             if pool.observed.silent_s(time.monotonic()) >= limit_s:
-                pool.observed.was_silent(time.monotonic())
+                pool.observed.probe_timed_out(time.monotonic())
             return None
         except (ConnectionLostError, ConnectionRefusedByMemberError, PoolClosedError):
             return None
