--- a/limedyke/core/statements/observed_member.py
+++ b/limedyke/core/statements/observed_member.py
@@ -277,7 +277,7 @@
         self._owes_answer = True
         self._trouble(now, TROUBLES_FOR_UNREACHABLE)
 
-    def let_pass(self, asked_at: float, limit_s: float, now: float) -> bool:
+    def answer_timed_out(self, asked_at: float, limit_s: float, now: float) -> bool:
         """Take that nothing came in the time for an answer; tell whether that says anything.
 
         It does not when this process stood still: it may not even have asked.
--- a/limedyke/proxy/statements/members/member_connector.py
+++ b/limedyke/proxy/statements/members/member_connector.py
@@ -66,7 +66,7 @@
                 connection.opened_in_s = observed.awaited_s(asked_at, time.monotonic())
                 return await self._check_log(connection, told)
             except curio.TaskTimeout:
-                if observed.let_pass(asked_at, limit_s, time.monotonic()):
+                if observed.answer_timed_out(asked_at, limit_s, time.monotonic()):
                     return Err(ConnectionLostError("no answer to a connection attempt"))
             except ConnectionRefusedByMemberError as error:
                 now = time.monotonic()
@@ -90,7 +90,7 @@
                     sock.bind((self._source_ip, 0))
                 await sock.connect(split_address(self._observed.record.address))
         except curio.TaskTimeout:
-            self._observed.let_pass(asked_at, timeout_s, time.monotonic())
+            self._observed.answer_timed_out(asked_at, timeout_s, time.monotonic())
         except OSError:
             self._observed.broke(time.monotonic())
 
--- a/limedyke/proxy/statements/members/member_queries.py
+++ b/limedyke/proxy/statements/members/member_queries.py
@@ -119,7 +119,7 @@
         asked_at = time.monotonic()
         await self._ask_on(pool, connection, limit_s)
         if connection.is_closed:
-            pool.observed.let_pass(asked_at, limit_s, time.monotonic())
+            pool.observed.answer_timed_out(asked_at, limit_s, time.monotonic())
             return
         await self._check_unheard(pool, pool.take_unheard(silent_since), limit_s)
 
