--- a/limedyke/core/control/announcements.py
+++ b/limedyke/core/control/announcements.py
@@ -107,7 +107,7 @@
         ended = (EndedIncarnation(identity, started_at_ms),) if started_at_ms > 0 else ()
         return RecordMembers((), removed, ended)
 
-    def silent(self, limit_s: float, now: float) -> RecordMembers | None:
+    def remove_silent(self, limit_s: float, now: float) -> RecordMembers | None:
         """Return the entry that forgets members not heard for so long, or None."""
         gone = tuple(name for name in self._members if now - self.heard_at(name) > limit_s)
         return RecordMembers((), gone) if gone else None
--- a/limedyke/core/control/leader.py
+++ b/limedyke/core/control/leader.py
@@ -242,7 +242,7 @@
         for proxy in self.leases.expire(now):
             self._commands.append(DisconnectProxy(proxy, LEASES_RUN_OUT))
         self.membership.judge(now, self.leases.holders())
-        gone = self.announcements.silent(self._timing.member_forgotten_s, now)
+        gone = self.announcements.remove_silent(self._timing.member_forgotten_s, now)
         if gone is not None:
             self._commands.append(Propose(gone))
 
