--- a/features/steps/statement_decisions_steps.py
+++ b/features/steps/statement_decisions_steps.py
@@ -64,7 +64,7 @@
 
 @given("decisions: {new:w} is new in the zone of {known:w}")
 def step_new_in_zone(context, new, known):
-    context.observed_members[new].resembles(context.observed_members[known])
+    context.observed_members[new].assume_times_of(context.observed_members[known])
 
 
 @then("decisions: its answers take {usual:d} ms as a rule, and {longest:d} ms are explained")
--- a/limedyke/core/statements/observed_member.py
+++ b/limedyke/core/statements/observed_member.py
@@ -255,7 +255,7 @@
         if now >= self.busy_until:
             self._busy_s = FIRST_BUSY_S
 
-    def resembles(self, other: ObservedMember) -> None:
+    def assume_times_of(self, other: ObservedMember) -> None:
         """Assume the times of another member, such as one in the same zone."""
         for own, known in ((self.answer, other.answer), (self.opening, other.opening)):
             if known.is_seen and not own.is_seen:
--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -298,7 +298,7 @@
             timeout_s = settings.connect_timeout_ms / 1_000
             neighbour = self._known_in(observed.record.zone)
             if neighbour is not None:
-                observed.resembles(neighbour)
+                observed.assume_times_of(neighbour)
             count = MemberTraffic(self._meter, lambda: self._distance_to(observed.record.zone))
             return MemberPool(observed, self._make_codec, settings.source_ip, timeout_s, count)
 
