--- a/features/steps/lab_database_steps.py
+++ b/features/steps/lab_database_steps.py
@@ -125,7 +125,7 @@
 
 
 @then("lab database: together they took at least {milliseconds:d} ms")
-def took_at_least(context, milliseconds):
+def answer_took_at_least(context, milliseconds):
     assert context.elapsed_ms >= milliseconds, context.elapsed_ms
 
 
--- a/features/steps/member_choice_steps.py
+++ b/features/steps/member_choice_steps.py
@@ -177,7 +177,7 @@
         self._end(observed, read, is_answered)
         observed.quality.bad(self.now)
         if is_answered:
-            observed.took_at_least(self.now - read.sent_at)
+            observed.answer_took_at_least(self.now - read.sent_at)
         self.lost.append(self.now)
         self._send(proxy)
 
--- a/features/steps/statement_decisions_steps.py
+++ b/features/steps/statement_decisions_steps.py
@@ -59,7 +59,7 @@
 
 @given("decisions: an answer of {name:w} was given up after {waited:d} ms")
 def step_given_up_after(context, name, waited):
-    context.observed_members[name].took_at_least(waited / 1_000)
+    context.observed_members[name].answer_took_at_least(waited / 1_000)
 
 
 @given("decisions: {new:w} is new in the zone of {known:w}")
--- a/limedyke/core/statements/observed_member.py
+++ b/limedyke/core/statements/observed_member.py
@@ -261,7 +261,7 @@
             if known.is_seen and not own.is_seen:
                 own.usual_s, own.spread_s = known.usual_s, known.spread_s
 
-    def took_at_least(self, seconds: float) -> None:
+    def answer_took_at_least(self, seconds: float) -> None:
         """Take that an answer was awaited for so long and then given up."""
         self.answer.learn_at_least(seconds)
 
--- a/limedyke/proxy/statements/members/member_exchange.py
+++ b/limedyke/proxy/statements/members/member_exchange.py
@@ -189,7 +189,7 @@
     if waited_s >= max(LEAST_MUTE_S, observed.answer.longest_s):
         observed.quality.bad(now, "mute")
     if is_answered:
-        observed.took_at_least(waited_s)
+        observed.answer_took_at_least(waited_s)
     elif observed.answer_timed_out(started_at, max(SILENCE_S, observed.longest_sign_s), now):
         observed.concurrency.unanswered(waited_s, now)
     return is_answered
