--- a/limedyke/core/statements/routing.py
+++ b/limedyke/core/statements/routing.py
@@ -55,7 +55,7 @@
     able = [
         member
         for member in members
-        if takes_reads(member) and member.record.identity not in excluded
+        if accepts_reads(member) and member.record.identity not in excluded
         if member.record.identity == primary or ready_in_s(member, required, held_since, now) == 0.0
     ]
     if len(able) < 2:
@@ -87,7 +87,7 @@
     waits = [
         (wait_s + cost_s(member, zone, now), wait_s, index, member)
         for index, member in enumerate(members)
-        if takes_reads(member) and member.record.identity != primary
+        if accepts_reads(member) and member.record.identity != primary
         if 0.0 < (wait_s := ready_in_s(member, required, held_since, now)) < math.inf
     ]
     if not waits:
@@ -107,7 +107,7 @@
     return member.lag.ready_in_s(required, held_since, now)
 
 
-def takes_reads(member: ObservedMember) -> bool:
+def accepts_reads(member: ObservedMember) -> bool:
     """Tell whether a member takes reads at all, as far as is known."""
     return member.is_ready and member.health is not MemberHealth.UNREACHABLE
 
--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -15,7 +15,7 @@
 from limedyke.core.statements.primary_outage import OutageTimes, PrimaryOutage
 from limedyke.core.statements.primary_positions import PrimaryPositions
 from limedyke.core.statements.retry_budget import RetryBudget
-from limedyke.core.statements.routing import ready_in_s, takes_reads
+from limedyke.core.statements.routing import accepts_reads, ready_in_s
 from limedyke.messages.control import ConnectionDemand, GroupPrimary, MemberHealth
 from limedyke.messages.databases import AnnouncedMember
 from limedyke.messages.declaration import Group
@@ -155,7 +155,7 @@
         held_since = self.positions.held_since(required)
         now = time.monotonic()
         return any(
-            takes_reads(pool.observed)
+            accepts_reads(pool.observed)
             and ready_in_s(pool.observed, required, held_since, now) <= within_s
             for identity, pool in self.pools.items()
             if identity != self.primary
