--- a/limedyke/core/control/announcements.py
+++ b/limedyke/core/control/announcements.py
@@ -100,7 +100,7 @@
             if withdrawn.at < now - WITHDRAWN_KEPT_S:
                 del self._withdrawn[name]
         self._heard.pop(identity, None)
-        is_news = started_at_ms > 0 and not self._ended.is_over(identity, started_at_ms)
+        is_news = started_at_ms > 0 and not self._ended.has_ended(identity, started_at_ms)
         if known is None and not is_news:
             return None
         removed = (identity,) if known is not None else ()
@@ -130,7 +130,7 @@
         """Tell whether an announcement was overtaken by what is known of its member."""
         if self._displaced.is_displaced(member):
             return True
-        if self._ended.is_over(member.identity, member.started_at_ms):
+        if self._ended.has_ended(member.identity, member.started_at_ms):
             return True
         return self._has_withdrawn(member, now) or self._is_late(member, sequence, now)
 
--- a/limedyke/core/control/ended_incarnations.py
+++ b/limedyke/core/control/ended_incarnations.py
@@ -24,14 +24,14 @@
         """Return them as they stand in a snapshot, the oldest first."""
         return tuple(EndedIncarnation(*item) for item in self._starts.items())
 
-    def is_over(self, identity: str, started_at_ms: int) -> bool:
+    def has_ended(self, identity: str, started_at_ms: int) -> bool:
         """Tell whether an incarnation has ended; False where the start is not told."""
         return 0 < started_at_ms <= self._starts.get(identity, 0)
 
     def apply(self, entry: RecordMembers) -> None:
         """Follow an entry of the log."""
         for ended in entry.ended:
-            if not self.is_over(ended.identity, ended.started_at_ms):
+            if not self.has_ended(ended.identity, ended.started_at_ms):
                 self._starts.pop(ended.identity, None)
                 self._starts[ended.identity] = ended.started_at_ms
         while len(self._starts) > MAXIMUM_KEPT:
