--- a/features/steps/operation_limit_failures_steps.py
+++ b/features/steps/operation_limit_failures_steps.py
@@ -170,10 +170,10 @@
 def step_next_leader(context):
     path = context.path
     path.leader = OperationLimits(path.tenants, LEASE_S, time.monotonic(), time.monotonic() - 100.0)
-    path.leader.known_share(0.0, time.monotonic())
+    path.leader.set_connected_share(0.0, time.monotonic())
     run(context, path.limits.link_opened)
     run(context, curio.sleep, 0.1)
-    path.leader.known_share(1.0, time.monotonic())
+    path.leader.set_connected_share(1.0, time.monotonic())
 
 
 @then("limits and failures: it was told once of {count:d} operations, and of a share")
--- a/features/steps/operation_limits_steps.py
+++ b/features/steps/operation_limits_steps.py
@@ -32,7 +32,7 @@
 
 @given("operation limits: half of the proxies have come to it")
 def step_half(context):
-    context.world.limits.known_share(0.5, context.world.now)
+    context.world.limits.set_connected_share(0.5, context.world.now)
 
 
 @when("operation limits: proxy p asks for {count:d} each 100 ms for {seconds:g} s")
--- a/features/support/leaders_world.py
+++ b/features/support/leaders_world.py
@@ -135,7 +135,7 @@
         for proxy in self.proxies:
             self._keep_linked(proxy)
         if self._leader is not None:
-            self._leader.known_share(1 - len(self._unreported) / self._registered, self.now)
+            self._leader.set_connected_share(1 - len(self._unreported) / self._registered, self.now)
             self._leader.tick(self.now)
         serving = [proxy for proxy in self.proxies if proxy.has_power and not proxy.former]
         wanted = dict.fromkeys(range(len(serving)), 0)
--- a/limedyke/core/control/leader.py
+++ b/limedyke/core/control/leader.py
@@ -233,7 +233,7 @@
     def _on_time(self, now: float) -> None:
         self.failover.tick(now)
         self.authority.tick(now)
-        self.limits.known_share(self.leases.reported_share, now)
+        self.limits.set_connected_share(self.leases.reported_share, now)
         self.limits.tick(now)
         self.leases.divide(now)
         if now < self._next_judgement_at:
--- a/limedyke/core/limits/operation_limits.py
+++ b/limedyke/core/limits/operation_limits.py
@@ -110,7 +110,7 @@
         self._adoption = InheritedUse()
         self._quiet = ProcessEnds()
 
-    def known_share(self, share: float, now: float) -> None:
+    def set_connected_share(self, share: float, now: float) -> None:
         """Take which share of the registered proxies has come to this leader.
 
         The others may run by themselves yet, at rates that only the leader before knew.
