--- a/features/steps/lease_demand_steps.py
+++ b/features/steps/lease_demand_steps.py
@@ -32,7 +32,7 @@
 from limedyke.core.control.leader import LeaderDecisions
 from limedyke.core.control.lease_table import LeaseTable
 from limedyke.core.control.leases.load_view import load_report
-from limedyke.core.control.plan_rules import refusal_of_change
+from limedyke.core.control.plan_rules import change_refusal_reason
 from limedyke.core.control.timing import ControlTiming
 from limedyke.core.member_caps import holds_common
 from limedyke.core.statements.connection_demand import (
@@ -485,7 +485,7 @@
     declared = a_declaration(a_group("g2", 40, {"t": 20}))
     capped = _with_cap(declared, "g2/m1", 4)
     change = state.declared.change_to(capped)
-    assert "lower its connection_limit" in refusal_of_change(change, state.declared, {})
+    assert "lower its connection_limit" in change_refusal_reason(change, state.declared, {})
 
 
 @when(
--- a/limedyke/controller/leading/operator_requests.py
+++ b/limedyke/controller/leading/operator_requests.py
@@ -15,7 +15,7 @@
 from limedyke.controller.status_report import StatusReport
 from limedyke.core.control.declaration_change import plan_id_of
 from limedyke.core.control.leases.load_view import load_report
-from limedyke.core.control.plan_rules import describe_change, refusal_of_change
+from limedyke.core.control.plan_rules import change_refusal_reason, describe_change
 from limedyke.messages.control_entries import BeginSwitchover, ConfirmPlan, RecordPlan
 from limedyke.messages.operator import (
     ConfirmRequest,
@@ -113,7 +113,7 @@
             failure = Failure(ResultCode.REVISION_CONFLICT, detail)
             return refused(request.request_id, failure, revision=state.revision)
         change = state.declared.change_to(request.declaration)
-        reason = refusal_of_change(change, state.declared, state.primaries)
+        reason = change_refusal_reason(change, state.declared, state.primaries)
         if reason:
             failure = Failure(ResultCode.DECLARATION_INVALID, reason)
             return refused(request.request_id, failure)
--- a/limedyke/core/control/plan_rules.py
+++ b/limedyke/core/control/plan_rules.py
@@ -24,7 +24,7 @@
 )
 
 
-def refusal_of_change(
+def change_refusal_reason(
     change: DeclarationChange, declared: DeclaredState, primaries: Mapping[str, GroupPrimary]
 ) -> str:
     """Return why a change can't come into force now, or an empty string.
--- a/limedyke/core/control/state.py
+++ b/limedyke/core/control/state.py
@@ -7,7 +7,7 @@
 from limedyke.core.control.declaration_change import DeclaredState, is_empty
 from limedyke.core.control.displaced_members import DisplacedMembers
 from limedyke.core.control.ended_incarnations import EndedIncarnations
-from limedyke.core.control.plan_rules import refusal_of_change
+from limedyke.core.control.plan_rules import change_refusal_reason
 from limedyke.core.control.plan_store import PlanStore, outcome_answer, refusal, summary_of
 from limedyke.core.control.primaries.primary_table import PrimaryTable
 from limedyke.core.control.proxy_records import record_proxies, remove_proxies
@@ -279,7 +279,7 @@
         if answer is not None:
             return answer, None
         plan = plans.plan(entry.plan_id)
-        reason = refusal_of_change(plan.change, self.declared, self.primaries)
+        reason = change_refusal_reason(plan.change, self.declared, self.primaries)
         if reason:
             return refusal(entry.request_id, ResultCode.DECLARATION_INVALID, reason), None
         return self._bring_into_force(index, plan, entry)
