--- a/limedyke/controller/leading/leader_service.py
+++ b/limedyke/controller/leading/leader_service.py
@@ -52,7 +52,7 @@
     :param source_ip: local address to connect to the platform from, or empty
     :param metrics: counts what is heard and decided; None keeps it from view
     :param authority: promotes members that announce themselves; None where there is none
-    :param other_began_at: when the leader before began to lead, as far as this controller knows
+    :param last_lead_began_at: when the leader before began to lead, as far as this controller knows
 
     :ivar started_at: when this controller began to lead
     """
@@ -66,7 +66,7 @@
         source_ip: str = "",
         metrics: ControllerMetrics | None = None,
         authority: PromotionAuthority | None = None,
-        other_began_at: float = float("-inf"),
+        last_lead_began_at: float = float("-inf"),
     ) -> None:
         self._replica = replica
         self._authority = authority
@@ -87,7 +87,7 @@
             Random(),
             boot_seconds(),
             replica.homes,
-            other_began_at,
+            last_lead_began_at,
         )
 
     async def run(self) -> None:
--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -327,7 +327,7 @@
             self._settings.source_ip,
             self._pages.metrics,
             self._edge.authority if self._edge is not None else None,
-            self._history.other_began_at,
+            self._history.last_lead_began_at,
         )
         task = await curio.spawn(leader.run)
         if self._leader is leader:
--- a/limedyke/core/control/leader.py
+++ b/limedyke/core/control/leader.py
@@ -63,7 +63,7 @@
     :param generator: source of the jitter
     :param now: when this controller began to lead
     :param homes: the home proxies of the state, kept by the caller; None to keep them here
-    :param other_began_at: when another controller last began to lead, as far as this one knows
+    :param last_lead_began_at: when another controller last began to lead, as far as this one knows
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         generator: Random,
         now: float,
         homes: HomeDirectory | None = None,
-        other_began_at: float = float("-inf"),
+        last_lead_began_at: float = float("-inf"),
     ) -> None:
         self._state = state
         self._commands: list[LeaderCommand] = []
@@ -94,7 +94,9 @@
         self.failover = FailoverCoordinator(
             state.primaries, state.switchover_targets, self.membership, timing, generator
         )
-        self.limits = OperationLimits(state.declared.tenants, timing.lease_s, now, other_began_at)
+        self.limits = OperationLimits(
+            state.declared.tenants, timing.lease_s, now, last_lead_began_at
+        )
         self.announcements = AnnouncementTracker(state.announced, state.displaced, now, state.ended)
         self.authority = AuthorityFailover(
             state.primaries,
--- a/limedyke/core/limits/leader_history.py
+++ b/limedyke/core/limits/leader_history.py
@@ -12,11 +12,11 @@
 
     :param started_at: when this process began: what was before it is not known
 
-    :ivar other_began_at: when the leadership before the present one began, as late as it may be
+    :ivar last_lead_began_at: when the leadership before the present one began, as late as it may be
     """
 
     def __init__(self, started_at: float) -> None:
-        self.other_began_at = started_at
+        self.last_lead_began_at = started_at
         self._term = 0
         self._began_at = started_at
 
@@ -24,6 +24,6 @@
         """Note that somebody leads in a term; each term has one leader."""
         if term <= self._term:
             return
-        self.other_began_at = self._began_at
+        self.last_lead_began_at = self._began_at
         self._term = term
         self._began_at = now
--- a/limedyke/core/limits/operation_limits.py
+++ b/limedyke/core/limits/operation_limits.py
@@ -87,7 +87,7 @@
     :param tenants: the declared tenants by name, kept by the caller
     :param lease_s: a proxy that lost the leader runs nothing after so long
     :param now: when this controller began to lead, seconds of a steady clock
-    :param other_began_at: when another one last began to lead, as far as this controller knows
+    :param last_lead_began_at: when another one last began to lead, as far as this controller knows
     """
 
     def __init__(
@@ -95,12 +95,12 @@
         tenants: Mapping[str, Tenant],
         lease_s: float,
         now: float,
-        other_began_at: float = float("-inf"),
+        last_lead_began_at: float = float("-inf"),
     ) -> None:
         self._tenants = tenants
         self._lease_s = lease_s
         self._began_at = now
-        self._first_share = min(1.0, (now - other_began_at) / FIRST_TOKENS_EACH_S)
+        self._first_share = min(1.0, (now - last_lead_began_at) / FIRST_TOKENS_EACH_S)
         self._share = 1.0
         self._budgets: dict[str, TenantBudget] = {}
         self._uses: dict[str, dict[str, UseRate]] = {}
