--- a/features/mutants/tenants_safeguards.py
+++ b/features/mutants/tenants_safeguards.py
@@ -94,7 +94,7 @@
         for _ in range(20):
             world.play((proxy,), (), 3, 0.1)
             for other in PROXIES:
-                world.limits.heard(other, world.now)
+                world.limits.proxy_contacted(other, world.now)
     world.play((), PROXIES, 3, 6.0)
     return world.most_in_window() > MOST_IN_WINDOW
 
--- a/features/support/leaders_world.py
+++ b/features/support/leaders_world.py
@@ -161,7 +161,7 @@
             self._link(proxy)
         if self.now - proxy.heard_at >= HEARTBEAT_S:
             proxy.heard_at = self.now
-            self._leader.heard(proxy.name, self.now)
+            self._leader.proxy_contacted(proxy.name, self.now)
 
     def _link(self, proxy: Proxy) -> None:
         """Have a proxy come to the leader: it says what it holds, and what it ran."""
@@ -172,7 +172,7 @@
             proxy.former = ""
         self._unreported.discard(proxy.name)
         proxy.heard_at = self.now
-        self._leader.heard(proxy.name, self.now)
+        self._leader.proxy_contacted(proxy.name, self.now)
         self.messages += 1
         if self.proxies.index(proxy) >= self.telling:
             return
--- a/features/support/limits_world.py
+++ b/features/support/limits_world.py
@@ -72,7 +72,7 @@
             self.limits.tick(self.now)
             for proxy in asking:
                 if number % round(HEARTBEAT_S / STEP_S) == 0:
-                    self.limits.heard(proxy, self.now)
+                    self.limits.proxy_contacted(proxy, self.now)
                 self.ask(proxy, each)
             for proxy in alone:
                 self.run_alone(proxy, each)
--- a/limedyke/core/control/leader.py
+++ b/limedyke/core/control/leader.py
@@ -211,7 +211,7 @@
 
     def _on_heartbeat(self, event: HeartbeatReceived, now: float) -> None:
         self.membership.heartbeat(event.proxy, event.heartbeat, now)
-        self.limits.heard(event.proxy, now)
+        self.limits.proxy_contacted(event.proxy, now)
         beat = event.heartbeat
         if event.first:
             self.leases.report(event.proxy, beat.leases, now, beat.demands)
--- a/limedyke/core/limits/operation_limits.py
+++ b/limedyke/core/limits/operation_limits.py
@@ -137,7 +137,7 @@
 
     def wanted(self, proxy: str, request: OperationsRequest, now: float) -> OperationsGranted:
         """Grant what may be run of what a proxy wants to run."""
-        self.heard(proxy, now)
+        self.proxy_contacted(proxy, now)
         self._take_reports(proxy, request.reports, now)
         if request.running_ms:
             self._quiet.started(proxy, now - request.running_ms / MS_PER_S)
@@ -190,7 +190,7 @@
         self._set_rate(name, now)
         bucket.tokens = self._adoption.level(name, bucket.rate, bucket.burst, now)
 
-    def heard(self, proxy: str, now: float) -> None:
+    def proxy_contacted(self, proxy: str, now: float) -> None:
         """Note that a proxy reaches this leader: it runs nothing by itself."""
         self._heard_at[proxy] = now
         if proxy in self._running_alone:
