--- a/limedyke/core/control/leader.py
+++ b/limedyke/core/control/leader.py
@@ -217,7 +217,7 @@
             self.leases.report(event.proxy, beat.leases, now, beat.demands)
         else:
             self.leases.renew(event.proxy, now)
-            self.leases.take_demands(event.proxy, beat.demands)
+            self.leases.record_demands(event.proxy, beat.demands)
         self._commands.append(AnswerHeartbeat(event.proxy, event.heartbeat.sequence))
 
     def _on_disconnected(self, proxy: str, now: float) -> None:
--- a/limedyke/core/control/lease_table.py
+++ b/limedyke/core/control/lease_table.py
@@ -93,7 +93,7 @@
         if self._get(group).set_members(members):
             self._share_anew(group)
 
-    def take_demands(self, proxy: str, demands: tuple[ConnectionDemand, ...] | None) -> None:
+    def record_demands(self, proxy: str, demands: tuple[ConnectionDemand, ...] | None) -> None:
         """Take what a proxy has use for: what changed since it told all.
 
         :param demands: None when it tells none
@@ -147,7 +147,7 @@
         self._drop_holdings(proxy)
         self._reachable.add(proxy)
         self._tells_anew(proxy, demands is not None)
-        self.take_demands(proxy, demands)
+        self.record_demands(proxy, demands)
         for lease in leases:
             if lease.connections > 0:
                 self._get(lease.group).adopt(proxy, lease.tenant, lease.connections)
