--- a/features/mutants/simulator_safeguards.py
+++ b/features/mutants/simulator_safeguards.py
@@ -157,11 +157,11 @@
 def _older_state_taken() -> tuple[Replacement, ...]:
     """Controllers lose what they confirmed, and proxies follow them back."""
 
-    async def take_snapshot(intake: ControlStateReceiver, snapshot: ControlSnapshot) -> None:
+    async def apply_snapshot(intake: ControlStateReceiver, snapshot: ControlSnapshot) -> None:
         intake._unsaved_snapshot = True
-        await intake._accept(intake._stored.builder.take_snapshot(snapshot))
+        await intake._accept(intake._stored.builder.apply_snapshot(snapshot))
 
-    return (*_unsynced_log(), (ControlStateReceiver, "take_snapshot", take_snapshot))
+    return (*_unsynced_log(), (ControlStateReceiver, "apply_snapshot", apply_snapshot))
 
 
 def _ignored_once_key() -> tuple[Replacement, ...]:
@@ -320,7 +320,7 @@
     ),
     SimulatedMutant(
         "a proxy takes an older state",
-        "ControlStateReceiver.take_snapshot",
+        "ControlStateReceiver.apply_snapshot",
         "revision-monotonic",
         _older_state_taken,
         POWER_CUTS,
--- a/features/steps/control_homes_steps.py
+++ b/features/steps/control_homes_steps.py
@@ -84,7 +84,7 @@
 def _(context, count):
     generator = random.Random(1)
     view = ControlViewBuilder()
-    view.take_snapshot(ControlSnapshot(0, 0, Declaration(), (), ()))
+    view.apply_snapshot(ControlSnapshot(0, 0, Declaration(), (), ()))
     followed = HomeDirectory(3)
     for index in range(count):
         update = _random_update(generator, index)
--- a/features/steps/control_news_steps.py
+++ b/features/steps/control_news_steps.py
@@ -63,7 +63,7 @@
             assert message.control_index == news.control_index > self.index
             if isinstance(message, ControlSnapshot):
                 self.snapshots += 1
-                self.builder.take_snapshot(message)
+                self.builder.apply_snapshot(message)
             else:
                 self.updates += 1
                 assert self.builder.take_update(message) is not None
@@ -80,7 +80,7 @@
         for number in range(STEPS):
             under_test.change(number)
             generator.choice(followers).follow()
-        whole = ControlViewBuilder().take_snapshot(under_test.test.state.snapshot_for_proxies())
+        whole = ControlViewBuilder().apply_snapshot(under_test.test.state.snapshot_for_proxies())
         for follower in followers:
             follower.follow()
             assert follower.builder.view == whole
@@ -103,7 +103,7 @@
     first = context.under_test.board.since(0)
     assert first.control_index == 0
     (data,) = FrameReader().feed(first.framed)
-    context.follower.builder.take_snapshot(decode(data).unwrap())
+    context.follower.builder.apply_snapshot(decode(data).unwrap())
 
 
 @when("news: the first declaration comes into force")
--- a/features/steps/control_plans_steps.py
+++ b/features/steps/control_plans_steps.py
@@ -292,8 +292,8 @@
         generator = random.Random(seed)
         test, ring = StateUnderTest(), UpdateRing()
         steady, away = ControlViewBuilder(), ControlViewBuilder()
-        steady.take_snapshot(test.state.snapshot_for_proxies())
-        away.take_snapshot(test.state.snapshot_for_proxies())
+        steady.apply_snapshot(test.state.snapshot_for_proxies())
+        away.apply_snapshot(test.state.snapshot_for_proxies())
         original = test.apply
 
         def apply(entry: object) -> object:
@@ -307,12 +307,12 @@
         for number in range(40):
             _random_step(test, generator)
             if number == away_from:
-                away.take_snapshot(snapshot_of(steady.view))
+                away.apply_snapshot(snapshot_of(steady.view))
         merged = ring.since(away.view.control_index)
         if merged is not None:
             assert away.take_update(merged) is not None
         whole = ControlViewBuilder()
-        whole.take_snapshot(test.state.snapshot_for_proxies())
+        whole.apply_snapshot(test.state.snapshot_for_proxies())
         assert away.view == steady.view == whole.view
 
     check()
--- a/features/steps/control_proxies_steps.py
+++ b/features/steps/control_proxies_steps.py
@@ -180,7 +180,7 @@
 
 async def _take_all(intake: ControlStateReceiver, last: int) -> None:
     (await intake.open()).unwrap()
-    await intake.take_snapshot(a_snapshot(PRESENT))
+    await intake.apply_snapshot(a_snapshot(PRESENT))
     for number in range(PRESENT, last):
         await intake.take_update(an_update(number, number + 1))
 
--- a/limedyke/proxy/control/client.py
+++ b/limedyke/proxy/control/client.py
@@ -341,7 +341,7 @@
         }
 
     async def _take_snapshot(self, snapshot: ControlSnapshot) -> None:
-        await self._intake.take_snapshot(snapshot)
+        await self._intake.apply_snapshot(snapshot)
         self._learn_controllers()
         await self._view_check.view_changed()
 
--- a/limedyke/proxy/control/state_receiver.py
+++ b/limedyke/proxy/control/state_receiver.py
@@ -59,7 +59,7 @@
         """Hold back what is older than a leader's present state."""
         self._target_index = target.control_index
 
-    async def take_snapshot(self, snapshot: ControlSnapshot) -> None:
+    async def apply_snapshot(self, snapshot: ControlSnapshot) -> None:
         """Take a whole state.
 
         :raises LinkClosedError: when it is older than what was taken in before
@@ -71,7 +71,7 @@
                 f"snapshot {snapshot.control_index} is older than {view.control_index}"
             )
         self._unsaved_snapshot = True
-        await self._accept(self._stored.builder.take_snapshot(snapshot))
+        await self._accept(self._stored.builder.apply_snapshot(snapshot))
 
     async def take_update(self, update: ControlUpdate) -> None:
         """Take a change of the newest view; an empty one confirms it.
--- a/limedyke/proxy/control/store.py
+++ b/limedyke/proxy/control/store.py
@@ -185,7 +185,7 @@
         messages, intact = _read_frames(data)
         for message in messages:
             if isinstance(message, ControlSnapshot):
-                builder.take_snapshot(message)
+                builder.apply_snapshot(message)
             elif isinstance(message, ControlUpdate) and builder.take_update(message) is None:
                 return builder, False
         self._updates_since_snapshot = REWRITE_AFTER_UPDATES if not intact else len(messages)
--- a/limedyke/proxy/control/view.py
+++ b/limedyke/proxy/control/view.py
@@ -70,7 +70,7 @@
         self.view: ControlView | None = None
         self._homes = HomeDirectory(count=0)
 
-    def take_snapshot(self, snapshot: ControlSnapshot) -> ControlView:
+    def apply_snapshot(self, snapshot: ControlSnapshot) -> ControlView:
         """Replace everything by a snapshot."""
         declaration = snapshot.declaration
         limits = connection_limits(declaration.groups)
