--- a/features/support/leaders_world.py
+++ b/features/support/leaders_world.py
@@ -167,7 +167,7 @@
         """Have a proxy come to the leader: it says what it holds, and what it ran."""
         proxy.is_linked = True
         if proxy.former:
-            self._leader.ended(proxy.former, self.now, proxy.name)
+            self._leader.proxy_ended(proxy.former, self.now, proxy.name)
             self._unreported.discard(proxy.former)
             proxy.former = ""
         self._unreported.discard(proxy.name)
--- a/limedyke/core/control/leader.py
+++ b/limedyke/core/control/leader.py
@@ -194,7 +194,7 @@
         known = self._state.proxies.get(hello.name)
         if known is not None and has_ended(known, hello):
             self.leases.ended(hello.name)
-            self.limits.ended(hello.name, now)
+            self.limits.proxy_ended(hello.name, now)
         self.membership.connected(hello, now)
 
     def _end_earlier_lives(self, hello: ProxyHello, now: float) -> None:
@@ -206,7 +206,7 @@
         for name, record in self._state.proxies.items():
             if record.folder_id and record.folder_id == hello.folder_id and name != hello.name:
                 self.leases.ended(name)
-                self.limits.ended(name, now, hello.name)
+                self.limits.proxy_ended(name, now, hello.name)
                 self.membership.ended(name)
 
     def _on_heartbeat(self, event: HeartbeatReceived, now: float) -> None:
@@ -229,7 +229,7 @@
     def _on_left(self, event: ProxyLeft, now: float) -> None:
         if event.done:
             self.leases.ended(event.proxy)
-            self.limits.ended(event.proxy, now)
+            self.limits.proxy_ended(event.proxy, now)
         self.membership.left(event.proxy, event.done)
 
     def _on_time(self, now: float) -> None:
--- a/limedyke/core/limits/operation_limits.py
+++ b/limedyke/core/limits/operation_limits.py
@@ -196,7 +196,7 @@
         if proxy in self._running_alone:
             self._runs_alone_no_more(proxy, now)
 
-    def ended(self, proxy: str, now: float, successor: str = "") -> None:
+    def proxy_ended(self, proxy: str, now: float, successor: str = "") -> None:
         """Note that a proxy's process has ended.
 
         :param successor: the proxy in its place; empty when it ended just now
@@ -214,7 +214,7 @@
         """Count for proxies that are missed; to be called several times a second."""
         for proxy, heard_at in list(self._heard_at.items()):
             if now - heard_at > self._lease_s:
-                self.ended(proxy, now)
+                self.proxy_ended(proxy, now)
             elif now - heard_at > UNHEARD_S and proxy not in self._running_alone:
                 self._runs_alone(proxy, heard_at, now)
 
