--- a/features/steps/control_homes_steps.py
+++ b/features/steps/control_homes_steps.py
@@ -90,7 +90,7 @@
         update = _random_update(generator, index)
         before = followed.snapshot()
         changed = followed.apply(update)
-        state = view.take_update(update)
+        state = view.apply_update(update)
         whole = HomeDirectory.of(
             state.home_proxies_per_group,
             state.proxies.values(),
--- a/features/steps/control_news_steps.py
+++ b/features/steps/control_news_steps.py
@@ -66,7 +66,7 @@
                 self.builder.apply_snapshot(message)
             else:
                 self.updates += 1
-                assert self.builder.take_update(message) is not None
+                assert self.builder.apply_update(message) is not None
 
 
 @then(
--- a/features/steps/control_plans_steps.py
+++ b/features/steps/control_plans_steps.py
@@ -300,7 +300,7 @@
             applied = original(entry)
             if applied.update is not None:
                 ring.add(applied.update)
-                assert steady.take_update(applied.update) is not None
+                assert steady.apply_update(applied.update) is not None
             return applied
 
         test.apply = apply
@@ -310,7 +310,7 @@
                 away.apply_snapshot(snapshot_of(steady.view))
         merged = ring.since(away.view.control_index)
         if merged is not None:
-            assert away.take_update(merged) is not None
+            assert away.apply_update(merged) is not None
         whole = ControlViewBuilder()
         whole.apply_snapshot(test.state.snapshot_for_proxies())
         assert away.view == steady.view == whole.view
--- a/features/steps/control_proxies_steps.py
+++ b/features/steps/control_proxies_steps.py
@@ -182,7 +182,7 @@
     (await intake.open()).unwrap()
     await intake.apply_snapshot(a_snapshot(PRESENT))
     for number in range(PRESENT, last):
-        await intake.take_update(an_update(number, number + 1))
+        await intake.apply_update(an_update(number, number + 1))
 
 
 def _index_on(image: Path) -> int:
--- a/features/steps/lease_demand_steps.py
+++ b/features/steps/lease_demand_steps.py
@@ -154,7 +154,7 @@
             if member_of_budget(key) in ("", member)
         )
 
-    def take_update(self, update):
+    def apply_update(self, update):
         """Hand a change of the state in."""
         self.post(UpdateApplied(update))
         self.leader.leases.set_homes("g", HOMES)
@@ -453,7 +453,7 @@
     plan = homes.test.plan(declared, text)
     assert text in plan.changes[0].detail, plan.changes
     entry = ConfirmPlan(f"confirm {text}", "anna", plan.plan_id, 1_010)
-    homes.take_update(homes.test.apply(entry).update)
+    homes.apply_update(homes.test.apply(entry).update)
 
 
 @when(
@@ -463,7 +463,7 @@
 def step_version(context, count):
     homes = context.homes
     declared = a_declaration(an_announced_group("g", count, {"shared": count}))
-    homes.take_update(homes.test.apply(DeclareVersion(1, b"", declared)).update)
+    homes.apply_update(homes.test.apply(DeclareVersion(1, b"", declared)).update)
 
 
 @then(
--- a/limedyke/proxy/control/client.py
+++ b/limedyke/proxy/control/client.py
@@ -347,7 +347,7 @@
 
     async def _take_update(self, update: ControlUpdate) -> None:
         """Take a change; a change of primaries is confirmed at once, for a promotion waits."""
-        await self._intake.take_update(update)
+        await self._intake.apply_update(update)
         self._learn_controllers()
         await self._view_check.view_changed()
         link = self._link
--- a/limedyke/proxy/control/state_receiver.py
+++ b/limedyke/proxy/control/state_receiver.py
@@ -73,7 +73,7 @@
         self._unsaved_snapshot = True
         await self._accept(self._stored.builder.apply_snapshot(snapshot))
 
-    async def take_update(self, update: ControlUpdate) -> None:
+    async def apply_update(self, update: ControlUpdate) -> None:
         """Take a change of the newest view; an empty one confirms it.
 
         :raises LinkClosedError: when it does not follow
@@ -87,7 +87,7 @@
             return
         if not self._unsaved_snapshot:
             await self._store.append_updates([update])
-        await self._accept(self._stored.builder.take_update(update))
+        await self._accept(self._stored.builder.apply_update(update))
 
     async def _confirm(self, view: ControlView) -> None:
         """Take a stored view into force, also again, once the leader says that it is current."""
--- a/limedyke/proxy/control/store.py
+++ b/limedyke/proxy/control/store.py
@@ -186,7 +186,7 @@
         for message in messages:
             if isinstance(message, ControlSnapshot):
                 builder.apply_snapshot(message)
-            elif isinstance(message, ControlUpdate) and builder.take_update(message) is None:
+            elif isinstance(message, ControlUpdate) and builder.apply_update(message) is None:
                 return builder, False
         self._updates_since_snapshot = REWRITE_AFTER_UPDATES if not intact else len(messages)
         return builder, intact
--- a/limedyke/proxy/control/view.py
+++ b/limedyke/proxy/control/view.py
@@ -94,7 +94,7 @@
         )
         return self.view
 
-    def take_update(self, update: ControlUpdate) -> ControlView | None:
+    def apply_update(self, update: ControlUpdate) -> ControlView | None:
         """Apply an update that follows the present view; return None when it does not follow."""
         view = self.view
         if view is None or update.base_index != view.control_index:
