--- a/limedyke/core/statements/answer_quality.py
+++ b/limedyke/core/statements/answer_quality.py
@@ -55,7 +55,7 @@
         share = self._share * 0.5 ** ((now - self._changed_at) / self.recovery_s)
         return share if share >= LEAST_SHARE else 0.0
 
-    def record_success(self, now: float) -> None:
+    def good(self, now: float) -> None:
         """Take an answer that served."""
         if self._share > 0.0:
             self._learn(0.0, now)
--- a/limedyke/core/statements/observed_member.py
+++ b/limedyke/core/statements/observed_member.py
@@ -251,7 +251,7 @@
         if now is None:
             return
         self._served_at = now
-        self.quality.record_success(now)
+        self.quality.good(now)
         if now >= self.busy_until:
             self._busy_s = FIRST_BUSY_S
 
