--- a/limedyke/core/limits/operation_limits.py
+++ b/limedyke/core/limits/operation_limits.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from limedyke.core.limits.operation_allowance import SHARE_LIFE_S
-from limedyke.core.limits.quiet_time import ProcessEnds
+from limedyke.core.limits.process_ends import ProcessEnds
 from limedyke.core.limits.tenant_budget import TenantBudget
 from limedyke.core.limits.token_bucket import TokenBucket
 from limedyke.core.limits.use_adoption import InheritedUse
