--- a/limedyke/core/limits/operation_limits.py
+++ b/limedyke/core/limits/operation_limits.py
@@ -13,11 +13,11 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
+from limedyke.core.limits.inherited_use import InheritedUse
 from limedyke.core.limits.operation_allowance import SHARE_LIFE_S
 from limedyke.core.limits.process_ends import ProcessEnds
 from limedyke.core.limits.tenant_budget import TenantBudget
 from limedyke.core.limits.token_bucket import TokenBucket
-from limedyke.core.limits.use_adoption import InheritedUse
 from limedyke.core.limits.use_rate import UseRate
 from limedyke.core.limits.use_window import SLOT_S, WINDOW_S
 from limedyke.messages.declaration import Tenant
