--- a/limedyke/proxy/control/client.py
+++ b/limedyke/proxy/control/client.py
@@ -89,7 +89,7 @@
         place = Place(settings.zone, settings.region)
         identity = LinkIdentity(PeerRole.PROXY, settings.name, key, place, meter)
         self._handler = handler
-        self._intake = ControlStateReceiver(store, handler.control_changed)
+        self._state_receiver = ControlStateReceiver(store, handler.control_changed)
         longest_pause_s = settings.control_retry_limit_ms / 1000
         self._choice = ControllerSelector(settings.controllers, random.Random(), longest_pause_s)
         self._announcements = ControlAnnouncements(settings)
@@ -125,12 +125,12 @@
     @property
     def view(self) -> ControlView | None:
         """The newest view in force, or None before the first one."""
-        return self._intake.in_force
+        return self._state_receiver.in_force
 
     @property
     def view_confirmed(self) -> bool:
         """Whether a leader has said that the view in force is current, since the start."""
-        return self._intake.confirmed
+        return self._state_receiver.confirmed
 
     @property
     def connected(self) -> bool:
@@ -167,7 +167,7 @@
 
         :raises RuntimeError: when the data folder cannot be used
         """
-        opened = await self._intake.open()
+        opened = await self._state_receiver.open()
         if isinstance(opened, Err):
             raise RuntimeError(str(opened.err_value))
         self._stored = opened.ok_value
@@ -261,12 +261,12 @@
             await curio.sleep(self._choice.pause_s())
 
     def _hello(self) -> ProxyHello:
-        return self._announcements.hello(self._stored, self._intake.newest)
+        return self._announcements.hello(self._stored, self._state_receiver.newest)
 
     async def _serve_link(self, found: FoundLeader) -> None:
         link = found.link
         self._address = found.address
-        self._intake.link_opened()
+        self._state_receiver.link_opened()
         self._leases.link_opened()
         EVENTS.info("control-connected", controller=found.address, name=link.peer_name)
         self.links_opened += 1
@@ -330,7 +330,7 @@
 
     def _receivers(self) -> dict[type, Callable[..., Awaitable[None]]]:
         return {
-            ControlTarget: self._intake.take_target,
+            ControlTarget: self._state_receiver.take_target,
             ControlSnapshot: self._take_snapshot,
             ControlUpdate: self._take_update,
             QuorumStamp: self._take_stamp,
@@ -341,13 +341,13 @@
         }
 
     async def _take_snapshot(self, snapshot: ControlSnapshot) -> None:
-        await self._intake.apply_snapshot(snapshot)
+        await self._state_receiver.apply_snapshot(snapshot)
         self._learn_controllers()
         await self._view_check.view_changed()
 
     async def _take_update(self, update: ControlUpdate) -> None:
         """Take a change; a change of primaries is confirmed at once, for a promotion waits."""
-        await self._intake.apply_update(update)
+        await self._state_receiver.apply_update(update)
         self._learn_controllers()
         await self._view_check.view_changed()
         link = self._link
@@ -355,7 +355,7 @@
             await self._send_heartbeat(link, ())
 
     def _learn_controllers(self) -> None:
-        view = self._intake.in_force
+        view = self._state_receiver.in_force
         if view is not None and view.controllers:
             self._choice.learn(view.controllers)
 
--- a/limedyke_lab/simulator/proxies.py
+++ b/limedyke_lab/simulator/proxies.py
@@ -66,7 +66,7 @@
         """Forget the life that ended; the data folder stays."""
         proxy, self.proxy = self.proxy, None
         if proxy is not None:
-            proxy._control._intake._store.close()
+            proxy._control._state_receiver._store.close()
 
     def lose_disk(self) -> None:
         """Empty the data folder."""
