--- a/limedyke/core/queueing/turn_rate.py
+++ b/limedyke/core/queueing/turn_rate.py
@@ -36,7 +36,7 @@
             self._spread_s = USUAL_VARIATION * assumed_gap_s
         self.last_at = now
 
-    def had_turn(self, now: float) -> None:
+    def record_dequeue(self, now: float) -> None:
         """Take that one that waited has its turn."""
         error_s = now - self.last_at - self._gap_s
         self._gap_s += GAP_SMOOTHING * error_s
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -153,7 +153,7 @@
         self.observed.outstanding += 1
         self._lent.lend(connection, request, now)
         if request.was_let_in:
-            self._turns.had_turn(now)
+            self._turns.record_dequeue(now)
         self._queue.started(request, waited=request.was_let_in)
         return connection
 
