--- a/limedyke/core/queueing/turn_rate.py
+++ b/limedyke/core/queueing/turn_rate.py
@@ -15,7 +15,7 @@
 """So many times the usual gap without a turn says that turns take longer now."""
 
 
-class TurnRate:
+class DequeueRate:
     """The usual time between two turns; times are seconds of a monotonic clock.
 
     :ivar last_at: when the last turn was, or something began to wait
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -14,7 +14,7 @@
 from limedyke.core.queueing.queued_request import NEVER, QueuedRequest
 from limedyke.core.queueing.request_queue import RequestQueue
 from limedyke.core.queueing.return_schedule import ReturnSchedule
-from limedyke.core.queueing.turn_rate import TurnRate
+from limedyke.core.queueing.turn_rate import DequeueRate
 from limedyke.core.statements.connection_demand import ConnectionUse
 from limedyke.core.statements.observed_member import FIRST_ANSWER_S, OPENING, ObservedMember
 from limedyke.messages.statements import AnswerKind
@@ -102,7 +102,7 @@
         self._idle = IdleConnections()
         self._queue = RequestQueue(FIRST_ANSWER_S)
         self._lent = CheckedOutConnections()
-        self._turns = TurnRate()
+        self._turns = DequeueRate()
         self._returns = ReturnSchedule()
         self._recount_at = 0.0
         self._lacked_room = False
