--- a/features/steps/return_schedule_steps.py
+++ b/features/steps/return_schedule_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from limedyke.core.queueing.return_schedule import ReturnSchedule
+from limedyke.core.queueing.return_schedule import RetrySchedule
 
 MS = 1_000.0
 WINDOW_MS = 50.0
@@ -13,7 +13,7 @@
 
 @given("returns: a member gives a turn each {gap:d} ms, the first in {ready:d} ms")
 def step_member(context, gap, ready):
-    context.schedule = ReturnSchedule()
+    context.schedule = RetrySchedule()
     context.gap_ms = gap
     context.ready_ms = ready
     context.told = {}
--- a/limedyke/core/queueing/return_schedule.py
+++ b/limedyke/core/queueing/return_schedule.py
@@ -18,7 +18,7 @@
 """Golden section: successive multiples of it spread evenly over an interval."""
 
 
-class ReturnSchedule:
+class RetrySchedule:
     """Gives successive times to come back, at the rate at which room comes; one for a member.
 
     More urgent ones take the times before less urgent ones: what was promised to less urgent ones
--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -10,7 +10,7 @@
 import curio
 
 from limedyke.core.member_caps import holds_common
-from limedyke.core.queueing.return_schedule import ReturnSchedule
+from limedyke.core.queueing.return_schedule import RetrySchedule
 from limedyke.core.statements.observed_member import ObservedMember
 from limedyke.core.statements.primary_outage import OutageTimes, PrimaryOutage
 from limedyke.core.statements.primary_positions import PrimaryPositions
@@ -72,7 +72,7 @@
         self.position_is_asked = False
         self.primary_changed = curio.Event()
         self.leased = curio.Event()
-        self._returns = ReturnSchedule()
+        self._returns = RetrySchedule()
         self._make_pool = make_pool
         self._lease_ends_at = lease_ends_at
 
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -13,7 +13,7 @@
 from limedyke.core.queueing.queue_answer import QueueDrain, RefusalReason, Refused
 from limedyke.core.queueing.queued_request import NEVER, QueuedRequest
 from limedyke.core.queueing.request_queue import RequestQueue
-from limedyke.core.queueing.return_schedule import ReturnSchedule
+from limedyke.core.queueing.return_schedule import RetrySchedule
 from limedyke.core.queueing.turn_rate import DequeueRate
 from limedyke.core.statements.connection_demand import ConnectionUse
 from limedyke.core.statements.observed_member import FIRST_ANSWER_S, OPENING, ObservedMember
@@ -103,7 +103,7 @@
         self._queue = RequestQueue(FIRST_ANSWER_S)
         self._lent = CheckedOutConnections()
         self._turns = DequeueRate()
-        self._returns = ReturnSchedule()
+        self._returns = RetrySchedule()
         self._recount_at = 0.0
         self._lacked_room = False
 
