--- a/limedyke/core/queueing/return_schedule.py
+++ b/limedyke/core/queueing/return_schedule.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-LEAST_RETURN_S = 0.05
+MIN_RETRY_DELAY_S = 0.05
 """Sooner nothing has changed, and a try is wasted: clients have few."""
 MOST_RETURN_S = 3.0
 """Later an answer is of little use: about half of the time that callers wait in all."""
@@ -36,7 +36,7 @@
         :param gap_s: time between two turns from then on
         """
         own_gap_s = min(gap_s, LONGEST_GAP_S) / RETURN_SHARE
-        at = max(now + max(ready_in_s, LEAST_RETURN_S), self._next_at.get(priority, now))
+        at = max(now + max(ready_in_s, MIN_RETRY_DELAY_S), self._next_at.get(priority, now))
         self._next_at[priority] = at + own_gap_s
         for other in self._next_at:
             if other > priority and self._next_at[other] > at:
--- a/limedyke/proxy/statements/statement_refusal.py
+++ b/limedyke/proxy/statements/statement_refusal.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from limedyke.core.queueing.return_schedule import LEAST_RETURN_S
+from limedyke.core.queueing.return_schedule import MIN_RETRY_DELAY_S
 from limedyke.core.statements.session import StatementSession, refusal
 from limedyke.messages.statements import StatementAnswer
 from limedyke.result_codes import ResultCode
@@ -10,7 +10,7 @@
 MS_PER_S = 1_000
 UNKNOWN_READY_S = 0.2
 """When it is worth asking again for what nothing tells the time of, such as a fresh member."""
-RETRY_AFTER_MS = int(LEAST_RETURN_S * MS_PER_S)
+RETRY_AFTER_MS = int(MIN_RETRY_DELAY_S * MS_PER_S)
 """When to come back where another place can serve at once, as when a home proxy is lost."""
 
 
