--- a/features/steps/return_schedule_steps.py
+++ b/features/steps/return_schedule_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from limedyke.core.queueing.return_schedule import RetrySchedule
+from limedyke.core.queueing.retry_schedule import RetrySchedule
 
 MS = 1_000.0
 WINDOW_MS = 50.0
--- a/limedyke/proxy/members/gate.py
+++ b/limedyke/proxy/members/gate.py
@@ -14,7 +14,7 @@
 from limedyke.core.queueing.queue_answer import QueueDrain, Refused
 from limedyke.core.queueing.queued_request import NEVER, QueuedRequest
 from limedyke.core.queueing.request_queue import RequestQueue
-from limedyke.core.queueing.return_schedule import RetrySchedule
+from limedyke.core.queueing.retry_schedule import RetrySchedule
 from limedyke.core.slot_use import SlotUse
 from limedyke.messages.work import SessionSetting, WorkUnit
 from limedyke.postgres.member_login import MemberCredentials
--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -10,7 +10,7 @@
 import curio
 
 from limedyke.core.member_caps import holds_common
-from limedyke.core.queueing.return_schedule import RetrySchedule
+from limedyke.core.queueing.retry_schedule import RetrySchedule
 from limedyke.core.statements.observed_member import ObservedMember
 from limedyke.core.statements.primary_outage import OutageTimes, PrimaryOutage
 from limedyke.core.statements.primary_positions import PrimaryPositions
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -14,7 +14,7 @@
 from limedyke.core.queueing.queue_answer import QueueDrain, RefusalReason, Refused
 from limedyke.core.queueing.queued_request import NEVER, QueuedRequest
 from limedyke.core.queueing.request_queue import RequestQueue
-from limedyke.core.queueing.return_schedule import RetrySchedule
+from limedyke.core.queueing.retry_schedule import RetrySchedule
 from limedyke.core.statements.connection_demand import ConnectionUse
 from limedyke.core.statements.observed_member import FIRST_ANSWER_S, OPENING, ObservedMember
 from limedyke.messages.statements import AnswerKind
--- a/limedyke/proxy/statements/statement_refusal.py
+++ b/limedyke/proxy/statements/statement_refusal.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from limedyke.core.queueing.return_schedule import MIN_RETRY_DELAY_S
+from limedyke.core.queueing.retry_schedule import MIN_RETRY_DELAY_S
 from limedyke.core.statements.session import StatementSession, refusal
 from limedyke.messages.statements import StatementAnswer
 from limedyke.result_codes import ResultCode
