--- a/limedyke/core/statements/observed_member.py
+++ b/limedyke/core/statements/observed_member.py
@@ -210,7 +210,7 @@
             if self.leads:
                 self.told = max(self.told, position)
 
-    def take_office(self, leads: bool) -> None:
+    def note_primary_change(self, leads: bool) -> None:
         """Take that the primary has changed: what this member told counts from here on."""
         self.leads = leads
         self.told = LogPosition()
--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -217,7 +217,7 @@
         self.primary = identity
         self.term = term
         for name, pool in self.pools.items():
-            pool.observed.take_office(name == identity)
+            pool.observed.note_primary_change(name == identity)
         self.positions.clear()
         self.exposed = ""
         self.denied.clear()
