--- a/features/steps/routing_outcomes_steps.py
+++ b/features/steps/routing_outcomes_steps.py
@@ -10,7 +10,7 @@
 from postgresql.protocol import element3
 
 from features.support.back_end_load import gate_of, set_switch
-from features.support.careless_back_end import take_away
+from features.support.unsafe_back_end import take_away
 from limedyke.messages.work import AbandonWork, Access, PreparedStatement
 from limedyke.result_codes import CODE_BY_NUMBER
 
