--- a/features/mutants/stop_safeguards.py
+++ b/features/mutants/stop_safeguards.py
@@ -91,7 +91,7 @@
     client, _ = await path.connect()
     await path.stop_proxy(WHOLE_S)
     await path.wait_until("idle_sessions_until")
-    while not client.was_told_unasked():
+    while not client.has_unsolicited_data():
         await curio.sleep(0.01)
     try:
         await client.ask("WRITE x 1")
--- a/features/soak/load.py
+++ b/features/soak/load.py
@@ -201,7 +201,7 @@
     async def _ask(self, text: str) -> list[str]:
         """Ask a statement; return its answer in words, ``["closed"]`` when there was none."""
         client = self._client
-        if client.was_told_unasked():
+        if client.has_unsolicited_data():
             await self._drop()
             raise SessionOverError
         sent_at = time.monotonic()
--- a/features/steps/platform_members_steps.py
+++ b/features/steps/platform_members_steps.py
@@ -72,7 +72,7 @@
         while opened == "I" and time.monotonic() < end:
             answers.append(await client.ask("READ x"))
             await curio.sleep(ASK_PAUSE_S)
-            if client.was_told_unasked():
+            if client.has_unsolicited_data():
                 break
         await client.close()
     return answers
--- a/features/steps/statement_stop_steps.py
+++ b/features/steps/statement_stop_steps.py
@@ -150,7 +150,7 @@
 
 @when('statement stop: the client, which has not read anything yet, asks "{text}"')
 def step_crosses(context, text):
-    assert context.client.was_told_unasked()
+    assert context.client.has_unsolicited_data()
     context.told = run(context, context.client.ask, text)
 
 
--- a/features/support/persistent_clients.py
+++ b/features/support/persistent_clients.py
@@ -135,7 +135,7 @@
 
     async def _rest_until_told(self, is_gone: Callable[[], bool]) -> None:
         """Ask nothing more until the session is over."""
-        while not self._client.was_told_unasked() and not is_gone():
+        while not self._client.has_unsolicited_data() and not is_gone():
             await curio.sleep(RETURN_PAUSE_S)
         raise SessionOverError
 
@@ -154,7 +154,7 @@
 
     async def _ask(self, text: str) -> str:
         """Ask a statement; keep and return what was told of it."""
-        if self._client.was_told_unasked():
+        if self._client.has_unsolicited_data():
             raise SessionOverError
         sent_at = time.monotonic()
         try:
--- a/features/support/statement_path.py
+++ b/features/support/statement_path.py
@@ -90,7 +90,7 @@
         self.last_answer = await self.answer()
         return summary(self.last_answer)
 
-    def was_told_unasked(self) -> bool:
+    def has_unsolicited_data(self) -> bool:
         """Tell whether something came that no answer belongs to: the session is over then."""
         if self._stream._buffer:
             return True
