--- a/features/steps/foundation_metrics_steps.py
+++ b/features/steps/foundation_metrics_steps.py
@@ -17,7 +17,7 @@
     PromotionAnswered,
     SendToProxy,
 )
-from limedyke.core.control.leader import EARLIER_PROCESS, LEASES_RUN_OUT
+from limedyke.core.control.leader import EARLIER_PROCESS, LEASES_EXPIRED
 from limedyke.messages.control import (
     ConnectionLease,
     ControlUpdate,
@@ -58,7 +58,7 @@
     "grants a lease": lambda meter: meter.decided(_lease(3)),
     "takes a lease back": lambda meter: meter.decided(_lease(0)),
     "lets a proxy go whose leases ended": lambda meter: meter.decided(
-        DisconnectProxy("p", LEASES_RUN_OUT)
+        DisconnectProxy("p", LEASES_EXPIRED)
     ),
     "lets a proxy go for another reason": lambda meter: meter.decided(
         DisconnectProxy("p", EARLIER_PROCESS)
--- a/limedyke/controller/leading/leader_metrics.py
+++ b/limedyke/controller/leading/leader_metrics.py
@@ -12,7 +12,7 @@
     PromotionAnswered,
     SendToProxy,
 )
-from limedyke.core.control.leader import LEASES_RUN_OUT
+from limedyke.core.control.leader import LEASES_EXPIRED
 from limedyke.messages.control import ControlUpdate, LeaseUpdate, PromoteOrder
 from limedyke.metrics import PromotionOutcome
 
@@ -50,7 +50,7 @@
                 for lease in command.message.leases:
                     kind = GRANTED if lease.connections else TAKEN_BACK
                     self._metrics.lease_changes.labels(kind).inc()
-            case DisconnectProxy(reason=reason) if reason == LEASES_RUN_OUT:
+            case DisconnectProxy(reason=reason) if reason == LEASES_EXPIRED:
                 self._metrics.leases_expired.inc()
 
     def state_changed(self, update: ControlUpdate, now: float) -> None:
--- a/limedyke/core/control/leader.py
+++ b/limedyke/core/control/leader.py
@@ -51,7 +51,7 @@
 SHORTEST_MEMBERSHIP_INTERVAL_S = 0.02
 MEMBERSHIP_INTERVAL_PER_GROUP_S = 0.2 / 1_800
 """Between two changes of the membership: each makes every controller look at all groups."""
-LEASES_RUN_OUT = "its leases have run out"
+LEASES_EXPIRED = "its leases have run out"
 EARLIER_PROCESS = "an earlier process of this name may still hold leases"
 
 
@@ -242,7 +242,7 @@
             return
         self._next_judgement_at = now + JUDGE_INTERVAL_S
         for proxy in self.leases.expire(now):
-            self._commands.append(DisconnectProxy(proxy, LEASES_RUN_OUT))
+            self._commands.append(DisconnectProxy(proxy, LEASES_EXPIRED))
         self.membership.judge(now, self.leases.holders())
         gone = self.announcements.remove_silent(self._timing.member_forgotten_s, now)
         if gone is not None:
