--- a/limedyke/core/statements/connection_demand.py
+++ b/limedyke/core/statements/connection_demand.py
@@ -61,7 +61,7 @@
     def __init__(self) -> None:
         self._told: dict[tuple[str, str], int] = {}
 
-    def take(
+    def changes_to_report(
         self, demands: Iterable[ConnectionDemand], whole: bool
     ) -> tuple[ConnectionDemand, ...]:
         """Return the demands to tell now.
--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -289,7 +289,7 @@
         """
         now = time.monotonic()
         told = (group.demands(now) for group in self.groups.values())
-        return self._demand_news.take(chain.from_iterable(told), whole)
+        return self._demand_news.changes_to_report(chain.from_iterable(told), whole)
 
     def _new_group(self, name: str) -> StatementGroup:
         def make_pool(observed: ObservedMember) -> MemberPool:
