--- a/limedyke/core/statements/primary_outage.py
+++ b/limedyke/core/statements/primary_outage.py
@@ -44,7 +44,7 @@
         self._began_at: float | None = None
         self._noticed_at = 0.0
 
-    def noticed(self, now: float) -> None:
+    def note_no_primary(self, now: float) -> None:
         """Note that a statement found no primary that answers."""
         if self._began_at is None or now - self._noticed_at > FORGOTTEN_S:
             self._began_at = now
--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -128,7 +128,7 @@
         until = max(self.hold_until, self._connection_until if self._wants_connection else 0.0)
         now = time.monotonic()
         if self.group.lacks_primary(now):
-            self.group.outage.noticed(now)
+            self.group.outage.note_no_primary(now)
             until = max(until, self.group.hold_until(now))
         return min(until, self.deadline - LEAST_ATTEMPT_S)
 
--- a/limedyke/proxy/statements/homes/forwarded_attempt.py
+++ b/limedyke/proxy/statements/homes/forwarded_attempt.py
@@ -100,7 +100,7 @@
     async def wait_for_primary(self) -> bool:
         """Wait for another primary, then try all homes again; False when it may not be held."""
         now = time.monotonic()
-        self.group.outage.noticed(now)
+        self.group.outage.note_no_primary(now)
         until = max(self.hold_until, self.group.hold_until(now))
         if not await self.group.wait_for_primary(min(until, self.deadline - LEAST_ATTEMPT_S)):
             return False
