--- a/limedyke/core/statements/primary_outage.py
+++ b/limedyke/core/statements/primary_outage.py
@@ -54,7 +54,7 @@
         """Note that the primary answers."""
         self._began_at = None
 
-    def replaced(self, now: float) -> None:
+    def note_replaced(self, now: float) -> None:
         """Note that another primary is recorded: learn how long that took."""
         if self._began_at is not None and now - self._noticed_at <= FORGOTTEN_S:
             self._times.learn(now - self._began_at)
--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -213,7 +213,7 @@
             return
         self.replaced = "" if identity else self.primary
         if identity:
-            self.outage.replaced(time.monotonic())
+            self.outage.note_replaced(time.monotonic())
         self.primary = identity
         self.term = term
         for name, pool in self.pools.items():
