--- a/features/mutants/tenants_safeguards.py
+++ b/features/mutants/tenants_safeguards.py
@@ -119,7 +119,7 @@
         _take(keys, tenants)
 
 
-_take = AccessKeys.take
+_take = AccessKeys.set_tenants
 
 
 def _unbounded_reserve(allowance: OperationAllowance, now: float) -> bool:
--- a/features/steps/tenants_steps.py
+++ b/features/steps/tenants_steps.py
@@ -260,7 +260,7 @@
     data = encode(context.declaration)
     assert FIRST_KEY.encode() not in data and SECOND_KEY.encode() not in data
     keys = AccessKeys()
-    keys.take({tenant.name: tenant for tenant in context.declaration.tenants})
+    keys.set_tenants({tenant.name: tenant for tenant in context.declaration.tenants})
     found = [keys.tenant_of(access_key_digest(key)) for key in (FIRST_KEY, SECOND_KEY)]
     assert found == ["one", "two"], found
     assert keys.tenant_of(access_key_digest("unknown")) is None
--- a/limedyke/core/access_keys.py
+++ b/limedyke/core/access_keys.py
@@ -36,7 +36,7 @@
         self._tenants: Mapping[str, Tenant] | None = None
         self._names: dict[bytes, str] = {}
 
-    def take(self, tenants: Mapping[str, Tenant]) -> None:
+    def set_tenants(self, tenants: Mapping[str, Tenant]) -> None:
         """Take the declared tenants; the same mapping again costs nothing."""
         if tenants is self._tenants:
             return
--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -109,7 +109,7 @@
     async def control_changed(self, view: ControlView) -> None:
         """Take a newer view into force."""
         self.view = view
-        self.access_keys.take(view.tenants)
+        self.access_keys.set_tenants(view.tenants)
         members: dict[str, dict[str, AnnouncedMember]] = {name: {} for name in view.groups}
         for member in view.announced.values():
             if member.group in members and self._is_usable(member):
