--- a/features/steps/control_proxies_steps.py
+++ b/features/steps/control_proxies_steps.py
@@ -115,7 +115,7 @@
         now = float(at)
         match word:
             case "report":
-                silence.reported(now)
+                silence.report_sent(now)
             case "heard":
                 silence.heard()
             case "left":
--- a/limedyke/proxy/control/report_answer_timer.py
+++ b/limedyke/proxy/control/report_answer_timer.py
@@ -24,7 +24,7 @@
         """Whether a report was sent and the leader has not been heard since."""
         return self._reported_at is not None
 
-    def reported(self, now: float) -> None:
+    def report_sent(self, now: float) -> None:
         """Note a report; the first one that is unanswered counts."""
         if self._reported_at is None:
             self._reported_at = now
--- a/limedyke/proxy/control/reports.py
+++ b/limedyke/proxy/control/reports.py
@@ -42,7 +42,7 @@
 
     async def expect_answer(self) -> None:
         """Note that a report was sent to the leader."""
-        self._silence.reported(time.monotonic())
+        self._silence.report_sent(time.monotonic())
         await self._wakeup.set()
 
     def heard(self) -> None:
