--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -300,7 +300,7 @@
 
     async def _on_role(self) -> None:
         if self._replica.agreement.leader is not None:
-            self._history.leads(self._replica.agreement.term, boot_seconds())
+            self._history.record_leader(self._replica.agreement.term, boot_seconds())
         if self._replica.agreement.role is not Role.LEADER:
             await self._stop_leading()
 
