--- a/features/steps/control_proxies_steps.py
+++ b/features/steps/control_proxies_steps.py
@@ -117,7 +117,7 @@
             case "report":
                 silence.report_sent(now)
             case "heard":
-                silence.heard()
+                silence.answer_received()
             case "left":
                 silence.left(now)
     assert silence.remaining_s(now) == float(seconds), silence.remaining_s(now)
--- a/limedyke/proxy/control/report_answer_timer.py
+++ b/limedyke/proxy/control/report_answer_timer.py
@@ -29,7 +29,7 @@
         if self._reported_at is None:
             self._reported_at = now
 
-    def heard(self) -> None:
+    def answer_received(self) -> None:
         """Note that a heartbeat was answered, or that the link has ended."""
         self._reported_at = None
 
--- a/limedyke/proxy/control/reports.py
+++ b/limedyke/proxy/control/reports.py
@@ -47,14 +47,14 @@
 
     def heard(self) -> None:
         """Note that the leader was heard."""
-        self._silence.heard()
+        self._silence.answer_received()
 
     async def watch_silence(self) -> None:
         """Give up the link when a report is not answered.
 
         :raises LinkClosedError: then
         """
-        self._silence.heard()
+        self._silence.answer_received()
         while True:
             self._wakeup.clear()
             remaining_s = self._silence.remaining_s(time.monotonic())
