--- a/limedyke/core/queueing/dequeue_rate.py
+++ b/limedyke/core/queueing/dequeue_rate.py
@@ -26,7 +26,7 @@
         self._spread_s = 0.0
         self.last_at = float("-inf")
 
-    def began(self, now: float, assumed_gap_s: float) -> None:
+    def start_waiting(self, now: float, assumed_gap_s: float) -> None:
         """Take that something waits from now on, where nothing did.
 
         :param assumed_gap_s: between two turns, unless it was seen a moment ago
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -582,7 +582,7 @@
         now = time.monotonic()
         waiter.renew()
         if not self._queue:
-            self._turns.began(now, self._assumed_gap_s(now))
+            self._turns.start_waiting(now, self._assumed_gap_s(now))
         if waiter.was_let_in or self._has_place_for(waiter, now):
             self._queue.place(waiter, now)
         else:
