--- a/limedyke/core/sessions/session.py
+++ b/limedyke/core/sessions/session.py
@@ -37,7 +37,7 @@
 from limedyke.core.units.unit_builder import build_unit
 from limedyke.core.units.unit_outcome import (
     RunningUnit,
-    as_write,
+    as_write_unit,
     failure_when_cut,
     take_answer_part,
 )
@@ -256,7 +256,7 @@
         if running is None or end.stream != running.unit.stream:
             return []
         if running.refused_by_replica and not end.code:
-            self._running = as_write(running, self._context.next_number())
+            self._running = as_write_unit(running, self._context.next_number())
             return [RunUnit(self._running.unit)]
         self._running = None
         self.state.last_active = moment.now
--- a/limedyke/core/units/unit_outcome.py
+++ b/limedyke/core/units/unit_outcome.py
@@ -74,7 +74,7 @@
     return False
 
 
-def as_write(running: RunningUnit, stream: int) -> RunningUnit:
+def as_write_unit(running: RunningUnit, stream: int) -> RunningUnit:
     """Return a unit that a replica refused, to run on the primary."""
     plan = running.plan
     plan.access = Access.WRITE
