--- a/features/steps/control_proxies_steps.py
+++ b/features/steps/control_proxies_steps.py
@@ -119,7 +119,7 @@
             case "heard":
                 silence.answer_received()
             case "left":
-                silence.left(now)
+                silence.link_closed(now)
     assert silence.remaining_s(now) == float(seconds), silence.remaining_s(now)
 
 
--- a/limedyke/proxy/control/report_answer_timer.py
+++ b/limedyke/proxy/control/report_answer_timer.py
@@ -39,7 +39,7 @@
             return float("inf")
         return self._reported_at + ANSWER_LIMIT_S - now
 
-    def left(self, now: float) -> None:
+    def link_closed(self, now: float) -> None:
         """Note that the leader was left for its silence."""
         self._left_at = now
         self._reported_at = None
--- a/limedyke/proxy/control/reports.py
+++ b/limedyke/proxy/control/reports.py
@@ -59,7 +59,7 @@
             self._wakeup.clear()
             remaining_s = self._silence.remaining_s(time.monotonic())
             if remaining_s <= 0:
-                self._silence.left(time.monotonic())
+                self._silence.link_closed(time.monotonic())
                 raise LinkClosedError("a report is not answered")
             if remaining_s == float("inf"):
                 await self._wakeup.wait()
