--- a/features/steps/member_choice_steps.py
+++ b/features/steps/member_choice_steps.py
@@ -189,7 +189,7 @@
 def _observed(name, proxies=1):
     record = AnnouncedMember(name, "g", f"{name}:1", "z", "v1", SLOTS, MemberState.READY, False)
     observed = ObservedMember(record)
-    observed.concurrency.shared_by(proxies)
+    observed.concurrency.set_proxies(proxies)
     observed.connected(0.0, 2 * NETWORK_S + SERVICE_S)
     return observed
 
--- a/limedyke/core/statements/concurrency_limit.py
+++ b/limedyke/core/statements/concurrency_limit.py
@@ -141,7 +141,7 @@
         """Tell whether one more may be sent while so much is under way."""
         return under_way < self.limit
 
-    def shared_by(self, proxies: int) -> None:
+    def set_proxies(self, proxies: int) -> None:
         """Take how many home proxies send to the member: the limit changes in proportion."""
         proxies = max(1, proxies)
         if proxies == self.proxies:
--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -251,10 +251,10 @@
         for identity, pool in self.pools.items():
             await pool.set_limit(self.limit_at(identity))
 
-    def shared_by(self, proxies: int) -> None:
+    def set_proxies(self, proxies: int) -> None:
         """Take how many home proxies send to the members."""
         for observed in self.observed_members:
-            observed.concurrency.shared_by(proxies)
+            observed.concurrency.set_proxies(proxies)
 
     async def take_declared(self, declared: Group) -> None:
         """Take the declaration: at which members the lease to each one holds."""
