--- a/limedyke/core/queueing/queue_answer.py
+++ b/limedyke/core/queueing/queue_answer.py
@@ -66,7 +66,7 @@
     retry_after_ms: int = 0
 
     @property
-    def room_in_s(self) -> float:
+    def retry_likely_in_s(self) -> float:
         """When a request like it is likely to be served, if nothing else comes."""
         if self.reason is not RefusalReason.NO_TIME:
             return 0.0
--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -182,7 +182,7 @@
         """Note that a member's queue took it not, or no longer; the log tells what was counted."""
         self.failed(NotSent.TURNED_AWAY, member)
         self.last = f"{refused.reason} at {member}"
-        self._ready_in_s = refused.room_in_s
+        self._ready_in_s = refused.retry_likely_in_s
         self.log.turned_away(self.session.database, self.run.statement, member, refused)
 
     @property
