--- a/features/steps/client_protocol_steps.py
+++ b/features/steps/client_protocol_steps.py
@@ -6,7 +6,7 @@
 from behave.runner import Context
 
 from features.support.session_exchange import SessionExchange
-from limedyke.core.sessions.client_exchange import LeaveAsked, Moment, Tick, UnitEnded
+from limedyke.core.sessions.client_exchange import LeaveRequested, Moment, Tick, UnitEnded
 from limedyke.messages.work import AnswerEnd, LogPosition, TransactionStatus, WorkUnit
 from limedyke.postgres.client_framing import ClientFramer
 from limedyke.result_codes import Failure, ResultCode
@@ -45,7 +45,7 @@
 @when("client: the session is asked to leave")
 def when_asked_to_leave(context: Context) -> None:
     exchange = context.exchange
-    context.answer = exchange.handle(LeaveAsked(Failure(ResultCode.DRAINING), exchange.moment))
+    context.answer = exchange.handle(LeaveRequested(Failure(ResultCode.DRAINING), exchange.moment))
 
 
 @then("client: the units were {units}")
--- a/limedyke/core/sessions/client_exchange.py
+++ b/limedyke/core/sessions/client_exchange.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaveAsked:
+class LeaveRequested:
     """The session is to end as soon as nothing of it is under way, for this reason.
 
     To be repeated until it ends.
@@ -112,6 +112,6 @@
     settings: dict[str, str]
 
 
-Event = ClientMessages | AnswerReceived | UnitEnded | Tick | LeaveAsked
+Event = ClientMessages | AnswerReceived | UnitEnded | Tick | LeaveRequested
 SessionCommand = SendToClient | RunUnit | AbandonUnit | CloseClient
 LoginCommand = SendToClient | StartTls | CancelOther | LoginProved | CloseClient
--- a/limedyke/core/sessions/session.py
+++ b/limedyke/core/sessions/session.py
@@ -19,7 +19,7 @@
     ClientMessages,
     CloseClient,
     Event,
-    LeaveAsked,
+    LeaveRequested,
     Moment,
     RunUnit,
     SendToClient,
@@ -93,7 +93,7 @@
                 return self._take_messages(messages, moment)
             case Tick(moment):
                 return self._check_idle(moment)
-            case LeaveAsked(failure, moment):
+            case LeaveRequested(failure, moment):
                 return self._take_leave(failure, moment)
 
     def _take_late(self, event: Event) -> list[SessionCommand]:
--- a/limedyke/proxy/clients/connection.py
+++ b/limedyke/proxy/clients/connection.py
@@ -21,7 +21,7 @@
     CancelOther,
     ClientMessages,
     CloseClient,
-    LeaveAsked,
+    LeaveRequested,
     LoginProved,
     Moment,
     RunUnit,
@@ -269,7 +269,7 @@
         # What has arrived by now is served; what comes later is refused as an answer to it.
         if not self.session.is_leaving and self._has_unread_input():
             return []
-        return self.session.handle(LeaveAsked(failure, present_moment()))
+        return self.session.handle(LeaveRequested(failure, present_moment()))
 
     def _has_unread_input(self) -> bool:
         """Tell whether a request has arrived that the connection's task hasn't read yet."""
--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -25,7 +25,7 @@
 from limedyke.proxy.statements.clients.client_codec import (
     ClientCodec,
     ClientEvent,
-    LeaveAsked,
+    LeaveRequested,
     MalformedStatement,
     SessionEnded,
     SessionRequested,
@@ -159,7 +159,7 @@
                 return await self._serve_statement(event.statement)
             case MalformedStatement():
                 return await self._refuse_malformed(event)
-            case LeaveAsked():
+            case LeaveRequested():
                 await self._end_session(ResultCode.DRAINING)
         return False
 
@@ -169,7 +169,7 @@
                 data = await self._receive()
             except LeaveAskedError:
                 if self._session is None or self._session.transaction is None:
-                    return LeaveAsked()
+                    return LeaveRequested()
                 await self._lose_transaction(ResultCode.TRANSACTION_LOST)
                 continue
             if data is None:
--- a/limedyke/proxy/statements/clients/client_codec.py
+++ b/limedyke/proxy/statements/clients/client_codec.py
@@ -42,11 +42,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaveAsked:
+class LeaveRequested:
     """The proxy itself wants the session to end: its client asks nothing."""
 
 
-ClientEvent = SessionRequested | StatementReceived | MalformedStatement | SessionEnded | LeaveAsked
+ClientEvent = (
+    SessionRequested | StatementReceived | MalformedStatement | SessionEnded | LeaveRequested
+)
 
 
 class ClientCodec(Protocol):
