--- a/features/support/session_exchange.py
+++ b/features/support/session_exchange.py
@@ -23,7 +23,7 @@
     ClientMessages,
     CloseClient,
     Event,
-    LoginProved,
+    LoginSucceeded,
     Moment,
     RunUnit,
     SendToClient,
@@ -140,7 +140,7 @@
         self.moment = START
         self.context = context or new_context()
         self.back_end = ScriptedBackEnd(folder, self._note)
-        login = LoginProved("acme", "main", user, settings or {})
+        login = LoginSucceeded("acme", "main", user, settings or {})
         opened = open_session(self.context, login, CancelKey(1, 2), START)
         self.refusal = opened.err() or b""
         self.session: Session | None = None
--- a/features/support/session_on_members.py
+++ b/features/support/session_on_members.py
@@ -11,7 +11,7 @@
     AnswerReceived,
     ClientMessages,
     Event,
-    LoginProved,
+    LoginSucceeded,
     RunUnit,
     SendToClient,
     UnitEnded,
@@ -35,7 +35,7 @@
         self._lab = lab
         self._dropped = dropped
         self._answer = b""
-        login = LoginProved("one", "g", "app", {"limedyke.route": "primary"})
+        login = LoginSucceeded("one", "g", "app", {"limedyke.route": "primary"})
         opened = open_session(context or new_context(), login, CancelKey(1, 2), START)
         self.session = opened.ok_value.session
 
--- a/limedyke/core/sessions/client_exchange.py
+++ b/limedyke/core/sessions/client_exchange.py
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LoginProved:
+class LoginSucceeded:
     """The client proved who it is.
 
     :param settings: session settings by lower-case name, from the startup packet
@@ -114,4 +114,4 @@
 
 Event = ClientMessages | AnswerReceived | UnitEnded | Tick | LeaveRequested
 SessionCommand = SendToClient | RunUnit | AbandonUnit | CloseClient
-LoginCommand = SendToClient | StartTls | CancelOther | LoginProved | CloseClient
+LoginCommand = SendToClient | StartTls | CancelOther | LoginSucceeded | CloseClient
--- a/limedyke/core/sessions/session_opening.py
+++ b/limedyke/core/sessions/session_opening.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from limedyke.core.sessions.batch import BatchError
-from limedyke.core.sessions.client_exchange import LoginProved, Moment
+from limedyke.core.sessions.client_exchange import LoginSucceeded, Moment
 from limedyke.core.sessions.local_commands import LocalCommands
 from limedyke.core.sessions.session import Session
 from limedyke.core.sessions.session_context import SessionContext, greeting, replayed_settings
@@ -47,7 +47,7 @@
 
 
 def open_session(
-    context: SessionContext, login: LoginProved, key: CancelKey, moment: Moment
+    context: SessionContext, login: LoginSucceeded, key: CancelKey, moment: Moment
 ) -> Result[OpenedSession, bytes]:
     """Open a session, or return the ErrorResponse that refuses its startup settings."""
     own, others = _split_settings(login.settings)
--- a/limedyke/postgres/frontend.py
+++ b/limedyke/postgres/frontend.py
@@ -11,7 +11,7 @@
     CancelOther,
     CloseClient,
     LoginCommand,
-    LoginProved,
+    LoginSucceeded,
     SendToClient,
     StartTls,
 )
@@ -173,7 +173,7 @@
         if not self._exchange.is_finished:
             return [SendToClient(answer.ok_value)]
         tenant, _, group = self._startup.database.partition(DATABASE_SEPARATOR)
-        proved = LoginProved(tenant, group, self._startup.user, self._startup.settings)
+        proved = LoginSucceeded(tenant, group, self._startup.user, self._startup.settings)
         return [SendToClient(answer.ok_value + authentication(AUTHENTICATION_OK)), proved]
 
 
--- a/limedyke/proxy/clients/connection.py
+++ b/limedyke/proxy/clients/connection.py
@@ -22,7 +22,7 @@
     ClientMessages,
     CloseClient,
     LeaveRequested,
-    LoginProved,
+    LoginSucceeded,
     Moment,
     RunUnit,
     SendToClient,
@@ -129,7 +129,7 @@
                 await self._socket.start_tls(self._services.tls, timeout_s)
             case CancelOther(process_id, secret):
                 await self._cancel_other(CancelKey(process_id, secret))
-            case LoginProved():
+            case LoginSucceeded():
                 return await self._open_session(command)
             case CloseClient(reason):
                 self._count_login(reason)
@@ -150,7 +150,7 @@
         for command in connection.session.cancel():
             await self._services.executor.abandon(command.work)
 
-    async def _open_session(self, login: LoginProved) -> bool:
+    async def _open_session(self, login: LoginSucceeded) -> bool:
         services = self._services
         tenant = services.context.find_tenant(login.tenant)
         if tenant is None or services.draining:
