--- a/limedyke/core/sessions/batch.py
+++ b/limedyke/core/sessions/batch.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnownStatement:
+class ParsedStatement:
     """A statement that a session parsed.
 
     :param prepared: its form at the back end, for a named one
@@ -64,9 +64,9 @@
 class StatementNames:
     """What a session's names stand for; kept between batches."""
 
-    named: dict[bytes, KnownStatement] = field(default_factory=dict)
-    unnamed: KnownStatement | None = None
-    portals: dict[bytes, KnownStatement] = field(default_factory=dict)
+    named: dict[bytes, ParsedStatement] = field(default_factory=dict)
+    unnamed: ParsedStatement | None = None
+    portals: dict[bytes, ParsedStatement] = field(default_factory=dict)
 
     @property
     def size(self) -> int:
--- a/limedyke/core/sessions/extended_batch.py
+++ b/limedyke/core/sessions/extended_batch.py
@@ -17,8 +17,8 @@
     UNKNOWN_STATEMENT,
     BatchError,
     BatchPlan,
-    KnownStatement,
     LocalAnswers,
+    ParsedStatement,
     StatementNames,
     check_refusal,
     check_room,
@@ -80,7 +80,7 @@
         self._data: list[bytes] = []
         self._slots: list[AnswerSlot] = []
         self._prepared: dict[str, PreparedStatement] = {}
-        self._parsed: dict[bytes, KnownStatement] = {}
+        self._parsed: dict[bytes, ParsedStatement] = {}
         self._closed: set[bytes] = set()
         self._portals = dict(names.portals) if names.portals else {}
         self._sent_unnamed = False
@@ -160,7 +160,7 @@
         if name:
             self._parse_named(name, text, body, profile, is_local)
             return
-        known = KnownStatement(profile, parse=message.raw)
+        known = ParsedStatement(profile, parse=message.raw)
         self._names.unnamed = known
         if is_local:
             self._sent_unnamed = False
@@ -179,9 +179,9 @@
             raise BatchError(error_response(DUPLICATE_STATEMENT, message))
         check_room(self._names, len(self._parsed), len(text))
         if profile.local:
-            known = KnownStatement(profile)
+            known = ParsedStatement(profile)
         else:
-            known = KnownStatement(profile, prepared_statement(text, body))
+            known = ParsedStatement(profile, prepared_statement(text, body))
         if not is_local:
             self._prepared[known.prepared.name] = known.prepared
         self._parsed[name] = known
@@ -203,7 +203,7 @@
         body = portal + b"\0" + known.prepared.name.encode() + b"\0" + rest
         self._forward(with_body(message.kind, body), COMPLETES_BIND)
 
-    def _find(self, name: bytes) -> KnownStatement:
+    def _find(self, name: bytes) -> ParsedStatement:
         """Return the statement of a name and see that the back end will know it."""
         known = self._names.unnamed
         if name:
@@ -221,7 +221,7 @@
             self._prepared[known.prepared.name] = known.prepared
         return known
 
-    def _send_unnamed_again(self, known: KnownStatement) -> None:
+    def _send_unnamed_again(self, known: ParsedStatement) -> None:
         if not self._sent_unnamed:
             self._forward(known.parse, COMPLETES_PARSE, hidden=True)
             self._sent_unnamed = True
--- a/limedyke/core/sql/sql_prepare.py
+++ b/limedyke/core/sql/sql_prepare.py
@@ -7,7 +7,7 @@
     UNKNOWN_STATEMENT,
     BatchError,
     BatchPlan,
-    KnownStatement,
+    ParsedStatement,
     StatementNames,
     check_refusal,
     check_room,
@@ -74,7 +74,7 @@
     types = tuple(TYPE_OIDS[name] for name in change.types)
     back_end_name = statement_name(change.value.encode(), types)
     prepared = PreparedStatement(back_end_name, change.value, types)
-    known = KnownStatement(profile, prepared)
+    known = ParsedStatement(profile, prepared)
     answer = command_complete("PREPARE")
     slot = AnswerSlot(frozenset(), own_answer=answer, registration=Registration(name, known))
     return BatchPlan(Access.READ, data=SYNC, slots=[slot], prepared=(prepared,))
--- a/limedyke/core/units/answer_tracker.py
+++ b/limedyke/core/units/answer_tracker.py
@@ -28,7 +28,7 @@
     """A named statement that becomes known to the session when its Parse is answered.
 
     :param name: the client's name for it
-    :param statement: its ``KnownStatement``; None for a name that is closed
+    :param statement: its ``ParsedStatement``; None for a name that is closed
     """
 
     name: bytes
