--- a/features/steps/session_safeguards_steps.py
+++ b/features/steps/session_safeguards_steps.py
@@ -39,7 +39,9 @@
     "owner": lambda: mock.patch.object(TokenOwner, "digest", lambda owner: b"x" * 16),
     "never back": lambda: mock.patch.object(SessionPosition, "take_claim", _take_claim_back),
     "barrier by name": lambda: mock.patch.object(session_opening, "SESSION_NAME_SETTING", "off"),
-    "barrier on loss": lambda: mock.patch.object(SessionPosition, "lose_write", _forget_loss),
+    "barrier on loss": lambda: mock.patch.object(
+        SessionPosition, "record_unknown_write", _forget_loss
+    ),
     "write behind rollback": lambda: mock.patch(
         "limedyke.core.units.unit_answer.binds_position", _never_rolled
     ),
--- a/limedyke/core/sessions/session_position.py
+++ b/limedyke/core/sessions/session_position.py
@@ -43,7 +43,7 @@
         self.barrier = False
         return before != (self.required, self.barrier)
 
-    def lose_write(self) -> bool:
+    def record_unknown_write(self) -> bool:
         """Note that a write may have happened at an unknown position."""
         changed = not self.barrier
         self.barrier = True
--- a/limedyke/core/units/unit_answer.py
+++ b/limedyke/core/units/unit_answer.py
@@ -61,7 +61,7 @@
     follow_transaction(state, running, end.status)
     changed = state.position.take_end(end, binds)
     if unplaced:
-        changed = state.position.lose_write() or changed
+        changed = state.position.record_unknown_write() or changed
     return changed
 
 
@@ -69,7 +69,7 @@
     state: SessionState, running: RunningUnit, end: AnswerEnd, failure: Failure
 ) -> bool:
     """Follow a unit that was refused or lost; tell whether the session token changed."""
-    changed = failure.code.outcome is Outcome.UNKNOWN and state.position.lose_write()
+    changed = failure.code.outcome is Outcome.UNKNOWN and state.position.record_unknown_write()
     leave_transaction(state, running, end)
     return changed
 
