--- a/limedyke/core/sessions/batch.py
+++ b/limedyke/core/sessions/batch.py
@@ -92,7 +92,7 @@
     prepared: tuple[PreparedStatement, ...] = ()
     effects: set[Effect] = field(default_factory=set)
     leaves_state: bool = False
-    may_open: bool = False
+    may_open_transaction: bool = False
     may_commit: bool = False
     only_queries: bool = False
     is_partial: bool = False
@@ -183,7 +183,7 @@
         access=profile.access,
         data=message.raw,
         leaves_state=profile.leaves_state,
-        may_open=profile.may_open,
+        may_open_transaction=profile.may_open_transaction,
         may_commit=profile.may_commit,
         only_queries=profile.only_queries,
         hints=profile.hints,
--- a/limedyke/core/sessions/extended_batch.py
+++ b/limedyke/core/sessions/extended_batch.py
@@ -24,7 +24,11 @@
     check_room,
     with_body,
 )
-from limedyke.core.sessions.extended_messages import may_open, prepared_statement, split_target
+from limedyke.core.sessions.extended_messages import (
+    may_open_transaction,
+    prepared_statement,
+    split_target,
+)
 from limedyke.core.sql.statement import (
     NO_HINTS,
     Effect,
@@ -115,7 +119,10 @@
 
     def _opens(self) -> bool:
         """Tell whether the batch opens a transaction."""
-        return any(may_open(message, self._names, self._profile_of) for message in self._messages)
+        return any(
+            may_open_transaction(message, self._names, self._profile_of)
+            for message in self._messages
+        )
 
     def _take(self, message: ClientMessage) -> None:
         match chr(message.kind):
@@ -270,7 +277,7 @@
         if profile.access is Access.WRITE:
             plan.access = Access.WRITE
         plan.leaves_state = plan.leaves_state or profile.leaves_state
-        plan.may_open = plan.may_open or profile.may_open
+        plan.may_open_transaction = plan.may_open_transaction or profile.may_open_transaction
         plan.may_commit = plan.may_commit or profile.may_commit
         plan.only_queries = plan.only_queries and profile.only_queries
         self._effects.extend(change.effect for _, change in profile.changes)
--- a/limedyke/core/sessions/extended_messages.py
+++ b/limedyke/core/sessions/extended_messages.py
@@ -17,7 +17,7 @@
 INVALID_TEXT = "22021"
 
 
-def may_open(
+def may_open_transaction(
     message: ClientMessage,
     names: StatementNames,
     profile_of: Callable[[bytes], StatementProfile],
@@ -28,12 +28,12 @@
     """
     if message.kind == PARSE:
         _, text, _ = message.body.split(b"\0", 2)
-        return profile_of(text).may_open
+        return profile_of(text).may_open_transaction
     if message.kind != BIND:
         return False
     _, name, _ = message.body.split(b"\0", 2)
     known = names.named.get(name) if name else names.unnamed
-    return known is not None and known.profile.may_open
+    return known is not None and known.profile.may_open_transaction
 
 
 def split_target(body: bytes) -> tuple[bytes, bytes]:
--- a/limedyke/core/sql/statement.py
+++ b/limedyke/core/sql/statement.py
@@ -98,7 +98,7 @@
     :param changes: effects on the session: index of the statement and the effect
     :param local: the proxy answers it itself
     :param leaves_state: it may leave state on its connection that can't be replayed
-    :param may_open: it may leave a transaction open
+    :param may_open_transaction: it may leave a transaction open
     :param may_commit: it may end a transaction
     :param only_queries: by its first words it only asks for rows, so that the client may say
         that the functions it calls write nothing
@@ -111,7 +111,7 @@
     changes: tuple[tuple[int, SessionChange], ...] = ()
     local: bool = False
     leaves_state: bool = False
-    may_open: bool = False
+    may_open_transaction: bool = False
     may_commit: bool = False
     only_queries: bool = False
     refusal: str = ""
@@ -120,6 +120,6 @@
 
 
 UNKNOWN_PROFILE = StatementProfile(
-    Access.WRITE, statements=0, leaves_state=True, may_open=True, may_commit=True
+    Access.WRITE, statements=0, leaves_state=True, may_open_transaction=True, may_commit=True
 )
 EMPTY_PROFILE = StatementProfile(Access.READ, statements=1, local=True)
--- a/limedyke/core/sql/statement_classifier.py
+++ b/limedyke/core/sql/statement_classifier.py
@@ -110,7 +110,7 @@
         statements=sum(profile.statements for profile in profiles),
         changes=tuple(changes),
         leaves_state=any(profile.leaves_state for profile in profiles),
-        may_open=any(item.effect in TRANSACTION_OPENERS for _, item in changes),
+        may_open_transaction=any(item.effect in TRANSACTION_OPENERS for _, item in changes),
         may_commit=Effect.COMMIT in effects,
         only_queries=all(profile.only_queries for profile in profiles),
         refusal=refusal,
--- a/limedyke/core/sql/statement_commands.py
+++ b/limedyke/core/sql/statement_commands.py
@@ -40,7 +40,7 @@
         effect = Effect.BEGIN_READ_WRITE
     elif "READ ONLY" in modes:
         effect = Effect.BEGIN_READ_ONLY
-    return replace(change(effect), may_open=True)
+    return replace(change(effect), may_open_transaction=True)
 
 
 def end(words: list[str]) -> StatementProfile:
@@ -55,7 +55,7 @@
         if effect is Effect.COMMIT:
             return refused(OPEN_BEHIND_COMMIT)
         chained = (0, SessionChange(Effect.BEGIN))
-        return replace(profile, changes=(*profile.changes, chained), may_open=True)
+        return replace(profile, changes=(*profile.changes, chained), may_open_transaction=True)
     return profile
 
 
--- a/limedyke/core/units/unit_builder.py
+++ b/limedyke/core/units/unit_builder.py
@@ -18,7 +18,7 @@
     tenant = context.find_tenant(state.owner.tenant)
     in_transaction = state.is_in_transaction
     transaction = state.transaction
-    if not in_transaction and plan.may_open:
+    if not in_transaction and plan.may_open_transaction:
         transaction = context.next_number()
     access = choose_access(state, plan)
     options = state.options
--- a/limedyke/core/units/unit_outcome.py
+++ b/limedyke/core/units/unit_outcome.py
@@ -179,7 +179,7 @@
     """
     if _may_have_committed(state, running):
         return unknown
-    in_transaction = state.is_in_transaction or running.plan.may_open
+    in_transaction = state.is_in_transaction or running.plan.may_open_transaction
     return ResultCode.TRANSACTION_LOST if in_transaction else ResultCode.READ_FAILED
 
 
