--- a/limedyke/postgres/own_answer.py
+++ b/limedyke/postgres/own_answer.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnAnswer:
+class InternalQueryResult:
     """Answer to a statement of the proxy itself.
 
     :param rows: column values of all rows
@@ -38,7 +38,7 @@
         self._tags: list[bytes] = []
         self._error: bytes | None = None
 
-    def feed(self, frame: Frame) -> OwnAnswer | None:
+    def feed(self, frame: Frame) -> InternalQueryResult | None:
         """Take a frame; return the answer when that was its last."""
         kind, body = frame
         if kind == frames.DATA_ROW:
@@ -51,9 +51,9 @@
             return self._answer(body)
         return None
 
-    def _answer(self, status: bytes) -> OwnAnswer:
+    def _answer(self, status: bytes) -> InternalQueryResult:
         fields = frames.error_fields(self._error) if self._error is not None else {}
-        return OwnAnswer(
+        return InternalQueryResult(
             tuple(self._rows),
             tuple(self._tags),
             fields.get(b"C", b"").decode(errors="replace"),
--- a/limedyke/proxy/members/connection.py
+++ b/limedyke/proxy/members/connection.py
@@ -19,7 +19,7 @@
 from limedyke.postgres.member_answer import AnswerReader, AnswerViolationError
 from limedyke.postgres.member_frames import Frame, PositionAnswer
 from limedyke.postgres.member_login import MemberCredentials, MemberLogin
-from limedyke.postgres.own_answer import OwnAnswer, OwnAnswerReader
+from limedyke.postgres.own_answer import InternalQueryResult, OwnAnswerReader
 from limedyke.proxy.members.connection_state import BackendState
 from limedyke.result_codes import Failure, ResultCode
 
@@ -222,7 +222,7 @@
             self.broken = True
             raise
 
-    async def execute(self, sql: str) -> OwnAnswer:
+    async def execute(self, sql: str) -> InternalQueryResult:
         """Run a statement of the proxy itself and return its whole answer.
 
         :raises ConnectionLostError: when the connection breaks
@@ -233,7 +233,7 @@
         self._put_back = ()
         return answer
 
-    async def read_own(self) -> OwnAnswer:
+    async def read_own(self) -> InternalQueryResult:
         """Read the answer to one query of the proxy itself; others may be pipelined behind it.
 
         :raises ConnectionLostError: when the connection breaks
--- a/limedyke/proxy/members/probe.py
+++ b/limedyke/proxy/members/probe.py
@@ -14,8 +14,8 @@
 from limedyke.proxy.members.connection import (
     BackendConnection,
     ConnectionLostError,
+    InternalQueryResult,
     MemberEndpoint,
-    OwnAnswer,
 )
 from limedyke.result_codes import Failure, ResultCode
 
@@ -100,7 +100,7 @@
         await self._keep(connection)
         return Ok(ProbeAnswer(answer, round_trip_s))
 
-    async def execute(self, sql: str, timeout_s: float) -> Result[OwnAnswer, Failure]:
+    async def execute(self, sql: str, timeout_s: float) -> Result[InternalQueryResult, Failure]:
         """Run one statement that may run twice, over a kept connection or else a fresh one.
 
         A kept connection saves the round trips of a login.  When it is lost, or stays without
@@ -123,7 +123,7 @@
 
     async def _try_kept(
         self, kept: BackendConnection, sql: str, ends_at: float, attempt: _Attempt
-    ) -> Ok[OwnAnswer] | None:
+    ) -> Ok[InternalQueryResult] | None:
         answer = await self._execute_over(kept, sql, ends_at - time.monotonic())
         if isinstance(answer, Ok):
             return answer
@@ -131,7 +131,9 @@
         await attempt.kept_lost.set()
         return None
 
-    async def _try_fresh(self, sql: str, ends_at: float, attempt: _Attempt) -> Ok[OwnAnswer] | None:
+    async def _try_fresh(
+        self, sql: str, ends_at: float, attempt: _Attempt
+    ) -> Ok[InternalQueryResult] | None:
         await curio.ignore_after(KEPT_ANSWER_S, attempt.kept_lost.wait)
         answer = await self._execute_fresh(sql, ends_at)
         if isinstance(answer, Ok):
@@ -139,7 +141,9 @@
         attempt.failures.append(answer.err_value)
         return None
 
-    async def _execute_fresh(self, sql: str, ends_at: float) -> Result[OwnAnswer, Failure]:
+    async def _execute_fresh(
+        self, sql: str, ends_at: float
+    ) -> Result[InternalQueryResult, Failure]:
         opened = await self._open(max(0.0, ends_at - time.monotonic()))
         if isinstance(opened, Err):
             return opened
@@ -148,7 +152,7 @@
 
     async def _execute_over(
         self, connection: BackendConnection, sql: str, timeout_s: float
-    ) -> Result[OwnAnswer, Failure]:
+    ) -> Result[InternalQueryResult, Failure]:
         try:
             async with curio.timeout_after(timeout_s):
                 answer = await connection.execute(sql)
--- a/limedyke/proxy/members/promotion_executor.py
+++ b/limedyke/proxy/members/promotion_executor.py
@@ -13,7 +13,7 @@
 from limedyke.messages.control import PromoteOrder, PromoteResult
 from limedyke.messages.work import LogPosition
 from limedyke.postgres.member_frames import parse_position, quote_literal
-from limedyke.proxy.members.connection import OwnAnswer
+from limedyke.proxy.members.connection import InternalQueryResult
 from limedyke.proxy.members.probe import MemberProbe
 from limedyke.result_codes import Failure, ResultCode
 
@@ -119,7 +119,9 @@
         return Ok(None)
 
 
-def _read_promise(member: str, answer: Result[OwnAnswer, Failure]) -> Result[Promised, Failure]:
+def _read_promise(
+    member: str, answer: Result[InternalQueryResult, Failure]
+) -> Result[Promised, Failure]:
     """Read ``last_log_term,X/Y``."""
     if isinstance(answer, Err):
         return answer
--- a/limedyke/proxy/unit_context.py
+++ b/limedyke/proxy/unit_context.py
@@ -12,7 +12,7 @@
 from limedyke.messages.work import Access, AnswerEnd, LogPosition, TransactionStatus, WorkUnit
 from limedyke.proxy.executor import Relay, jittered
 from limedyke.proxy.forwarding.work_key import WorkKey
-from limedyke.proxy.members.connection import BackendConnection, OwnAnswer
+from limedyke.proxy.members.connection import BackendConnection, InternalQueryResult
 from limedyke.proxy.members.gate import Grant, MemberGate
 from limedyke.proxy.members.group import BackendGroup
 from limedyke.proxy.metrics import ProxyMetrics
@@ -148,7 +148,7 @@
         )
         return True
 
-    async def execute(self, connection: BackendConnection, sql: str) -> OwnAnswer:
+    async def execute(self, connection: BackendConnection, sql: str) -> InternalQueryResult:
         """Run a statement of the proxy itself as a part of the unit.
 
         :raises ConnectionLostError: when the connection breaks
--- a/limedyke/proxy/unit_once.py
+++ b/limedyke/proxy/unit_once.py
@@ -14,7 +14,7 @@
 
 from limedyke.postgres import member_frames as frames
 from limedyke.postgres.member_batch import batch_digest
-from limedyke.proxy.members.connection import BackendConnection, OwnAnswer
+from limedyke.proxy.members.connection import BackendConnection, InternalQueryResult
 from limedyke.result_codes import Failure, ResultCode
 
 TABLE = "limedyke_once"
@@ -89,7 +89,7 @@
         text = frames.quote_literal(tag.decode(errors="replace"))
         return f"UPDATE {TABLE} SET command_tag = {text} WHERE request_key = {self._key}"
 
-    def judge_opening(self, answer: OwnAnswer) -> KeyAnswer:
+    def judge_opening(self, answer: InternalQueryResult) -> KeyAnswer:
         """Tell from the answer to BEGIN and an insert whether the key is new.
 
         A batch itself never begins a transaction, so the first tag shows that this is not
@@ -99,7 +99,7 @@
             return KeyAnswer(KeyState.FOREIGN, "", "the answer is that of another request")
         return self.judge_insert(answer)
 
-    def judge_insert(self, answer: OwnAnswer) -> KeyAnswer:
+    def judge_insert(self, answer: InternalQueryResult) -> KeyAnswer:
         """Tell from the answer to an insert whether the key is new."""
         if answer.sqlstate == UNDEFINED_TABLE_SQLSTATE:
             return KeyAnswer(KeyState.NO_TABLE)
--- a/limedyke/proxy/unit_once_write.py
+++ b/limedyke/proxy/unit_once_write.py
@@ -5,7 +5,11 @@
 from limedyke.messages.work import TransactionStatus
 from limedyke.postgres import member_frames as frames
 from limedyke.postgres.member_batch import repeated_answer
-from limedyke.proxy.members.connection import BackendConnection, ConnectionLostError, OwnAnswer
+from limedyke.proxy.members.connection import (
+    BackendConnection,
+    ConnectionLostError,
+    InternalQueryResult,
+)
 from limedyke.proxy.unit_context import UnitContext, may_end_transaction
 from limedyke.proxy.unit_exchange import Exchange, ExchangePlan
 from limedyke.proxy.unit_once import (
@@ -32,7 +36,7 @@
     def __init__(self, context: UnitContext) -> None:
         super().__init__(context)
         self._key = OnceKey.of(self._unit.once_key, self._unit.data, self._unit.prepared)
-        self._inserted: OwnAnswer | None = None
+        self._inserted: InternalQueryResult | None = None
 
     async def _execute(self, connection: BackendConnection, term: int) -> Executed:
         for _ in range(ATTEMPTS):
