--- a/limedyke/postgres/own_answer.py
+++ b/limedyke/postgres/own_answer.py
@@ -30,7 +30,7 @@
         return self.tags[-1] if self.tags else b""
 
 
-class OwnAnswerReader:
+class InternalQueryReader:
     """Takes frames up to ReadyForQuery."""
 
     def __init__(self) -> None:
--- a/limedyke/proxy/members/connection.py
+++ b/limedyke/proxy/members/connection.py
@@ -19,7 +19,7 @@
 from limedyke.postgres.member_answer import AnswerReader, AnswerViolationError
 from limedyke.postgres.member_frames import Frame, PositionAnswer
 from limedyke.postgres.member_login import MemberCredentials, MemberLogin
-from limedyke.postgres.own_answer import InternalQueryResult, OwnAnswerReader
+from limedyke.postgres.own_answer import InternalQueryReader, InternalQueryResult
 from limedyke.proxy.members.connection_state import BackendState
 from limedyke.result_codes import Failure, ResultCode
 
@@ -238,7 +238,7 @@
 
         :raises ConnectionLostError: when the connection breaks
         """
-        reader = OwnAnswerReader()
+        reader = InternalQueryReader()
         while True:
             received = await self.receive()
             for index, frame in enumerate(received):
