--- a/limedyke/proxy/members/connection.py
+++ b/limedyke/proxy/members/connection.py
@@ -16,10 +16,10 @@
 from limedyke.addresses import split_address
 from limedyke.messages.work import LogPosition, SessionSetting
 from limedyke.postgres import member_frames as frames
+from limedyke.postgres.internal_query import InternalQueryReader, InternalQueryResult
 from limedyke.postgres.member_answer import AnswerReader, AnswerViolationError
 from limedyke.postgres.member_frames import Frame, PositionAnswer
 from limedyke.postgres.member_login import MemberCredentials, MemberLogin
-from limedyke.postgres.own_answer import InternalQueryReader, InternalQueryResult
 from limedyke.proxy.members.connection_state import BackendState
 from limedyke.result_codes import Failure, ResultCode
 
