--- a/features/steps/session_safeguards_steps.py
+++ b/features/steps/session_safeguards_steps.py
@@ -37,7 +37,7 @@
 SAFEGUARDS: dict[str, Callable[[], AbstractContextManager]] = {
     "signature": lambda: mock.patch.object(TokenAuthority, "_mac", _accept_any_mac),
     "owner": lambda: mock.patch.object(TokenOwner, "digest", lambda owner: b"x" * 16),
-    "never back": lambda: mock.patch.object(SessionPosition, "take_claim", _take_claim_back),
+    "never back": lambda: mock.patch.object(SessionPosition, "merge_claim", _take_claim_back),
     "barrier by name": lambda: mock.patch.object(session_opening, "SESSION_NAME_SETTING", "off"),
     "barrier on loss": lambda: mock.patch.object(
         SessionPosition, "record_unknown_write", _forget_loss
--- a/limedyke/core/sessions/local_commands.py
+++ b/limedyke/core/sessions/local_commands.py
@@ -165,7 +165,7 @@
         claim = self._context.authority.check(token, state.owner, self._moment.unix_s)
         if isinstance(claim, Err):
             return claim.err_value
-        state.position.take_claim(claim.ok_value)
+        state.position.merge_claim(claim.ok_value)
         return None
 
     def _set_barrier(self, value: str) -> None:
--- a/limedyke/core/sessions/session_position.py
+++ b/limedyke/core/sessions/session_position.py
@@ -22,7 +22,7 @@
         self.required = NO_POSITION
         self.barrier = False
 
-    def take_claim(self, claim: TokenClaim) -> None:
+    def merge_claim(self, claim: TokenClaim) -> None:
         """Take what a token says; it never takes the session back."""
         self.required = max(self.required, claim.position)
         self.barrier = self.barrier or claim.barrier
