--- a/features/support/client_side_process.py
+++ b/features/support/client_side_process.py
@@ -132,7 +132,7 @@
     if safeguard == "wait for work":
         ClientWatch.ask_all_to_leave = ClientWatch.end_all
     elif safeguard == "quiet before end":
-        take_end = Session._take_end
+        take_end = Session._handle_unit_end
 
         def take_end_and_leave(
             session: Session, end: AnswerEnd, moment: Moment
@@ -142,7 +142,7 @@
                 session._close(Failure(ResultCode.DRAINING), commands)
             return commands
 
-        Session._take_end = take_end_and_leave
+        Session._handle_unit_end = take_end_and_leave
 
 
 async def serve(address: str, folder: Path) -> int:
--- a/limedyke/core/sessions/session.py
+++ b/limedyke/core/sessions/session.py
@@ -88,7 +88,7 @@
             case AnswerReceived(chunk):
                 return self._take_answer(chunk.data)
             case UnitEnded(end, moment):
-                return self._take_end(end, moment)
+                return self._handle_unit_end(end, moment)
             case ClientMessages(messages, moment):
                 return self._take_messages(messages, moment)
             case Tick(moment):
@@ -251,7 +251,7 @@
         data = take_answer_part(self.state, self._running, data)
         return [SendToClient(data)] if data else []
 
-    def _take_end(self, end: AnswerEnd, moment: Moment) -> list[SessionCommand]:
+    def _handle_unit_end(self, end: AnswerEnd, moment: Moment) -> list[SessionCommand]:
         running = self._running
         if running is None or end.stream != running.unit.stream:
             return []
