--- a/features/mutants/stop_safeguards.py
+++ b/features/mutants/stop_safeguards.py
@@ -144,7 +144,7 @@
     queued = [CallCaller() for _ in range(SHORT_QUEUE + 1)]
     for caller in queued:
         caller.send_at_once(f"{host}:{port}", CALL)
-    await last.hear_again()
+    await last.stop_packet_loss()
     serving = await curio.spawn(server.run, listener)
     draining = await curio.spawn(server.drain)
     await queued[0].receive()
--- a/features/steps/http_server_steps.py
+++ b/features/steps/http_server_steps.py
@@ -207,7 +207,7 @@
     last.begin_to_connect(context.address)
     for caller in queued:
         caller.send_at_once(context.address, b"")
-    context.kernel.run(last.hear_again)
+    context.kernel.run(last.stop_packet_loss)
 
 
 @when("http server: it is told to end, and they call, the last one once the first is answered")
--- a/features/support/http_callers.py
+++ b/features/support/http_callers.py
@@ -48,7 +48,7 @@
             raw.sendall(data)
 
     def begin_to_connect(self, address: str) -> None:
-        """Ask for a connection, and lose the kernel's answers until ``hear_again``."""
+        """Ask for a connection, and lose the kernel's answers until ``stop_packet_loss``."""
         program = ctypes.create_string_buffer(DROP_ALL, len(DROP_ALL))
         filters = struct.pack("HP", 1, ctypes.addressof(program))
         self._socket.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, filters)
@@ -56,7 +56,7 @@
             raw.setblocking(False)
             raw.connect_ex(split_address(address))
 
-    async def hear_again(self) -> None:
+    async def stop_packet_loss(self) -> None:
         """Lose nothing any more, and return once the connection is open for this caller."""
         self._socket.setsockopt(socket.SOL_SOCKET, SO_DETACH_FILTER, 0)
         async with curio.timeout_after(HANDSHAKE_LIMIT_S):
