--- a/limedyke/controller/call_router.py
+++ b/limedyke/controller/call_router.py
@@ -11,11 +11,11 @@
 
 from limedyke.controller.leading.leader_calls import LeaderCalls, failed
 from limedyke.event_log import EventLog
+from limedyke.in_flight import UnderWay
 from limedyke.link_tasks import until_closed
 from limedyke.messages.calls import Call, CallAnswer, ForwardedAnswer, ForwardedCall
 from limedyke.result_codes import Failure, ResultCode
 from limedyke.transport.link import KeyLookup, Link, LinkClosedError, LinkIdentity, dial
-from limedyke.under_way import UnderWay
 
 DIAL_TIMEOUT_S = 0.6
 ASK_LIMIT_S = 1.0
--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -32,6 +32,7 @@
 from limedyke.core.agreement.voter_policy import VoterPolicy
 from limedyke.core.limits.leader_history import LeaderHistory
 from limedyke.event_log import EventLog
+from limedyke.in_flight import UnderWay
 from limedyke.messages.agreement import ControllerIdentity, EntryKind, LogEntry
 from limedyke.messages.control import ControlUpdate, NotLeader, ProxyHello
 from limedyke.messages.control_entries import recorded_addresses
@@ -47,7 +48,6 @@
 from limedyke.storage.open_log import open_durable_log, reopen_durable_log
 from limedyke.transport.link import Link, LinkIdentity, listen, serve_links
 from limedyke.transport.traffic import Place
-from limedyke.under_way import UnderWay
 
 INCARNATION_BYTES = 8
 LEADERSHIP_CHECK_S = 0.02
