--- a/features/mutants/stop_safeguards.py
+++ b/features/mutants/stop_safeguards.py
@@ -140,7 +140,7 @@
     host, port = listener.getsockname()
     server = HttpServer(_answer_call, HttpLimits(CALL_BYTES))
     last = CallCaller()
-    last.begin_to_connect(f"{host}:{port}")
+    last.start_connecting(f"{host}:{port}")
     queued = [CallCaller() for _ in range(SHORT_QUEUE + 1)]
     for caller in queued:
         caller.send_at_once(f"{host}:{port}", CALL)
--- a/features/steps/http_server_steps.py
+++ b/features/steps/http_server_steps.py
@@ -204,7 +204,7 @@
     """The queue is full when the confirmation comes, so that the kernel drops it."""
     context.callers = [CallCaller() for _ in range(count)]
     *queued, last = context.callers
-    last.begin_to_connect(context.address)
+    last.start_connecting(context.address)
     for caller in queued:
         caller.send_at_once(context.address, b"")
     context.kernel.run(last.stop_packet_loss)
--- a/features/support/http_callers.py
+++ b/features/support/http_callers.py
@@ -47,7 +47,7 @@
         with self._socket.blocking() as raw:
             raw.sendall(data)
 
-    def begin_to_connect(self, address: str) -> None:
+    def start_connecting(self, address: str) -> None:
         """Ask for a connection, and lose the kernel's answers until ``stop_packet_loss``."""
         program = ctypes.create_string_buffer(DROP_ALL, len(DROP_ALL))
         filters = struct.pack("HP", 1, ctypes.addressof(program))
