--- a/limedyke/controller/call_router.py
+++ b/limedyke/controller/call_router.py
@@ -11,7 +11,7 @@
 
 from limedyke.controller.leading.leader_calls import LeaderCalls, failed
 from limedyke.event_log import EventLog
-from limedyke.in_flight import UnderWay
+from limedyke.in_flight import InFlightCounter
 from limedyke.link_tasks import until_closed
 from limedyke.messages.calls import Call, CallAnswer, ForwardedAnswer, ForwardedCall
 from limedyke.result_codes import Failure, ResultCode
@@ -105,7 +105,7 @@
         self._link: _LeaderLink | None = None
         self._dialling = curio.Lock()
         self._answer_by = float("inf")
-        self._forwarded = UnderWay()
+        self._forwarded = InFlightCounter()
 
     def stop_at(self, answer_by: float) -> None:
         """Answer each call by a moment of the monotonic clock: the process ends soon after."""
--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -32,7 +32,7 @@
 from limedyke.core.agreement.voter_policy import VoterPolicy
 from limedyke.core.limits.leader_history import LeaderHistory
 from limedyke.event_log import EventLog
-from limedyke.in_flight import UnderWay
+from limedyke.in_flight import InFlightCounter
 from limedyke.messages.agreement import ControllerIdentity, EntryKind, LogEntry
 from limedyke.messages.control import ControlUpdate, NotLeader, ProxyHello
 from limedyke.messages.control_entries import recorded_addresses
@@ -138,7 +138,7 @@
             settings.source_ip,
             self._leader_lost,
         )
-        self._operators_under_way = UnderWay()
+        self._operators_under_way = InFlightCounter()
         self._history = LeaderHistory(boot_seconds())
         self._search: MembershipSearch | None = None
 
--- a/limedyke/in_flight.py
+++ b/limedyke/in_flight.py
@@ -9,7 +9,7 @@
 LOOK_INTERVAL_S = 0.01
 
 
-class UnderWay:
+class InFlightCounter:
     """A context that each piece of work runs in.
 
     :ivar count: how many run at present
