--- a/features/mutants/stop_safeguards.py
+++ b/features/mutants/stop_safeguards.py
@@ -125,7 +125,7 @@
     await server._acceptor._accepting.cancel()
     callers = [CallCaller() for _ in range(CLIENTS)]
     for caller in callers:
-        caller.send_at_once(f"{host}:{port}", CALL)
+        caller.send_blocking(f"{host}:{port}", CALL)
     await server.drain()
     for caller in callers:
         caller.receive_at_once()
@@ -143,7 +143,7 @@
     last.start_connecting(f"{host}:{port}")
     queued = [CallCaller() for _ in range(SHORT_QUEUE + 1)]
     for caller in queued:
-        caller.send_at_once(f"{host}:{port}", CALL)
+        caller.send_blocking(f"{host}:{port}", CALL)
     await last.stop_packet_loss()
     serving = await curio.spawn(server.run, listener)
     draining = await curio.spawn(server.drain)
--- a/features/steps/http_server_steps.py
+++ b/features/steps/http_server_steps.py
@@ -141,7 +141,7 @@
 async def _call_unseen_and_end(context) -> None:
     """Call without a moment in which the server's tasks run."""
     for caller in context.callers:
-        caller.send_at_once(context.address, CALL)
+        caller.send_blocking(context.address, CALL)
     await _end(context)
 
 
@@ -206,7 +206,7 @@
     *queued, last = context.callers
     last.start_connecting(context.address)
     for caller in queued:
-        caller.send_at_once(context.address, b"")
+        caller.send_blocking(context.address, b"")
     context.kernel.run(last.stop_packet_loss)
 
 
--- a/features/support/http_callers.py
+++ b/features/support/http_callers.py
@@ -36,7 +36,7 @@
         await self._socket.connect(split_address(address))
         await self._socket.sendall(data)
 
-    def send_at_once(self, address: str, data: bytes) -> None:
+    def send_blocking(self, address: str, data: bytes) -> None:
         """Connect and send without giving other tasks a turn."""
         with self._socket.blocking() as raw:
             raw.connect(split_address(address))
