--- a/limedyke/controller/call_router.py
+++ b/limedyke/controller/call_router.py
@@ -12,7 +12,7 @@
 from limedyke.controller.leading.leader_calls import LeaderCalls, failed
 from limedyke.event_log import EventLog
 from limedyke.in_flight import InFlightCounter
-from limedyke.link_tasks import until_closed
+from limedyke.link_tasks import serve_until_closed
 from limedyke.messages.calls import Call, CallAnswer, ForwardedAnswer, ForwardedCall
 from limedyke.result_codes import Failure, ResultCode
 from limedyke.transport.link import KeyLookup, Link, LinkClosedError, LinkIdentity, dial
@@ -59,7 +59,7 @@
 
     async def _receive_all(self) -> None:
         """Hand out answers until the link ends; then tell those that wait."""
-        reason = await until_closed(self._receive)
+        reason = await serve_until_closed(self._receive)
         self.is_open = False
         for answers in list(self._waiting.values()):
             await answers.put(_lost(reason))
@@ -167,7 +167,7 @@
         with self._forwarded:
             if calls is not None:
                 answer = await calls.answer_forwarded(message.call)
-            await until_closed(link.send, ForwardedAnswer(message.number, answer))
+            await serve_until_closed(link.send, ForwardedAnswer(message.number, answer))
 
     async def _ask(self, call: Call) -> CallAnswer:
         calls = self._calls()
--- a/limedyke/controller/leading/proxy_sessions.py
+++ b/limedyke/controller/leading/proxy_sessions.py
@@ -22,7 +22,7 @@
 )
 from limedyke.core.control.leader import EARLIER_PROCESS
 from limedyke.event_log import EventLog
-from limedyke.link_tasks import until_closed
+from limedyke.link_tasks import serve_until_closed
 from limedyke.messages.control import (
     ControlTarget,
     ControlUpdate,
@@ -182,8 +182,8 @@
         await entry.tell_news()
         try:
             async with curio.TaskGroup(wait=any) as tasks:
-                await tasks.spawn(until_closed, self._read_all, entry)
-                await tasks.spawn(until_closed, entry.write_all, self._news)
+                await tasks.spawn(serve_until_closed, self._read_all, entry)
+                await tasks.spawn(serve_until_closed, entry.write_all, self._news)
         finally:
             if self._links.get(hello.name) is entry:
                 del self._links[hello.name]
--- a/limedyke/controller/peer_network.py
+++ b/limedyke/controller/peer_network.py
@@ -13,7 +13,7 @@
 from limedyke.core.agreement.envelope import open_envelope, seal
 from limedyke.core.backoff import Backoff
 from limedyke.event_log import EventLog
-from limedyke.link_tasks import until_closed
+from limedyke.link_tasks import serve_until_closed
 from limedyke.messages.agreement import (
     AgreementEnvelope,
     AgreementMessage,
@@ -181,10 +181,10 @@
         keepalive = Keepalive(link, PROBE_INTERVAL_S, PROBE_LIMIT_S)
         try:
             async with curio.TaskGroup(wait=any) as tasks:
-                await tasks.spawn(until_closed, self._send_all, link, outgoing)
+                await tasks.spawn(serve_until_closed, self._send_all, link, outgoing)
                 if link.peer_answers_probes:
-                    await tasks.spawn(until_closed, keepalive.run)
-                    await tasks.spawn(until_closed, keepalive.listen)
+                    await tasks.spawn(serve_until_closed, keepalive.run)
+                    await tasks.spawn(serve_until_closed, keepalive.listen)
             EVENTS.info("peer-link-closed", address=address, reason=tasks.completed.result)
         finally:
             await link.close()
--- a/limedyke/link_tasks.py
+++ b/limedyke/link_tasks.py
@@ -7,7 +7,7 @@
 from limedyke.transport.link import LinkClosedError
 
 
-async def until_closed(serve: Callable[..., Awaitable[None]], *arguments: object) -> str:
+async def serve_until_closed(serve: Callable[..., Awaitable[None]], *arguments: object) -> str:
     """Run ``serve`` until its link ends; return the reason, so that no task ends in an error."""
     try:
         await serve(*arguments)
--- a/limedyke/proxy/control/client.py
+++ b/limedyke/proxy/control/client.py
@@ -15,7 +15,7 @@
 from result import Err
 
 from limedyke.event_log import EventLog
-from limedyke.link_tasks import until_closed
+from limedyke.link_tasks import serve_until_closed
 from limedyke.messages.control import (
     ConnectionDemand,
     ConnectionLease,
@@ -272,10 +272,10 @@
         self.links_opened += 1
         self._quorum.link_opened(time.monotonic())
         async with curio.TaskGroup(wait=any) as tasks:
-            await tasks.spawn(until_closed, self._receive_all, link, found.first)
-            await tasks.spawn(until_closed, self._send_heartbeats, link)
-            await tasks.spawn(until_closed, self._reports.watch_silence)
-            await tasks.spawn(until_closed, self._leases.watch_lost)
+            await tasks.spawn(serve_until_closed, self._receive_all, link, found.first)
+            await tasks.spawn(serve_until_closed, self._send_heartbeats, link)
+            await tasks.spawn(serve_until_closed, self._reports.watch_silence)
+            await tasks.spawn(serve_until_closed, self._leases.watch_lost)
         raise LinkClosedError(tasks.completed.result)
 
     async def _send_heartbeats(self, link: Link) -> None:
