--- a/features/mutants/stop_safeguards.py
+++ b/features/mutants/stop_safeguards.py
@@ -148,7 +148,7 @@
     serving = await curio.spawn(server.run, listener)
     draining = await curio.spawn(server.drain)
     await queued[0].receive()
-    last.send_rest_at_once(CALL)
+    last.send_rest_blocking(CALL)
     await draining.join()
     last.receive_at_once()
     await serving.cancel()
--- a/features/steps/http_server_steps.py
+++ b/features/steps/http_server_steps.py
@@ -191,7 +191,7 @@
     ending = await curio.spawn(_end, context)
     await curio.sleep(SETTLE_S)
     for caller in context.callers:
-        caller.send_rest_at_once(CALL)
+        caller.send_rest_blocking(CALL)
     time.sleep(still_s)
     await ending.join()
 
@@ -224,9 +224,9 @@
     await context.begin_to_accept()
     ending = await curio.spawn(_drain, context)
     for caller in queued:
-        caller.send_rest_at_once(CALL)
+        caller.send_rest_blocking(CALL)
     await queued[0].receive()
-    last.send_rest_at_once(CALL)
+    last.send_rest_blocking(CALL)
     await ending.join()
     for caller in context.callers[1:]:
         caller.receive_at_once()
--- a/features/support/http_callers.py
+++ b/features/support/http_callers.py
@@ -42,7 +42,7 @@
             raw.connect(split_address(address))
             raw.sendall(data)
 
-    def send_rest_at_once(self, data: bytes) -> None:
+    def send_rest_blocking(self, data: bytes) -> None:
         """Send without giving other tasks a turn."""
         with self._socket.blocking() as raw:
             raw.sendall(data)
