--- a/limedyke/cli/main.py
+++ b/limedyke/cli/main.py
@@ -14,7 +14,7 @@
 
 from limedyke.cli import declaration_commands, operation_commands
 from limedyke.cli.command import run_command
-from limedyke.curio_logging import quiet_late_timeouts
+from limedyke.curio_logging import suppress_late_timeout_warnings
 from limedyke.event_log import start_logging
 from limedyke.log_explanation import as_text as as_explanation
 from limedyke.log_explanation import explain as explain_request
@@ -44,7 +44,7 @@
         print(secrets.err_value, file=sys.stderr)
         raise SystemExit(EXIT_SETTINGS_INVALID)
     start_logging(checked.log_level)
-    quiet_late_timeouts()
+    suppress_late_timeout_warnings()
     raise SystemExit(run(checked, secrets.ok_value))
 
 
