--- a/features/mutants/stop_safeguards.py
+++ b/features/mutants/stop_safeguards.py
@@ -128,7 +128,7 @@
         caller.send_blocking(f"{host}:{port}", CALL)
     await server.drain()
     for caller in callers:
-        caller.receive_at_once()
+        caller.receive_available()
     await serving.cancel()
     return not all(caller.is_answered for caller in callers)
 
@@ -150,7 +150,7 @@
     await queued[0].receive()
     last.send_rest_blocking(CALL)
     await draining.join()
-    last.receive_at_once()
+    last.receive_available()
     await serving.cancel()
     return not last.is_answered
 
--- a/features/steps/http_server_steps.py
+++ b/features/steps/http_server_steps.py
@@ -149,7 +149,7 @@
     """Drain the server as a process does that ends behind it: what is not answered is cut."""
     await _drain(context)
     for caller in context.callers:
-        caller.receive_at_once()
+        caller.receive_available()
 
 
 async def _drain(context) -> None:
@@ -229,7 +229,7 @@
     last.send_rest_blocking(CALL)
     await ending.join()
     for caller in context.callers[1:]:
-        caller.receive_at_once()
+        caller.receive_available()
 
 
 @when("http server: it is told to end")
--- a/features/support/http_callers.py
+++ b/features/support/http_callers.py
@@ -79,7 +79,7 @@
             self.answer = b""
         return self.answer
 
-    def receive_at_once(self) -> None:
+    def receive_available(self) -> None:
         """Keep what has come so far, without giving other tasks a turn."""
         try:
             with self._socket.blocking() as raw:
