--- a/limedyke/proxy/statements/server.py
+++ b/limedyke/proxy/statements/server.py
@@ -36,7 +36,7 @@
 from limedyke.proxy.statements.statement_metrics import StatementMetrics
 from limedyke.settings.base import EXIT_SETTINGS_INVALID
 from limedyke.settings.secrets import Secrets
-from limedyke.settings_watch import SettingsWatch
+from limedyke.settings_watch import SettingsWatcher
 from limedyke.stop_signal import StopSignal
 from limedyke.transport.acceptor import Acceptor
 from limedyke.transport.http_server import HttpAnswer, HttpLimits, HttpRequest, HttpServer
@@ -71,7 +71,7 @@
     ) -> None:
         self._settings = settings
         self._reread = reread
-        self._settings_watch = SettingsWatch(settings_file, self._reload)
+        self._settings_watch = SettingsWatcher(settings_file, self._reload)
         self._key = (secrets.get(settings.cluster_key) or "").encode()
         self._make_client_codec = make_client_codec
         self._registry = new_registry()
--- a/limedyke/settings_watch.py
+++ b/limedyke/settings_watch.py
@@ -15,7 +15,7 @@
 EVENTS = EventLog("settings")
 
 
-class SettingsWatch:
+class SettingsWatcher:
     """Calls back when a settings file has changed; handles SIGHUP from the moment it is made.
 
     :param path: the settings file
