--- a/features/mutants/stop_safeguards.py
+++ b/features/mutants/stop_safeguards.py
@@ -9,7 +9,7 @@
 import curio
 
 from features.mutants.mutant import Mutant
-from features.support.http_callers import CALL, DROP_ALL, CallCaller
+from features.support.http_callers import CALL, DROP_ALL, HttpTestClient
 from features.support.statement_path import LineClient
 from features.support.statement_stop import StoppingPath
 from limedyke.core.statements import stop_schedule
@@ -123,7 +123,7 @@
     serving = await curio.spawn(server.run, listener)
     await curio.sleep(ASKED_S)
     await server._acceptor._accepting.cancel()
-    callers = [CallCaller() for _ in range(CLIENTS)]
+    callers = [HttpTestClient() for _ in range(CLIENTS)]
     for caller in callers:
         caller.send_blocking(f"{host}:{port}", CALL)
     await server.drain()
@@ -139,9 +139,9 @@
     listener.listen(SHORT_QUEUE)
     host, port = listener.getsockname()
     server = HttpServer(_answer_call, HttpLimits(CALL_BYTES))
-    last = CallCaller()
+    last = HttpTestClient()
     last.start_connecting(f"{host}:{port}")
-    queued = [CallCaller() for _ in range(SHORT_QUEUE + 1)]
+    queued = [HttpTestClient() for _ in range(SHORT_QUEUE + 1)]
     for caller in queued:
         caller.send_blocking(f"{host}:{port}", CALL)
     await last.stop_packet_loss()
--- a/features/steps/http_server_steps.py
+++ b/features/steps/http_server_steps.py
@@ -7,7 +7,7 @@
 import curio
 from behave import given, then, when
 
-from features.support.http_callers import CALL, SETTLE_S, CallCaller
+from features.support.http_callers import CALL, SETTLE_S, HttpTestClient
 from limedyke.transport.http_server import HttpAnswer, HttpLimits, HttpServer
 from limedyke.transport.link import listen
 
@@ -54,14 +54,14 @@
     _start(context, places, takes / 1_000)
 
 
-async def _call(context, caller: CallCaller) -> None:
+async def _call(context, caller: HttpTestClient) -> None:
     await caller.send(context.address)
     await caller.receive()
 
 
 @when("http server: {count:d} callers call one after the other, and keep their connections")
 def step_call(context, count):
-    context.callers = [CallCaller() for _ in range(count)]
+    context.callers = [HttpTestClient() for _ in range(count)]
     for caller in context.callers:
         context.kernel.run(_call, context, caller)
         context.kernel.run(curio.sleep, SETTLE_S)
@@ -69,7 +69,7 @@
 
 @when("http server: one more calls")
 def step_one_more(context):
-    context.further = CallCaller()
+    context.further = HttpTestClient()
     context.kernel.run(_call, context, context.further)
 
 
@@ -93,7 +93,7 @@
 
 @when("http server: {count:d} callers call at once, and one more calls")
 def step_at_once(context, count):
-    context.callers = [CallCaller() for _ in range(count)]
+    context.callers = [HttpTestClient() for _ in range(count)]
     for caller in context.callers:
         context.kernel.run(caller.send, context.address)
     context.kernel.run(curio.sleep, SETTLE_S)
@@ -116,7 +116,7 @@
 
 @when("http server: {count:d} callers have sent half a call, and one more calls")
 def step_half(context, count):
-    context.callers = [CallCaller() for _ in range(count)]
+    context.callers = [HttpTestClient() for _ in range(count)]
     for caller in context.callers:
         context.kernel.run(caller.send, context.address, CALL[:20])
     context.kernel.run(curio.sleep, SETTLE_S)
@@ -134,7 +134,7 @@
 
 @when("http server: {count:d} callers call while it does not look, and it is told to end")
 def step_unseen(context, count):
-    context.callers = [CallCaller() for _ in range(count)]
+    context.callers = [HttpTestClient() for _ in range(count)]
     context.kernel.run(_call_unseen_and_end, context)
 
 
@@ -160,7 +160,7 @@
 
 @when("http server: {count:d} callers connect, it is told to end, and they call {late:d} ms later")
 def step_late_call(context, count, late):
-    context.callers = [CallCaller() for _ in range(count)]
+    context.callers = [HttpTestClient() for _ in range(count)]
     context.kernel.run(_connect_and_end, context, late / 1_000)
 
 
@@ -180,7 +180,7 @@
     "they call meanwhile"
 )
 def step_stands_still(context, count, still):
-    context.callers = [CallCaller() for _ in range(count)]
+    context.callers = [HttpTestClient() for _ in range(count)]
     context.kernel.run(_connect_and_stand_still, context, still / 1_000)
 
 
@@ -202,7 +202,7 @@
 )
 def step_unconfirmed(context, count):
     """The queue is full when the confirmation comes, so that the kernel drops it."""
-    context.callers = [CallCaller() for _ in range(count)]
+    context.callers = [HttpTestClient() for _ in range(count)]
     *queued, last = context.callers
     last.start_connecting(context.address)
     for caller in queued:
@@ -252,7 +252,7 @@
 @then("http server: a further connection is refused")
 def step_refused(context):
     try:
-        context.kernel.run(CallCaller().send, context.address)
+        context.kernel.run(HttpTestClient().send, context.address)
     except ConnectionRefusedError:
         return
     raise AssertionError("the connection was taken")
--- a/features/support/http_callers.py
+++ b/features/support/http_callers.py
@@ -24,7 +24,7 @@
 """State of a connection in ``TCP_INFO``."""
 
 
-class CallCaller:
+class HttpTestClient:
     """One connection to the server."""
 
     def __init__(self) -> None:
