--- a/limedyke/declaration/checks.py
+++ b/limedyke/declaration/checks.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from limedyke.declaration.models import GroupModel
-from limedyke.declaration.places import Located, Problem, line_at
+from limedyke.declaration.source_locations import Located, Problem, line_at
 from limedyke.settings.base import Model
 
 PROBE_CONNECTIONS = 3
--- a/limedyke/declaration/conversion.py
+++ b/limedyke/declaration/conversion.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from limedyke.declaration.models import AccessModel, GroupModel, TenantModel
-from limedyke.declaration.places import Located
+from limedyke.declaration.source_locations import Located
 from limedyke.messages.declaration import (
     Declaration,
     Group,
--- a/limedyke/declaration/file.py
+++ b/limedyke/declaration/file.py
@@ -17,7 +17,7 @@
 from limedyke.declaration.checks import check_together
 from limedyke.declaration.conversion import declaration_of
 from limedyke.declaration.models import GroupModel, ProxyModel, TenantModel, TokenKeyModel
-from limedyke.declaration.places import Located, Problem, child, join_key, line_at
+from limedyke.declaration.source_locations import Located, Problem, child, join_key, line_at
 from limedyke.messages.declaration import Declaration
 from limedyke.result_codes import Failure, ResultCode
 from limedyke.settings.base import Model
