--- a/features/mutants/stop_safeguards.py
+++ b/features/mutants/stop_safeguards.py
@@ -9,7 +9,7 @@
 import curio
 
 from features.mutants.mutant import Mutant
-from features.support.http_callers import CALL, DROP_ALL, HttpTestClient
+from features.support.http_test_clients import CALL, DROP_ALL, HttpTestClient
 from features.support.statement_path import LineClient
 from features.support.statement_stop import StoppingPath
 from limedyke.core.statements import stop_schedule
--- a/features/steps/http_server_steps.py
+++ b/features/steps/http_server_steps.py
@@ -7,7 +7,7 @@
 import curio
 from behave import given, then, when
 
-from features.support.http_callers import CALL, SETTLE_S, HttpTestClient
+from features.support.http_test_clients import CALL, SETTLE_S, HttpTestClient
 from limedyke.transport.http_server import HttpAnswer, HttpLimits, HttpServer
 from limedyke.transport.link import listen
 
