--- a/limedyke/declaration/checks.py
+++ b/limedyke/declaration/checks.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 
 from limedyke.declaration.models import GroupModel
-from limedyke.declaration.source_locations import Located, Problem, line_at
+from limedyke.declaration.source_locations import LocatedItem, Problem, line_at
 from limedyke.settings.base import Model
 
 PROBE_CONNECTIONS = 3
 
 
-def check_together(items: dict[str, list[Located]]) -> list[Problem]:
+def check_together(items: dict[str, list[LocatedItem]]) -> list[Problem]:
     """Return what is wrong with items that are each right by themselves.
 
     :param items: the items of each section, all files together
@@ -29,8 +29,8 @@
     return problems
 
 
-def _repeated(found: list[Located], identity: Callable[[Model], object]) -> list[Problem]:
-    first: dict[object, Located] = {}
+def _repeated(found: list[LocatedItem], identity: Callable[[Model], object]) -> list[Problem]:
+    first: dict[object, LocatedItem] = {}
     problems = []
     for located in found:
         known = first.setdefault(identity(located.item), located)
@@ -40,7 +40,7 @@
     return problems
 
 
-def _repeated_inside(located: Located, field: str, attribute: str) -> list[Problem]:
+def _repeated_inside(located: LocatedItem, field: str, attribute: str) -> list[Problem]:
     seen = set()
     problems = []
     for position, part in enumerate(getattr(located.item, field)):
@@ -52,7 +52,9 @@
     return problems
 
 
-def _check_group(located: Located, tenants: set[str], addresses: dict[str, str]) -> list[Problem]:
+def _check_group(
+    located: LocatedItem, tenants: set[str], addresses: dict[str, str]
+) -> list[Problem]:
     """Return what is wrong with a group.
 
     :param tenants: the names of the declared tenants
@@ -69,7 +71,7 @@
     return problems
 
 
-def _check_addresses(located: Located, addresses: dict[str, str]) -> list[Problem]:
+def _check_addresses(located: LocatedItem, addresses: dict[str, str]) -> list[Problem]:
     group: GroupModel = located.item
     problems = []
     for position, member in enumerate(group.members):
@@ -81,7 +83,7 @@
     return problems
 
 
-def _check_tenants(located: Located, tenants: set[str]) -> list[Problem]:
+def _check_tenants(located: LocatedItem, tenants: set[str]) -> list[Problem]:
     problems = []
     for position, access in enumerate(located.item.access):
         if access.tenant not in tenants:
@@ -90,7 +92,7 @@
     return problems
 
 
-def _check_budgets(located: Located) -> list[Problem]:
+def _check_budgets(located: LocatedItem) -> list[Problem]:
     group: GroupModel = located.item
     budgets = sum(access.connection_budget for access in group.access)
     if budgets + PROBE_CONNECTIONS <= group.connection_limit:
--- a/limedyke/declaration/conversion.py
+++ b/limedyke/declaration/conversion.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from limedyke.declaration.models import AccessModel, GroupModel, TenantModel
-from limedyke.declaration.source_locations import Located
+from limedyke.declaration.source_locations import LocatedItem
 from limedyke.messages.declaration import (
     Declaration,
     Group,
@@ -17,7 +17,7 @@
 )
 
 
-def declaration_of(items: dict[str, list[Located]]) -> Declaration:
+def declaration_of(items: dict[str, list[LocatedItem]]) -> Declaration:
     """Return the checked items as a declaration, in the order of their names."""
     tenants = [_tenant(located.item) for located in items["tenants"]]
     groups = [_group(located.item) for located in items["groups"]]
--- a/limedyke/declaration/file.py
+++ b/limedyke/declaration/file.py
@@ -17,7 +17,7 @@
 from limedyke.declaration.checks import check_together
 from limedyke.declaration.conversion import declaration_of
 from limedyke.declaration.models import GroupModel, ProxyModel, TenantModel, TokenKeyModel
-from limedyke.declaration.source_locations import Located, Problem, child, join_key, line_at
+from limedyke.declaration.source_locations import LocatedItem, Problem, child, join_key, line_at
 from limedyke.messages.declaration import Declaration
 from limedyke.result_codes import Failure, ResultCode
 from limedyke.settings.base import Model
@@ -49,7 +49,7 @@
 
     :returns: the declaration, or DECLARATION_INVALID with all problems, one a line
     """
-    items: dict[str, list[Located]] = {section: [] for section in _MODEL_OF_SECTION}
+    items: dict[str, list[LocatedItem]] = {section: [] for section in _MODEL_OF_SECTION}
     problems: list[Problem] = []
     for path in paths:
         problems += _read_file(path, items)
@@ -61,7 +61,7 @@
     return Ok(declaration_of(items))
 
 
-def _read_file(path: Path, items: dict[str, list[Located]]) -> list[Problem]:
+def _read_file(path: Path, items: dict[str, list[LocatedItem]]) -> list[Problem]:
     """Add a file's items; return what is wrong with it."""
     file = str(path)
     try:
@@ -81,7 +81,7 @@
 
 
 def _read_sections(
-    file: str, content: dict, node: yaml.MappingNode, items: dict[str, list[Located]]
+    file: str, content: dict, node: yaml.MappingNode, items: dict[str, list[LocatedItem]]
 ) -> list[Problem]:
     problems = []
     for section, entries in content.items():
@@ -101,7 +101,7 @@
 
 
 def _read_section(
-    file: str, section: str, entries: object, node: yaml.Node, found: list[Located]
+    file: str, section: str, entries: object, node: yaml.Node, found: list[LocatedItem]
 ) -> list[Problem]:
     if not isinstance(entries, list):
         return [Problem(file, node.start_mark.line + 1, section, "expected a list")]
@@ -111,7 +111,7 @@
         entry_node = node.value[position]
         key = f"{section}.{_label(entry, position)}"
         try:
-            found.append(Located(model.model_validate(entry), file, entry_node, key))
+            found.append(LocatedItem(model.model_validate(entry), file, entry_node, key))
         except ValidationError as error:
             problems += [
                 Problem(
--- a/limedyke/declaration/source_locations.py
+++ b/limedyke/declaration/source_locations.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Located:
+class LocatedItem:
     """A checked item and where it stands."""
 
     item: Model
