--- a/features/steps/tenants_steps.py
+++ b/features/steps/tenants_steps.py
@@ -8,7 +8,7 @@
 import curio
 from behave import given, step, then, when
 
-from documents import declaration_of, read_configuration
+from documents import build_declaration, read_configuration
 from features.steps.statement_path_steps import begin, run
 from features.support.statement_homes import ForwardingPath
 from features.support.statement_path import GROUP, StatementPath
@@ -252,7 +252,7 @@
 @when("tenants: a valid configuration is declared")
 def step_valid(context):
     read = read_configuration(json.dumps(_configuration()).encode())
-    context.declaration = declaration_of(read.unwrap())
+    context.declaration = build_declaration(read.unwrap())
 
 
 @then("tenants: no key stands in the declaration, and each finds its tenant")
--- a/limedyke/declaration/conversion.py
+++ b/limedyke/declaration/conversion.py
@@ -17,7 +17,7 @@
 )
 
 
-def declaration_of(items: dict[str, list[LocatedItem]]) -> Declaration:
+def build_declaration(items: dict[str, list[LocatedItem]]) -> Declaration:
     """Return the checked items as a declaration, in the order of their names."""
     tenants = [_tenant(located.item) for located in items["tenants"]]
     groups = [_group(located.item) for located in items["groups"]]
--- a/limedyke/declaration/file.py
+++ b/limedyke/declaration/file.py
@@ -15,7 +15,7 @@
 from result import Err, Ok, Result
 
 from limedyke.declaration.checks import check_together
-from limedyke.declaration.conversion import declaration_of
+from limedyke.declaration.conversion import build_declaration
 from limedyke.declaration.models import GroupModel, ProxyModel, TenantModel, TokenKeyModel
 from limedyke.declaration.source_locations import LocatedItem, Problem, child, join_key, line_at
 from limedyke.messages.declaration import Declaration
@@ -58,7 +58,7 @@
     if problems:
         detail = "\n".join(str(problem) for problem in problems)
         return Err(Failure(ResultCode.DECLARATION_INVALID, detail))
-    return Ok(declaration_of(items))
+    return Ok(build_declaration(items))
 
 
 def _read_file(path: Path, items: dict[str, list[LocatedItem]]) -> list[Problem]:
