--- a/features/mutants/simulator_safeguards.py
+++ b/features/mutants/simulator_safeguards.py
@@ -22,14 +22,14 @@
 )
 from limedyke.core.agreement.lease import LeaderLease
 from limedyke.core.control import lease_table
-from limedyke.core.control.plan_book import PlanBook
-from limedyke.core.control.state import Applied, ControlState
+from limedyke.core.control.plan_store import PlanStore
+from limedyke.core.control.state import ApplyResult, ControlState
 from limedyke.core.group_view import GroupView
 from limedyke.core.promotion import Promotion
 from limedyke.messages.control import ControlSnapshot
 from limedyke.messages.work import LogPosition
 from limedyke.proxy import drain, local_executor, unit_write
-from limedyke.proxy.control.intake import ControlIntake
+from limedyke.proxy.control.state_receiver import ControlStateReceiver
 from limedyke.proxy.members.connection import BackendConnection, ConnectionLostError
 from limedyke.proxy.members.gate import MemberGate
 from limedyke.proxy.members.held_leases import HeldLeases
@@ -157,11 +157,11 @@
 def _older_state_taken() -> tuple[Replacement, ...]:
     """Controllers lose what they confirmed, and proxies follow them back."""
 
-    async def take_snapshot(intake: ControlIntake, snapshot: ControlSnapshot) -> None:
+    async def apply_snapshot(intake: ControlStateReceiver, snapshot: ControlSnapshot) -> None:
         intake._unsaved_snapshot = True
-        await intake._accept(intake._stored.builder.take_snapshot(snapshot))
+        await intake._accept(intake._stored.builder.apply_snapshot(snapshot))
 
-    return (*_unsynced_log(), (ControlIntake, "take_snapshot", take_snapshot))
+    return (*_unsynced_log(), (ControlStateReceiver, "apply_snapshot", apply_snapshot))
 
 
 def _ignored_once_key() -> tuple[Replacement, ...]:
@@ -190,7 +190,7 @@
     """Neither what came while a connection was idle nor the check behind a read is looked at."""
 
     def plan(read: UnitRead, decision: object, connection: BackendConnection) -> ExchangePlan:
-        return ExchangePlan(None, check_behind=False, is_write=False)
+        return ExchangePlan(None, check_after=False, is_write=False)
 
     return (
         (BackendConnection, "check_idle", lambda connection: True),
@@ -217,7 +217,7 @@
 def _first_answer_forgotten() -> tuple[Replacement, ...]:
     return (
         (ControlState, "first_answer", lambda state, operator, request_id: None),
-        (PlanBook, "outcome", lambda book, plan_id: None),
+        (PlanStore, "outcome", lambda book, plan_id: None),
     )
 
 
@@ -225,13 +225,13 @@
     """Return the replacement that brings each plan into force as soon as it is recorded."""
     apply = ControlState.apply
 
-    def apply_plan(state: ControlState, index: int, entry: object) -> Applied:
+    def apply_plan(state: ControlState, index: int, entry: object) -> ApplyResult:
         applied = apply(state, index, entry)
         plan = state.plans.plan(getattr(entry, "plan_id", ""))
         if plan is None or plan.base_revision != state.revision:
             return applied
         _, update = state._bring_into_force(index, plan, entry)
-        return Applied(applied.answer, update)
+        return ApplyResult(applied.answer, update)
 
     return ((ControlState, "apply", apply_plan),)
 
@@ -320,7 +320,7 @@
     ),
     SimulatedMutant(
         "a proxy takes an older state",
-        "ControlIntake.take_snapshot",
+        "ControlStateReceiver.apply_snapshot",
         "revision-monotonic",
         _older_state_taken,
         POWER_CUTS,
--- a/features/steps/control_news_steps.py
+++ b/features/steps/control_news_steps.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 
 from features.support.control_builders import StateUnderTest, a_declaration, a_group, a_proxy
-from limedyke.controller.leading.news import NewsBoard
+from limedyke.controller.leading.update_cache import UpdateCache
 from limedyke.core.control.update_ring import UpdateRing
 from limedyke.messages.codec import decode, encode
 from limedyke.messages.control import ControlSnapshot
@@ -32,7 +32,7 @@
     def __init__(self, kept: int) -> None:
         self.test = StateUnderTest()
         self.ring = UpdateRing(kept)
-        self.board = NewsBoard(self.test.state, self.ring)
+        self.board = UpdateCache(self.test.state, self.ring)
 
     def change(self, number: int) -> None:
         """Record a proxy that is not known yet."""
@@ -44,7 +44,7 @@
 class Follower:
     """A proxy that takes what the board gives."""
 
-    def __init__(self, board: NewsBoard) -> None:
+    def __init__(self, board: UpdateCache) -> None:
         self._board = board
         self.builder = ControlViewBuilder()
         self.snapshots = 0
@@ -63,10 +63,10 @@
             assert message.control_index == news.control_index > self.index
             if isinstance(message, ControlSnapshot):
                 self.snapshots += 1
-                self.builder.take_snapshot(message)
+                self.builder.apply_snapshot(message)
             else:
                 self.updates += 1
-                assert self.builder.take_update(message) is not None
+                assert self.builder.apply_update(message) is not None
 
 
 @then(
@@ -80,7 +80,7 @@
         for number in range(STEPS):
             under_test.change(number)
             generator.choice(followers).follow()
-        whole = ControlViewBuilder().take_snapshot(under_test.test.state.snapshot_for_proxies())
+        whole = ControlViewBuilder().apply_snapshot(under_test.test.state.snapshot_for_proxies())
         for follower in followers:
             follower.follow()
             assert follower.builder.view == whole
@@ -103,7 +103,7 @@
     first = context.under_test.board.since(0)
     assert first.control_index == 0
     (data,) = FrameReader().feed(first.framed)
-    context.follower.builder.take_snapshot(decode(data).unwrap())
+    context.follower.builder.apply_snapshot(decode(data).unwrap())
 
 
 @when("news: the first declaration comes into force")
--- a/features/steps/member_choice_steps.py
+++ b/features/steps/member_choice_steps.py
@@ -177,7 +177,7 @@
         self._end(observed, read, is_answered)
         observed.quality.bad(self.now)
         if is_answered:
-            observed.took_at_least(self.now - read.sent_at)
+            observed.answer_took_at_least(self.now - read.sent_at)
         self.lost.append(self.now)
         self._send(proxy)
 
@@ -189,7 +189,7 @@
 def _observed(name, proxies=1):
     record = AnnouncedMember(name, "g", f"{name}:1", "z", "v1", SLOTS, MemberState.READY, False)
     observed = ObservedMember(record)
-    observed.concurrency.shared_by(proxies)
+    observed.concurrency.set_proxies(proxies)
     observed.connected(0.0, 2 * NETWORK_S + SERVICE_S)
     return observed
 
@@ -310,7 +310,7 @@
 
 @given("choice: a told {ago:d} ms ago that {count:d} are under way there")
 def step_told(context, ago, count):
-    context.observed_members["a"].told_busy(count, NOW - ago / MS_PER_S)
+    context.observed_members["a"].report_busy_slots(count, NOW - ago / MS_PER_S)
 
 
 @given("choice: a turned work away, and answered another read")
--- a/features/steps/statement_member_steps.py
+++ b/features/steps/statement_member_steps.py
@@ -12,7 +12,7 @@
 from features.support.line_platform.member_session import ALWAYS
 from features.support.statement_path import GROUP, elapsed_ms
 from limedyke.proxy.statements.members.member_connection import MemberConnection
-from limedyke.proxy.statements.members.member_questions import MemberQuestions
+from limedyke.proxy.statements.members.member_queries import MemberQuestions
 
 HANGS_S = 3_600.0
 
@@ -194,7 +194,7 @@
     asked_at = time.monotonic()
     await questions.ask_status(pool, limit_s)
     if pool.observed.contact_at < asked_at:
-        pool.observed.was_silent(time.monotonic())
+        pool.observed.probe_timed_out(time.monotonic())
 
 
 @step("statement path: {name:w} answers again")
--- a/features/support/leaders_world.py
+++ b/features/support/leaders_world.py
@@ -8,7 +8,7 @@
 from limedyke.core.limits.operation_allowance import FEW_PROXIES, OperationAllowance
 from limedyke.core.limits.operation_limits import OperationLimits
 from limedyke.messages.declaration import Tenant
-from limedyke.messages.limits import OperationDemand, OperationsOfPriority, OperationsWanted
+from limedyke.messages.limits import OperationDemand, OperationsOfPriority, OperationsRequest
 
 LEASE_S = 12.0
 STEP_S = 0.02
@@ -135,7 +135,7 @@
         for proxy in self.proxies:
             self._keep_linked(proxy)
         if self._leader is not None:
-            self._leader.known_share(1 - len(self._unreported) / self._registered, self.now)
+            self._leader.set_connected_share(1 - len(self._unreported) / self._registered, self.now)
             self._leader.tick(self.now)
         serving = [proxy for proxy in self.proxies if proxy.has_power and not proxy.former]
         wanted = dict.fromkeys(range(len(serving)), 0)
@@ -161,24 +161,24 @@
             self._link(proxy)
         if self.now - proxy.heard_at >= HEARTBEAT_S:
             proxy.heard_at = self.now
-            self._leader.heard(proxy.name, self.now)
+            self._leader.proxy_contacted(proxy.name, self.now)
 
     def _link(self, proxy: Proxy) -> None:
         """Have a proxy come to the leader: it says what it holds, and what it ran."""
         proxy.is_linked = True
         if proxy.former:
-            self._leader.ended(proxy.former, self.now, proxy.name)
+            self._leader.proxy_ended(proxy.former, self.now, proxy.name)
             self._unreported.discard(proxy.former)
             proxy.former = ""
         self._unreported.discard(proxy.name)
         proxy.heard_at = self.now
-        self._leader.heard(proxy.name, self.now)
+        self._leader.proxy_contacted(proxy.name, self.now)
         self.messages += 1
         if self.proxies.index(proxy) >= self.telling:
             return
         reports = proxy.allowance.reports(TENANT, self.now)
         running_ms = int((self.now - proxy.started_at) * MS_PER_S)
-        request = OperationsWanted(self.messages, (), reports, running_ms)
+        request = OperationsRequest(self.messages, (), reports, running_ms)
         self._leader.wanted(proxy.name, request, self.now)
 
     def _run(self, proxy: Proxy, count: int) -> None:
@@ -198,7 +198,7 @@
         self.messages += 1
         told = (OperationsOfPriority(1, count, WAIT_MS),)
         demand = OperationDemand(TENANT, count, proxy.allowance.ahead(self.now), told)
-        request = OperationsWanted(self.messages, (demand,))
+        request = OperationsRequest(self.messages, (demand,))
         grant = self._leader.wanted(proxy.name, request, self.now).grants[0]
         proxy.allowance.take_answer(grant, self.now)
         at_once = min(count, grant.operations)
--- a/limedyke/controller/leading/leader_service.py
+++ b/limedyke/controller/leading/leader_service.py
@@ -8,9 +8,9 @@
 from prometheus_client import CollectorRegistry
 
 from limedyke.controller.clock import boot_seconds
-from limedyke.controller.leading.leader_meter import LeaderMeter
-from limedyke.controller.leading.news import NewsBoard
+from limedyke.controller.leading.leader_metrics import LeaderMetrics
 from limedyke.controller.leading.proxy_sessions import ProxySessions
+from limedyke.controller.leading.update_cache import UpdateCache
 from limedyke.controller.mailbox import Mailbox
 from limedyke.controller.metrics import ControllerMetrics
 from limedyke.controller.platform_list import PlatformListReader
@@ -18,13 +18,13 @@
 from limedyke.controller.replica import Replica
 from limedyke.core.control.events import (
     AnswerHeartbeat,
-    AskAuthority,
     AuthorityAnswered,
     DisconnectProxy,
     LeaderCommand,
     LeaderEvent,
-    NoteDecision,
+    LogDecision,
     Propose,
+    RequestPromotion,
     SendToProxy,
     TimePassed,
     UpdateApplied,
@@ -52,7 +52,7 @@
     :param source_ip: local address to connect to the platform from, or empty
     :param metrics: counts what is heard and decided; None keeps it from view
     :param authority: promotes members that announce themselves; None where there is none
-    :param other_began_at: when the leader before began to lead, as far as this controller knows
+    :param last_lead_began_at: when the leader before began to lead, as far as this controller knows
 
     :ivar started_at: when this controller began to lead
     """
@@ -66,15 +66,15 @@
         source_ip: str = "",
         metrics: ControllerMetrics | None = None,
         authority: PromotionAuthority | None = None,
-        other_began_at: float = float("-inf"),
+        last_lead_began_at: float = float("-inf"),
     ) -> None:
         self._replica = replica
         self._authority = authority
         self.started_at = boot_seconds()
-        self._meter = LeaderMeter(metrics or ControllerMetrics(CollectorRegistry()))
+        self._meter = LeaderMetrics(metrics or ControllerMetrics(CollectorRegistry()))
         self._timing = timing
         self._events: Mailbox[LeaderEvent] = Mailbox()
-        self.news = NewsBoard(replica.state, replica.updates)
+        self.news = UpdateCache(replica.state, replica.updates)
         self._news_waiting = curio.Event()
         self._platform: PlatformListReader | None = None
         if platform_list_url:
@@ -87,7 +87,7 @@
             Random(),
             boot_seconds(),
             replica.homes,
-            other_began_at,
+            last_lead_began_at,
         )
 
     async def run(self) -> None:
@@ -140,12 +140,12 @@
                 await self._replica.propose_without_answer(command.entry)
             case DisconnectProxy():
                 await self.sessions.disconnect(command.proxy, command.reason)
-            case NoteDecision():
+            case LogDecision():
                 EVENTS.info("decision", group=command.group, text=command.text)
-            case AskAuthority():
+            case RequestPromotion():
                 await curio.spawn(self._ask_authority, command, daemon=True)
 
-    async def _ask_authority(self, command: AskAuthority) -> None:
+    async def _ask_authority(self, command: RequestPromotion) -> None:
         """Call the promotion authority, only under the leader lease."""
         if self._authority is None or not self._replica.leads:
             return
--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -11,7 +11,7 @@
 import curio
 from result import Err, Ok
 
-from limedyke.controller.call_desk import CallDesk
+from limedyke.controller.call_router import CallRouter
 from limedyke.controller.clock import boot_seconds
 from limedyke.controller.founding_phase import FoundingPhase
 from limedyke.controller.keys import ControllerKeys
@@ -19,7 +19,7 @@
 from limedyke.controller.leading.leader_service import LeaderService
 from limedyke.controller.leading.operator_changes import ControllerChanges
 from limedyke.controller.leading.operator_requests import OperatorRequests
-from limedyke.controller.leading.voter_care import VoterCare
+from limedyke.controller.leading.voter_manager import VoterManager
 from limedyke.controller.membership_search import MembershipSearch
 from limedyke.controller.peer_network import PeerMessage, PeerNetwork
 from limedyke.controller.promotion_authority import PromotionAuthority
@@ -71,7 +71,7 @@
 
     authority: PromotionAuthority | None
 
-    async def run(self, desk: CallDesk, learn_peers: LearnPeers) -> None:
+    async def run(self, desk: CallRouter, learn_peers: LearnPeers) -> None:
         """Serve calls until cancelled.
 
         :param learn_peers: takes the controllers that changed settings name
@@ -130,7 +130,7 @@
         self._leader: LeaderService | None = None
         self._leader_task: curio.Task | None = None
         self._requests: OperatorRequests | None = None
-        self._desk = CallDesk(
+        self._desk = CallRouter(
             lambda: self._calls,
             self._leader_address,
             replace(self._link_identity, role=PeerRole.FORWARDER),
@@ -190,7 +190,7 @@
             await self._founding.run()
         self._start_replica(self._stored_before_start())
         while await self._run_replica():
-            stored = await self._read_anew()
+            stored = await self._reopen_log()
             if stored is None:
                 return
             self._start_replica(stored)
@@ -211,7 +211,7 @@
         EVENTS.error("work-ended", task=ended.name, reason=repr(ended.exception))
         return False
 
-    async def _read_anew(self) -> StoredState | None:
+    async def _reopen_log(self) -> StoredState | None:
         """Read the log anew, as a new process would; nothing held in memory counts any more.
 
         But for one thing: this process knows when it last heard a leader. The vote that it owes
@@ -219,7 +219,7 @@
 
         :returns: None when what the disk holds can't be used
         """
-        heard_at = self._replica.agreement.leader_heard_at
+        heard_at = self._replica.agreement.leader_contact_at
         while True:
             opened = await curio.run_in_thread(reopen_durable_log, self.log)
             if isinstance(opened, Ok):
@@ -242,11 +242,11 @@
                 for known in recorded_addresses(entry.payload):
                     self._network.set_address(known.name, known.address)
 
-    def _voter_care(self) -> VoterCare:
+    def _voter_care(self) -> VoterManager:
         settings = self._settings
         silence_limit_s = settings.voter_silence_limit_ms / 1000
         policy = VoterPolicy(settings.voters_wanted, silence_limit_s)
-        return VoterCare(self._replica, policy, settings.advertise)
+        return VoterManager(self._replica, policy, settings.advertise)
 
     def _stored_before_start(self) -> StoredState:
         """Return what was on the disk when this process began."""
@@ -300,7 +300,7 @@
 
     async def _on_role(self) -> None:
         if self._replica.agreement.leader is not None:
-            self._history.leads(self._replica.agreement.term, boot_seconds())
+            self._history.record_leader(self._replica.agreement.term, boot_seconds())
         if self._replica.agreement.role is not Role.LEADER:
             await self._stop_leading()
 
@@ -327,7 +327,7 @@
             self._settings.source_ip,
             self._pages.metrics,
             self._edge.authority if self._edge is not None else None,
-            self._history.other_began_at,
+            self._history.last_lead_began_at,
         )
         task = await curio.spawn(leader.run)
         if self._leader is leader:
--- a/limedyke/core/control/announcements.py
+++ b/limedyke/core/control/announcements.py
@@ -43,7 +43,7 @@
     started_at_ms: int
 
 
-class AnnouncementBook:
+class AnnouncementTracker:
     """Decides which announcements change the log.
 
     :param members: the recorded members by identity, read only
@@ -100,14 +100,14 @@
             if withdrawn.at < now - WITHDRAWN_KEPT_S:
                 del self._withdrawn[name]
         self._heard.pop(identity, None)
-        is_news = started_at_ms > 0 and not self._ended.is_over(identity, started_at_ms)
+        is_news = started_at_ms > 0 and not self._ended.has_ended(identity, started_at_ms)
         if known is None and not is_news:
             return None
         removed = (identity,) if known is not None else ()
         ended = (EndedIncarnation(identity, started_at_ms),) if started_at_ms > 0 else ()
         return RecordMembers((), removed, ended)
 
-    def silent(self, limit_s: float, now: float) -> RecordMembers | None:
+    def remove_silent(self, limit_s: float, now: float) -> RecordMembers | None:
         """Return the entry that forgets members not heard for so long, or None."""
         gone = tuple(name for name in self._members if now - self.heard_at(name) > limit_s)
         return RecordMembers((), gone) if gone else None
@@ -130,7 +130,7 @@
         """Tell whether an announcement was overtaken by what is known of its member."""
         if self._displaced.is_displaced(member):
             return True
-        if self._ended.is_over(member.identity, member.started_at_ms):
+        if self._ended.has_ended(member.identity, member.started_at_ms):
             return True
         return self._has_withdrawn(member, now) or self._is_late(member, sequence, now)
 
--- a/limedyke/core/control/events.py
+++ b/limedyke/core/control/events.py
@@ -13,7 +13,7 @@
     ProxyHello,
 )
 from limedyke.messages.control_entries import ControlEntry
-from limedyke.messages.limits import OperationsWanted
+from limedyke.messages.limits import OperationsRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,11 +56,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OperationsAsked:
+class OperationsRequested:
     """A proxy asks for operations of tenants with a limit."""
 
     proxy: str
-    request: OperationsWanted
+    request: OperationsRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,7 +137,7 @@
     | HeartbeatReceived
     | LeasesReturned
     | MemberReported
-    | OperationsAsked
+    | OperationsRequested
     | PromotionAnswered
     | WritesPausedReported
     | ProxyLeft
@@ -180,7 +180,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskAuthority:
+class RequestPromotion:
     """Have the promotion authority make a member the primary of its group.
 
     :param fence: no call under a lower number may be carried out afterwards
@@ -192,7 +192,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoteDecision:
+class LogDecision:
     """Write to the event log why something is done."""
 
     group: str
@@ -200,5 +200,5 @@
 
 
 LeaderCommand = (
-    Propose | SendToProxy | AnswerHeartbeat | DisconnectProxy | AskAuthority | NoteDecision
+    Propose | SendToProxy | AnswerHeartbeat | DisconnectProxy | RequestPromotion | LogDecision
 )
--- a/limedyke/core/control/leader.py
+++ b/limedyke/core/control/leader.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from random import Random
 
-from limedyke.core.control.announcements import AnnouncementBook
+from limedyke.core.control.announcements import AnnouncementTracker
 from limedyke.core.control.events import (
     AnswerHeartbeat,
     AuthorityAnswered,
@@ -19,7 +19,7 @@
     LeaderEvent,
     LeasesReturned,
     MemberReported,
-    OperationsAsked,
+    OperationsRequested,
     PlatformListed,
     PromotionAnswered,
     Propose,
@@ -51,7 +51,7 @@
 SHORTEST_MEMBERSHIP_INTERVAL_S = 0.02
 MEMBERSHIP_INTERVAL_PER_GROUP_S = 0.2 / 1_800
 """Between two changes of the membership: each makes every controller look at all groups."""
-LEASES_RUN_OUT = "its leases have run out"
+LEASES_EXPIRED = "its leases have run out"
 EARLIER_PROCESS = "an earlier process of this name may still hold leases"
 
 
@@ -63,7 +63,7 @@
     :param generator: source of the jitter
     :param now: when this controller began to lead
     :param homes: the home proxies of the state, kept by the caller; None to keep them here
-    :param other_began_at: when another controller last began to lead, as far as this one knows
+    :param last_lead_began_at: when another controller last began to lead, as far as this one knows
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         generator: Random,
         now: float,
         homes: HomeDirectory | None = None,
-        other_began_at: float = float("-inf"),
+        last_lead_began_at: float = float("-inf"),
     ) -> None:
         self._state = state
         self._commands: list[LeaderCommand] = []
@@ -94,8 +94,10 @@
         self.failover = FailoverCoordinator(
             state.primaries, state.switchover_targets, self.membership, timing, generator
         )
-        self.limits = OperationLimits(state.declared.tenants, timing.lease_s, now, other_began_at)
-        self.announcements = AnnouncementBook(state.announced, state.displaced, now, state.ended)
+        self.limits = OperationLimits(
+            state.declared.tenants, timing.lease_s, now, last_lead_began_at
+        )
+        self.announcements = AnnouncementTracker(state.announced, state.displaced, now, state.ended)
         self.authority = AuthorityFailover(
             state.primaries,
             state.announced,
@@ -128,7 +130,7 @@
             case MemberReported():
                 self.failover.report(event.proxy, event.report, now)
                 self.authority.report(event.proxy, event.report, now)
-            case OperationsAsked():
+            case OperationsRequested():
                 granted = self.limits.wanted(event.proxy, event.request, now)
                 self._commands.append(SendToProxy(event.proxy, granted))
             case AuthorityAnswered():
@@ -192,7 +194,7 @@
         known = self._state.proxies.get(hello.name)
         if known is not None and has_ended(known, hello):
             self.leases.ended(hello.name)
-            self.limits.ended(hello.name, now)
+            self.limits.proxy_ended(hello.name, now)
         self.membership.connected(hello, now)
 
     def _end_earlier_lives(self, hello: ProxyHello, now: float) -> None:
@@ -204,18 +206,18 @@
         for name, record in self._state.proxies.items():
             if record.folder_id and record.folder_id == hello.folder_id and name != hello.name:
                 self.leases.ended(name)
-                self.limits.ended(name, now, hello.name)
+                self.limits.proxy_ended(name, now, hello.name)
                 self.membership.ended(name)
 
     def _on_heartbeat(self, event: HeartbeatReceived, now: float) -> None:
         self.membership.heartbeat(event.proxy, event.heartbeat, now)
-        self.limits.heard(event.proxy, now)
+        self.limits.proxy_contacted(event.proxy, now)
         beat = event.heartbeat
         if event.first:
             self.leases.report(event.proxy, beat.leases, now, beat.demands)
         else:
             self.leases.renew(event.proxy, now)
-            self.leases.take_demands(event.proxy, beat.demands)
+            self.leases.record_demands(event.proxy, beat.demands)
         self._commands.append(AnswerHeartbeat(event.proxy, event.heartbeat.sequence))
 
     def _on_disconnected(self, proxy: str, now: float) -> None:
@@ -227,22 +229,22 @@
     def _on_left(self, event: ProxyLeft, now: float) -> None:
         if event.done:
             self.leases.ended(event.proxy)
-            self.limits.ended(event.proxy, now)
+            self.limits.proxy_ended(event.proxy, now)
         self.membership.left(event.proxy, event.done)
 
     def _on_time(self, now: float) -> None:
         self.failover.tick(now)
         self.authority.tick(now)
-        self.limits.known_share(self.leases.reported_share, now)
+        self.limits.set_connected_share(self.leases.reported_share, now)
         self.limits.tick(now)
         self.leases.divide(now)
         if now < self._next_judgement_at:
             return
         self._next_judgement_at = now + JUDGE_INTERVAL_S
         for proxy in self.leases.expire(now):
-            self._commands.append(DisconnectProxy(proxy, LEASES_RUN_OUT))
+            self._commands.append(DisconnectProxy(proxy, LEASES_EXPIRED))
         self.membership.judge(now, self.leases.holders())
-        gone = self.announcements.silent(self._timing.member_forgotten_s, now)
+        gone = self.announcements.remove_silent(self._timing.member_forgotten_s, now)
         if gone is not None:
             self._commands.append(Propose(gone))
 
--- a/limedyke/core/control/primaries/authority_care.py
+++ b/limedyke/core/control/primaries/authority_group_state.py
@@ -26,7 +26,7 @@
     BACKING_OFF = "backing-off"
 
 
-class Grounds(enum.StrEnum):
+class SuspicionReason(enum.StrEnum):
     """What speaks against a primary."""
 
     LEFT = "left"
@@ -44,7 +44,7 @@
     :param hold_s: how long it has to last first
     """
 
-    grounds: Grounds
+    grounds: SuspicionReason
     text: str
     hold_s: float = 0.0
 
@@ -121,7 +121,7 @@
 
 
 @dataclass(slots=True)
-class AuthorityCare:
+class AuthorityGroupState:
     """The leader's care for one group.
 
     :param deadline: when the present step is looked at again
--- a/limedyke/core/control/primaries/group_care.py
+++ b/limedyke/core/control/primaries/group_failover_state.py
@@ -5,7 +5,7 @@
 import enum
 from dataclasses import dataclass, field
 
-from limedyke.core.control.primaries.group_watch import GroupWatch
+from limedyke.core.control.primaries.group_reports import GroupReports
 
 NEVER = float("inf")
 FAILOVERS_AT_FULL_SPEED = 2
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class GroupCare:
+class GroupFailoverState:
     """The leader's care for one group.
 
     :param deadline: when the present step is looked at again
@@ -41,7 +41,7 @@
     :param paused: home proxies that have paused writes for a switchover
     """
 
-    watch: GroupWatch
+    watch: GroupReports
     step: Step = Step.WATCHED
     deadline: float = NEVER
     doubted_at: float = 0.0
--- a/limedyke/core/control/primaries/authority_judgement.py
+++ b/limedyke/core/control/primaries/primary_evaluator.py
@@ -4,9 +4,13 @@
 
 from collections.abc import Iterable, Mapping
 
-from limedyke.core.control.announcements import AnnouncementBook
+from limedyke.core.control.announcements import AnnouncementTracker
 from limedyke.core.control.membership import ProxyMembership
-from limedyke.core.control.primaries.authority_care import AuthorityCare, Grounds, Suspicion
+from limedyke.core.control.primaries.authority_group_state import (
+    AuthorityGroupState,
+    Suspicion,
+    SuspicionReason,
+)
 from limedyke.core.control.primaries.group_members import GroupMembers
 from limedyke.core.control.primaries.primary_suspicion import vote_hold_s
 from limedyke.core.control.timing import ControlTiming
@@ -18,7 +22,7 @@
 Rank = tuple[bool, bool, bool, int, bool, int, str]
 
 
-class AuthorityJudgement:
+class PrimaryEvaluator:
     """Judges by what home proxies report and by what members announce.
 
     :param members: the recorded members by identity, read only
@@ -33,7 +37,7 @@
         self,
         members: Mapping[str, AnnouncedMember],
         proxies: Mapping[str, ProxyRecord],
-        book: AnnouncementBook,
+        book: AnnouncementTracker,
         membership: ProxyMembership,
         homes: HomeDirectory,
         timing: ControlTiming,
@@ -59,20 +63,20 @@
         return self._by_group.applied(changed, removed)
 
     def suspicion(
-        self, group: str, care: AuthorityCare, primary: str, now: float
+        self, group: str, care: AuthorityGroupState, primary: str, now: float
     ) -> Suspicion | None:
         """Return why a primary should be replaced; None when it should not."""
         member = self._members.get(primary)
         if member is None:
-            return Suspicion(Grounds.LEFT, "it has left")
+            return Suspicion(SuspicionReason.LEFT, "it has left")
         if not self._able(group, care, primary, now):
             return None
         if member.state is MemberState.DRAINING:
-            return Suspicion(Grounds.DRAINS, "it is draining")
+            return Suspicion(SuspicionReason.DRAINS, "it is draining")
         return self._votes_against(group, care, primary, now)
 
     def _votes_against(
-        self, group: str, care: AuthorityCare, primary: str, now: float
+        self, group: str, care: AuthorityGroupState, primary: str, now: float
     ) -> Suspicion | None:
         """Return what the home proxies report against a primary.
 
@@ -92,15 +96,20 @@
             hold_s = max(hold_s, timing.settling_hold_s)
         if hold_s is not None:
             counted = f"{len(unreached)} of {len(homes)} home proxies, {len(live)} of them heard"
-            return Suspicion(Grounds.UNREACHABLE, f"{counted}, can't reach it", hold_s)
+            return Suspicion(SuspicionReason.UNREACHABLE, f"{counted}, can't reach it", hold_s)
         denied = {name for name in live if care.reports.was_denied(name, primary)}
         if len(denied) >= majority:
             text = f"{len(denied)} of {len(homes)} home proxies were told that it does not lead"
-            return Suspicion(Grounds.DENIES, text, timing.demoted_hold_s)
+            return Suspicion(SuspicionReason.DENIES, text, timing.demoted_hold_s)
         return self._silence(care, primary, live, unreached, now)
 
     def _silence(
-        self, care: AuthorityCare, primary: str, live: set[str], unreached: set[str], now: float
+        self,
+        care: AuthorityGroupState,
+        primary: str,
+        live: set[str],
+        unreached: set[str],
+        now: float,
     ) -> Suspicion | None:
         """Return what a primary's own silence says, where no majority speaks against it."""
         silent_s = now - self._book.heard_at(primary)
@@ -108,10 +117,10 @@
             return None
         if unreached:
             text = f"silent for {silent_s:.1f} s, {len(unreached)} can't reach it"
-            return Suspicion(Grounds.SILENT, text)
+            return Suspicion(SuspicionReason.SILENT, text)
         if not any(care.reports.is_seen_by(name, primary) for name in live):
             text = f"silent for {silent_s:.1f} s, and nobody reaches it"
-            return Suspicion(Grounds.SILENT, text)
+            return Suspicion(SuspicionReason.SILENT, text)
         return None
 
     def _most_proxies_are_missing(self, now: float) -> bool:
@@ -125,14 +134,14 @@
         return 2 * heard < len(serving)
 
     def candidates(
-        self, group: str, care: AuthorityCare, leaving: str, now: float
+        self, group: str, care: AuthorityGroupState, leaving: str, now: float
     ) -> list[AnnouncedMember]:
         """Return the members that could lead, the best first."""
         able = self._able(group, care, leaving, now)
         return sorted(able, key=lambda member: self._rank(care, member, now))
 
     def _able(
-        self, group: str, care: AuthorityCare, leaving: str, now: float
+        self, group: str, care: AuthorityGroupState, leaving: str, now: float
     ) -> list[AnnouncedMember]:
         """Return the members that could lead, in no order."""
         return [
@@ -143,7 +152,7 @@
             and care.excluded.get(member.identity, 0.0) <= now
         ]
 
-    def _rank(self, care: AuthorityCare, member: AnnouncedMember, now: float) -> Rank:
+    def _rank(self, care: AuthorityGroupState, member: AnnouncedMember, now: float) -> Rank:
         """Order members: not emptied, heard, following, reached, leading already, far in the log.
 
         One that has started again is empty until a proxy has seen a log there: to promote it would
--- a/limedyke/core/limits/operation_limits.py
+++ b/limedyke/core/limits/operation_limits.py
@@ -13,11 +13,11 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
+from limedyke.core.limits.inherited_use import InheritedUse
 from limedyke.core.limits.operation_allowance import SHARE_LIFE_S
-from limedyke.core.limits.quiet_time import QuietTime
+from limedyke.core.limits.process_ends import ProcessEnds
 from limedyke.core.limits.tenant_budget import TenantBudget
 from limedyke.core.limits.token_bucket import TokenBucket
-from limedyke.core.limits.use_adoption import UseAdoption
 from limedyke.core.limits.use_rate import UseRate
 from limedyke.core.limits.use_window import SLOT_S, WINDOW_S
 from limedyke.messages.declaration import Tenant
@@ -26,8 +26,8 @@
     OperationGrant,
     OperationReport,
     OperationsGranted,
-    OperationsWanted,
-    ReturnTime,
+    OperationsRequest,
+    RetryTime,
 )
 
 SECONDS_PER_MINUTE = 60
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldShare:
+class GrantedShare:
     """What a proxy was told it may run alone: operations a second, and when."""
 
     rate: float
@@ -87,7 +87,7 @@
     :param tenants: the declared tenants by name, kept by the caller
     :param lease_s: a proxy that lost the leader runs nothing after so long
     :param now: when this controller began to lead, seconds of a steady clock
-    :param other_began_at: when another one last began to lead, as far as this controller knows
+    :param last_lead_began_at: when another one last began to lead, as far as this controller knows
     """
 
     def __init__(
@@ -95,22 +95,22 @@
         tenants: Mapping[str, Tenant],
         lease_s: float,
         now: float,
-        other_began_at: float = float("-inf"),
+        last_lead_began_at: float = float("-inf"),
     ) -> None:
         self._tenants = tenants
         self._lease_s = lease_s
         self._began_at = now
-        self._first_share = min(1.0, (now - other_began_at) / FIRST_TOKENS_EACH_S)
+        self._first_share = min(1.0, (now - last_lead_began_at) / FIRST_TOKENS_EACH_S)
         self._share = 1.0
         self._budgets: dict[str, TenantBudget] = {}
         self._uses: dict[str, dict[str, UseRate]] = {}
         self._heard_at: dict[str, float] = {}
         self._running_alone: dict[str, dict[str, float]] = {}
-        self._told: dict[str, dict[str, ToldShare]] = {}
-        self._adoption = UseAdoption()
-        self._quiet = QuietTime()
+        self._told: dict[str, dict[str, GrantedShare]] = {}
+        self._adoption = InheritedUse()
+        self._quiet = ProcessEnds()
 
-    def known_share(self, share: float, now: float) -> None:
+    def set_connected_share(self, share: float, now: float) -> None:
         """Take which share of the registered proxies has come to this leader.
 
         The others may run by themselves yet, at rates that only the leader before knew.
@@ -135,9 +135,9 @@
             elif name in self._budgets:
                 self._set_rate(name, now)
 
-    def wanted(self, proxy: str, request: OperationsWanted, now: float) -> OperationsGranted:
+    def wanted(self, proxy: str, request: OperationsRequest, now: float) -> OperationsGranted:
         """Grant what may be run of what a proxy wants to run."""
-        self.heard(proxy, now)
+        self.proxy_contacted(proxy, now)
         self._take_reports(proxy, request.reports, now)
         if request.running_ms:
             self._quiet.started(proxy, now - request.running_ms / MS_PER_S)
@@ -157,7 +157,7 @@
             for age, operations in reversed(list(enumerate(report.granted))):
                 use.count(operations, now - age * SLOT_S)
             share = report.alone_per_minute / SECONDS_PER_MINUTE
-            self._told.setdefault(report.tenant, {})[proxy] = ToldShare(share, now)
+            self._told.setdefault(report.tenant, {})[proxy] = GrantedShare(share, now)
             budget = self._budgets.get(report.tenant)
             if budget is not None:
                 self._adopt(report.tenant, budget.bucket, now)
@@ -190,13 +190,13 @@
         self._set_rate(name, now)
         bucket.tokens = self._adoption.level(name, bucket.rate, bucket.burst, now)
 
-    def heard(self, proxy: str, now: float) -> None:
+    def proxy_contacted(self, proxy: str, now: float) -> None:
         """Note that a proxy reaches this leader: it runs nothing by itself."""
         self._heard_at[proxy] = now
         if proxy in self._running_alone:
             self._runs_alone_no_more(proxy, now)
 
-    def ended(self, proxy: str, now: float, successor: str = "") -> None:
+    def proxy_ended(self, proxy: str, now: float, successor: str = "") -> None:
         """Note that a proxy's process has ended.
 
         :param successor: the proxy in its place; empty when it ended just now
@@ -214,7 +214,7 @@
         """Count for proxies that are missed; to be called several times a second."""
         for proxy, heard_at in list(self._heard_at.items()):
             if now - heard_at > self._lease_s:
-                self.ended(proxy, now)
+                self.proxy_ended(proxy, now)
             elif now - heard_at > UNHEARD_S and proxy not in self._running_alone:
                 self._runs_alone(proxy, heard_at, now)
 
@@ -267,7 +267,7 @@
         heard_rate = _rate(tenant) - self._unheard_rate(tenant)
         left = heard_rate - self._told_rate(tenant.name, now)
         rate = max(0.0, min(heard_rate * uses[proxy].at(now) / total, left))
-        told[proxy] = ToldShare(rate, now)
+        told[proxy] = GrantedShare(rate, now)
         return rate
 
     def _told_rate(self, tenant: str, now: float) -> float:
@@ -359,7 +359,7 @@
 
 def _grant_by_priority(
     budget: TenantBudget, demand: OperationDemand, now: float
-) -> tuple[int, list[float], tuple[ReturnTime, ...]]:
+) -> tuple[int, list[float], tuple[RetryTime, ...]]:
     """Return how many operations may run now, when further ones may, and when others come back."""
     if not demand.by_priority:
         return budget.bucket.take(demand.operations, now), [], ()
@@ -377,9 +377,9 @@
     return granted, sorted(waits_s), returns
 
 
-def _return_time(budget: TenantBudget, priority: int, operations: int, now: float) -> ReturnTime:
+def _return_time(budget: TenantBudget, priority: int, operations: int, now: float) -> RetryTime:
     first_s, step_s = budget.returns_in_s(priority, operations, now)
-    return ReturnTime(priority, math.ceil(first_s * MS_PER_S), math.ceil(step_s * MS_PER_S))
+    return RetryTime(priority, math.ceil(first_s * MS_PER_S), math.ceil(step_s * MS_PER_S))
 
 
 def _rate(tenant: Tenant) -> float:
--- a/limedyke/core/statements/connection_demand.py
+++ b/limedyke/core/statements/connection_demand.py
@@ -55,13 +55,13 @@
         return max(round(self._level), len(self._requested_at))
 
 
-class DemandNews:
+class DemandReporter:
     """What was told of this proxy's demand, and what is to be told next."""
 
     def __init__(self) -> None:
         self._told: dict[tuple[str, str], int] = {}
 
-    def take(
+    def changes_to_report(
         self, demands: Iterable[ConnectionDemand], whole: bool
     ) -> tuple[ConnectionDemand, ...]:
         """Return the demands to tell now.
--- a/limedyke/core/statements/observed_member.py
+++ b/limedyke/core/statements/observed_member.py
@@ -192,7 +192,7 @@
         others = self._others if now - self._others_at < TOLD_S else 0
         return self.under_way(now) + others
 
-    def told_busy(self, busy: int, now: float) -> None:
+    def report_busy_slots(self, busy: int, now: float) -> None:
         """Take how many of its slots are in use, that of the question itself included."""
         self._others = max(0, busy - self.under_way(now))
         self._others_at = now
@@ -210,7 +210,7 @@
             if self.leads:
                 self.told = max(self.told, position)
 
-    def take_office(self, leads: bool) -> None:
+    def note_primary_change(self, leads: bool) -> None:
         """Take that the primary has changed: what this member told counts from here on."""
         self.leads = leads
         self.told = LogPosition()
@@ -255,13 +255,13 @@
         if now >= self.busy_until:
             self._busy_s = FIRST_BUSY_S
 
-    def resembles(self, other: ObservedMember) -> None:
+    def assume_times_of(self, other: ObservedMember) -> None:
         """Assume the times of another member, such as one in the same zone."""
         for own, known in ((self.answer, other.answer), (self.opening, other.opening)):
             if known.is_seen and not own.is_seen:
                 own.usual_s, own.spread_s = known.usual_s, known.spread_s
 
-    def took_at_least(self, seconds: float) -> None:
+    def answer_took_at_least(self, seconds: float) -> None:
         """Take that an answer was awaited for so long and then given up."""
         self.answer.learn_at_least(seconds)
 
@@ -272,19 +272,19 @@
         self.busy_until = now + self._busy_s
         self._busy_s = min(2 * self._busy_s, LONGEST_BUSY_S)
 
-    def was_silent(self, now: float) -> None:
+    def probe_timed_out(self, now: float) -> None:
         """Note that a probe got no answer for its whole time."""
         self._owes_answer = True
         self._trouble(now, TROUBLES_FOR_UNREACHABLE)
 
-    def let_pass(self, asked_at: float, limit_s: float, now: float) -> bool:
+    def answer_timed_out(self, asked_at: float, limit_s: float, now: float) -> bool:
         """Take that nothing came in the time for an answer; tell whether that says anything.
 
         It does not when this process stood still: it may not even have asked.
         """
         if self.awaited_s(asked_at, now) < limit_s:
             return False
-        self.was_silent(now)
+        self.probe_timed_out(now)
         return True
 
     def broke(self, now: float) -> None:
--- a/limedyke/core/units/unit_answer.py
+++ b/limedyke/core/units/unit_answer.py
@@ -15,7 +15,7 @@
     follow_transaction,
     judge_failure,
     leave_transaction,
-    wrote_unplaced,
+    wrote_at_unknown_position,
 )
 from limedyke.messages.work import AnswerEnd
 from limedyke.postgres.client_messages import failure_response
@@ -57,11 +57,11 @@
 def _follow_completion(state: SessionState, running: RunningUnit, end: AnswerEnd) -> bool:
     """Follow a unit that was answered; tell whether the session token changed."""
     binds = binds_position(state, running, end)
-    unplaced = wrote_unplaced(running, end)
+    unplaced = wrote_at_unknown_position(running, end)
     follow_transaction(state, running, end.status)
     changed = state.position.take_end(end, binds)
     if unplaced:
-        changed = state.position.lose_write() or changed
+        changed = state.position.record_unknown_write() or changed
     return changed
 
 
@@ -69,7 +69,7 @@
     state: SessionState, running: RunningUnit, end: AnswerEnd, failure: Failure
 ) -> bool:
     """Follow a unit that was refused or lost; tell whether the session token changed."""
-    changed = failure.code.outcome is Outcome.UNKNOWN and state.position.lose_write()
+    changed = failure.code.outcome is Outcome.UNKNOWN and state.position.record_unknown_write()
     leave_transaction(state, running, end)
     return changed
 
--- a/limedyke/core/units/unit_outcome.py
+++ b/limedyke/core/units/unit_outcome.py
@@ -74,7 +74,7 @@
     return False
 
 
-def as_write(running: RunningUnit, stream: int) -> RunningUnit:
+def as_write_unit(running: RunningUnit, stream: int) -> RunningUnit:
     """Return a unit that a replica refused, to run on the primary."""
     plan = running.plan
     plan.access = Access.WRITE
@@ -107,7 +107,7 @@
     return Effect.ROLLBACK in effects and Effect.COMMIT not in effects
 
 
-def wrote_unplaced(running: RunningUnit, end: AnswerEnd) -> bool:
+def wrote_at_unknown_position(running: RunningUnit, end: AnswerEnd) -> bool:
     """Tell whether a unit may have committed a write whose position its answer doesn't tell.
 
     That is a write that the client let run as a read, but no replica served, and a commit
@@ -179,7 +179,7 @@
     """
     if _may_have_committed(state, running):
         return unknown
-    in_transaction = state.is_in_transaction or running.plan.may_open
+    in_transaction = state.is_in_transaction or running.plan.may_open_transaction
     return ResultCode.TRANSACTION_LOST if in_transaction else ResultCode.READ_FAILED
 
 
--- a/limedyke/proxy/control/urgent_silence.py
+++ b/limedyke/proxy/control/report_answer_timer.py
@@ -12,7 +12,7 @@
 SHORTEST_INTERVAL_S = 10.0
 
 
-class UrgentSilence:
+class ReportAnswerTimer:
     """Times one unanswered report after the other, in seconds of a monotonic clock."""
 
     def __init__(self) -> None:
@@ -24,12 +24,12 @@
         """Whether a report was sent and the leader has not been heard since."""
         return self._reported_at is not None
 
-    def reported(self, now: float) -> None:
+    def report_sent(self, now: float) -> None:
         """Note a report; the first one that is unanswered counts."""
         if self._reported_at is None:
             self._reported_at = now
 
-    def heard(self) -> None:
+    def answer_received(self) -> None:
         """Note that a heartbeat was answered, or that the link has ended."""
         self._reported_at = None
 
@@ -39,7 +39,7 @@
             return float("inf")
         return self._reported_at + ANSWER_LIMIT_S - now
 
-    def left(self, now: float) -> None:
+    def link_closed(self, now: float) -> None:
         """Note that the leader was left for its silence."""
         self._left_at = now
         self._reported_at = None
--- a/limedyke/proxy/control/intake.py
+++ b/limedyke/proxy/control/state_receiver.py
@@ -13,7 +13,7 @@
 from limedyke.transport.link import LinkClosedError
 
 
-class ControlIntake:
+class ControlStateReceiver:
     """Takes snapshots and updates in, and puts the views they make into force.
 
     :param store: the proxy's disk
@@ -59,7 +59,7 @@
         """Hold back what is older than a leader's present state."""
         self._target_index = target.control_index
 
-    async def take_snapshot(self, snapshot: ControlSnapshot) -> None:
+    async def apply_snapshot(self, snapshot: ControlSnapshot) -> None:
         """Take a whole state.
 
         :raises LinkClosedError: when it is older than what was taken in before
@@ -71,9 +71,9 @@
                 f"snapshot {snapshot.control_index} is older than {view.control_index}"
             )
         self._unsaved_snapshot = True
-        await self._accept(self._stored.builder.take_snapshot(snapshot))
+        await self._accept(self._stored.builder.apply_snapshot(snapshot))
 
-    async def take_update(self, update: ControlUpdate) -> None:
+    async def apply_update(self, update: ControlUpdate) -> None:
         """Take a change of the newest view; an empty one confirms it.
 
         :raises LinkClosedError: when it does not follow
@@ -87,7 +87,7 @@
             return
         if not self._unsaved_snapshot:
             await self._store.append_updates([update])
-        await self._accept(self._stored.builder.take_update(update))
+        await self._accept(self._stored.builder.apply_update(update))
 
     async def _confirm(self, view: ControlView) -> None:
         """Take a stored view into force, also again, once the leader says that it is current."""
--- a/limedyke/proxy/members/connection.py
+++ b/limedyke/proxy/members/connection.py
@@ -16,10 +16,10 @@
 from limedyke.addresses import split_address
 from limedyke.messages.work import LogPosition, SessionSetting
 from limedyke.postgres import member_frames as frames
+from limedyke.postgres.internal_query import InternalQueryReader, InternalQueryResult
 from limedyke.postgres.member_answer import AnswerReader, AnswerViolationError
 from limedyke.postgres.member_frames import Frame, PositionAnswer
 from limedyke.postgres.member_login import MemberCredentials, MemberLogin
-from limedyke.postgres.own_answer import OwnAnswer, OwnAnswerReader
 from limedyke.proxy.members.connection_state import BackendState
 from limedyke.result_codes import Failure, ResultCode
 
@@ -222,7 +222,7 @@
             self.broken = True
             raise
 
-    async def execute(self, sql: str) -> OwnAnswer:
+    async def execute(self, sql: str) -> InternalQueryResult:
         """Run a statement of the proxy itself and return its whole answer.
 
         :raises ConnectionLostError: when the connection breaks
@@ -233,12 +233,12 @@
         self._put_back = ()
         return answer
 
-    async def read_own(self) -> OwnAnswer:
+    async def read_own(self) -> InternalQueryResult:
         """Read the answer to one query of the proxy itself; others may be pipelined behind it.
 
         :raises ConnectionLostError: when the connection breaks
         """
-        reader = OwnAnswerReader()
+        reader = InternalQueryReader()
         while True:
             received = await self.receive()
             for index, frame in enumerate(received):
--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -10,10 +10,10 @@
 from limedyke.core.queueing.queue_answer import Refused
 from limedyke.core.statements.session import RunOnMember, StatementSession, refusal
 from limedyke.messages.statements import AnswerKind, StatementAnswer
-from limedyke.proxy.statements.giving_up import UNKNOWN_READY_S, give_up
 from limedyke.proxy.statements.group import StatementGroup
 from limedyke.proxy.statements.members.member_pool import MemberPool
 from limedyke.proxy.statements.statement_log import NotSent, StatementLog, Try
+from limedyke.proxy.statements.statement_refusal import UNKNOWN_READY_S, give_up
 from limedyke.result_codes import ResultCode
 
 MS_PER_S = 1_000.0
@@ -128,7 +128,7 @@
         until = max(self.hold_until, self._connection_until if self._wants_connection else 0.0)
         now = time.monotonic()
         if self.group.lacks_primary(now):
-            self.group.outage.noticed(now)
+            self.group.outage.note_no_primary(now)
             until = max(until, self.group.hold_until(now))
         return min(until, self.deadline - LEAST_ATTEMPT_S)
 
@@ -182,7 +182,7 @@
         """Note that a member's queue took it not, or no longer; the log tells what was counted."""
         self.failed(NotSent.TURNED_AWAY, member)
         self.last = f"{refused.reason} at {member}"
-        self._ready_in_s = refused.room_in_s
+        self._ready_in_s = refused.retry_likely_in_s
         self.log.turned_away(self.session.database, self.run.statement, member, refused)
 
     @property
--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -25,7 +25,7 @@
 from limedyke.proxy.statements.clients.client_codec import (
     ClientCodec,
     ClientEvent,
-    LeaveAsked,
+    LeaveRequested,
     MalformedStatement,
     SessionEnded,
     SessionRequested,
@@ -34,11 +34,11 @@
 from limedyke.proxy.statements.clients.session_admission import SessionAdmission
 from limedyke.proxy.statements.clients.session_end import end_session
 from limedyke.proxy.statements.executor import StatementExecutor
-from limedyke.proxy.statements.giving_up import give_up
 from limedyke.proxy.statements.groups import StatementGroups
-from limedyke.proxy.statements.placed_answer import PlacedAnswer, TransactionPlace
 from limedyke.proxy.statements.settlement import settle_unanswered
 from limedyke.proxy.statements.statement_log import StatementLog, StatementUnderWay
+from limedyke.proxy.statements.statement_outcome import PlacedAnswer, TransactionLocation
+from limedyke.proxy.statements.statement_refusal import give_up
 from limedyke.result_codes import ResultCode
 
 RECEIVE_BYTES = 64 * 1024
@@ -107,7 +107,7 @@
         self._codec = codec
         self._services = services
         self._session: StatementSession | None = None
-        self._place: TransactionPlace | None = None
+        self._place: TransactionLocation | None = None
         self._is_sent_away = False
         self._is_over = False
         self._events: deque[ClientEvent] = deque()
@@ -159,7 +159,7 @@
                 return await self._serve_statement(event.statement)
             case MalformedStatement():
                 return await self._refuse_malformed(event)
-            case LeaveAsked():
+            case LeaveRequested():
                 await self._end_session(ResultCode.DRAINING)
         return False
 
@@ -169,7 +169,7 @@
                 data = await self._receive()
             except LeaveAskedError:
                 if self._session is None or self._session.transaction is None:
-                    return LeaveAsked()
+                    return LeaveRequested()
                 await self._lose_transaction(ResultCode.TRANSACTION_LOST)
                 continue
             if data is None:
--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -12,8 +12,8 @@
 import curio
 
 from limedyke.core.access_keys import AccessKeys
-from limedyke.core.member_record import fault_of
-from limedyke.core.statements.connection_demand import DemandNews
+from limedyke.core.member_record import invalid_field
+from limedyke.core.statements.connection_demand import DemandReporter
 from limedyke.core.statements.observed_member import ObservedMember
 from limedyke.core.statements.primary_outage import OutageTimes
 from limedyke.core.statements.process_pauses import ProcessPauses
@@ -101,7 +101,7 @@
         self._outage_times = OutageTimes()
         self._pauses = ProcessPauses()
         self._leases: dict[tuple[str, str], int] = {}
-        self._demand_news = DemandNews()
+        self._demand_news = DemandReporter()
         self._owed: set[tuple[str, str]] = set()
         self._reported: dict[tuple[str, str], _Seen] = {}
         self._unusable: set[str] = set()
@@ -109,7 +109,7 @@
     async def control_changed(self, view: ControlView) -> None:
         """Take a newer view into force."""
         self.view = view
-        self.access_keys.take(view.tenants)
+        self.access_keys.set_tenants(view.tenants)
         members: dict[str, dict[str, AnnouncedMember]] = {name: {} for name in view.groups}
         for member in view.announced.values():
             if member.group in members and self._is_usable(member):
@@ -123,7 +123,7 @@
                 await group.set_limit(*self._limits_of(name))
             await group.take_declared(view.groups[name])
             await group.take_members(members[name])
-            group.shared_by(len(view.home_proxies(name)))
+            group.set_proxies(len(view.home_proxies(name)))
             await group.take_primary(view.primaries.get(name))
         self._forget_reports(view)
         await self._first_view.set()
@@ -132,7 +132,7 @@
 
     def _is_usable(self, member: AnnouncedMember) -> bool:
         """Tell whether a record names a member to use; log once why one does not."""
-        fault = fault_of(member)
+        fault = invalid_field(member)
         if not fault:
             self._unusable.discard(member.identity)
             return True
@@ -289,7 +289,7 @@
         """
         now = time.monotonic()
         told = (group.demands(now) for group in self.groups.values())
-        return self._demand_news.take(chain.from_iterable(told), whole)
+        return self._demand_news.changes_to_report(chain.from_iterable(told), whole)
 
     def _new_group(self, name: str) -> StatementGroup:
         def make_pool(observed: ObservedMember) -> MemberPool:
@@ -298,7 +298,7 @@
             timeout_s = settings.connect_timeout_ms / 1_000
             neighbour = self._known_in(observed.record.zone)
             if neighbour is not None:
-                observed.resembles(neighbour)
+                observed.assume_times_of(neighbour)
             count = MemberTraffic(self._meter, lambda: self._distance_to(observed.record.zone))
             return MemberPool(observed, self._make_codec, settings.source_ip, timeout_s, count)
 
--- a/limedyke/proxy/statements/homes/forwarded_attempt.py
+++ b/limedyke/proxy/statements/homes/forwarded_attempt.py
@@ -16,8 +16,8 @@
     MS_PER_S,
     RETRY_PAUSE_S,
 )
-from limedyke.proxy.statements.giving_up import UNKNOWN_READY_S, give_up
 from limedyke.proxy.statements.group import StatementGroup
+from limedyke.proxy.statements.statement_refusal import UNKNOWN_READY_S, give_up
 from limedyke.result_codes import ResultCode, did_not_run
 
 LEASE_WAIT_SHARE = 0.7
@@ -100,7 +100,7 @@
     async def wait_for_primary(self) -> bool:
         """Wait for another primary, then try all homes again; False when it may not be held."""
         now = time.monotonic()
-        self.group.outage.noticed(now)
+        self.group.outage.note_no_primary(now)
         until = max(self.hold_until, self.group.hold_until(now))
         if not await self.group.wait_for_primary(min(until, self.deadline - LEAST_ATTEMPT_S)):
             return False
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -10,15 +10,16 @@
 import curio
 from result import Err, Ok
 
+from limedyke.core.queueing.dequeue_rate import DequeueRate
 from limedyke.core.queueing.queue_answer import QueueDrain, RefusalReason, Refused
 from limedyke.core.queueing.queued_request import NEVER, QueuedRequest
 from limedyke.core.queueing.request_queue import RequestQueue
-from limedyke.core.queueing.return_schedule import ReturnSchedule
-from limedyke.core.queueing.turn_rate import TurnRate
+from limedyke.core.queueing.retry_schedule import RetrySchedule
 from limedyke.core.statements.connection_demand import ConnectionUse
 from limedyke.core.statements.observed_member import FIRST_ANSWER_S, OPENING, ObservedMember
 from limedyke.messages.statements import AnswerKind
 from limedyke.messages.work import TransactionStatus
+from limedyke.proxy.statements.members.checked_out_connections import CheckedOutConnections
 from limedyke.proxy.statements.members.connection_waiter import (
     ANY_TENANT,
     ConnectionWaiter,
@@ -26,7 +27,6 @@
     TurnedAwayError,
 )
 from limedyke.proxy.statements.members.idle_connections import IdleConnections
-from limedyke.proxy.statements.members.lent_connections import LentConnections
 from limedyke.proxy.statements.members.member_codec import MemberCodec
 from limedyke.proxy.statements.members.member_connection import (
     ConnectionRefusedByMemberError,
@@ -101,9 +101,9 @@
         self._opening: Counter[str] = Counter()
         self._idle = IdleConnections()
         self._queue = RequestQueue(FIRST_ANSWER_S)
-        self._lent = LentConnections()
-        self._turns = TurnRate()
-        self._returns = ReturnSchedule()
+        self._lent = CheckedOutConnections()
+        self._turns = DequeueRate()
+        self._returns = RetrySchedule()
         self._recount_at = 0.0
         self._lacked_room = False
 
@@ -153,7 +153,7 @@
         self.observed.outstanding += 1
         self._lent.lend(connection, request, now)
         if request.was_let_in:
-            self._turns.had_turn(now)
+            self._turns.record_dequeue(now)
         self._queue.started(request, waited=request.was_let_in)
         return connection
 
@@ -582,7 +582,7 @@
         now = time.monotonic()
         waiter.renew()
         if not self._queue:
-            self._turns.began(now, self._assumed_gap_s(now))
+            self._turns.start_waiting(now, self._assumed_gap_s(now))
         if waiter.was_let_in or self._has_place_for(waiter, now):
             self._queue.place(waiter, now)
         else:
--- a/limedyke/proxy/statements/members/member_questions.py
+++ b/limedyke/proxy/statements/members/member_queries.py
@@ -95,7 +95,7 @@
             connection = await pool.getconn(ANY_TENANT, {}, 0, limit_s)
         except PoolTimeoutError:
             if pool.observed.silent_s(time.monotonic()) >= limit_s:
-                pool.observed.was_silent(time.monotonic())
+                pool.observed.probe_timed_out(time.monotonic())
             return None
         except (ConnectionLostError, ConnectionRefusedByMemberError, PoolClosedError):
             return None
@@ -119,7 +119,7 @@
         asked_at = time.monotonic()
         await self._ask_on(pool, connection, limit_s)
         if connection.is_closed:
-            pool.observed.let_pass(asked_at, limit_s, time.monotonic())
+            pool.observed.answer_timed_out(asked_at, limit_s, time.monotonic())
             return
         await self._check_unheard(pool, pool.take_unheard(silent_since), limit_s)
 
@@ -158,7 +158,7 @@
             if status is None:
                 observed.concurrency.turned_away(now - asked_at, now)
             else:
-                observed.told_busy(status.busy, now)
+                observed.report_busy_slots(status.busy, now)
         except curio.TaskTimeout:
             is_answered = observed.contact_at >= asked_at
         except ConnectionLostError:
--- a/limedyke/proxy/unit_exchange.py
+++ b/limedyke/proxy/unit_exchange.py
@@ -25,14 +25,14 @@
 
     :param accept_before: asks for the position ahead of the batch; the answer is relayed only
         when this accepts it
-    :param check_behind: asks for the position behind the batch
+    :param check_after: asks for the position behind the batch
     :param is_write: CommandComplete is held back until the check behind was answered
     :param ahead: messages of the proxy itself sent ahead of the batch
     :param read_ahead: reads their answers
     """
 
     accept_before: Accept | None
-    check_behind: bool
+    check_after: bool
     is_write: bool
     ahead: bytes = b""
     read_ahead: Callable[[BackendConnection], Awaitable[None]] | None = None
@@ -84,14 +84,14 @@
         connection = self.connection
         plan = self._plan
         mark_before = connection.next_mark() if plan.accept_before is not None else None
-        mark_behind = connection.next_mark() if plan.check_behind else None
+        mark_after = connection.next_mark() if plan.check_after else None
         parses, parse_count = connection.state.prepare(self._unit.prepared)
-        self.reader = AnswerReader(mark_before, mark_behind, parse_count)
+        self.reader = AnswerReader(mark_before, mark_after, parse_count)
         pieces = [plan.ahead, parses, self._unit.data]
         if mark_before is not None:
             pieces.insert(0, frames.position_query(mark_before))
-        if mark_behind is not None:
-            pieces.append(frames.position_query(mark_behind))
+        if mark_after is not None:
+            pieces.append(frames.position_query(mark_after))
         self.asked_at = time.monotonic()
         await connection.send(b"".join(pieces))
         self.sent = True
@@ -131,7 +131,7 @@
 
     def _learn(self) -> None:
         reader = self.reader
-        answer = reader.position_behind or reader.position_before
+        answer = reader.position_after or reader.position_before
         if answer is not None:
             self.connection.learn(answer)
         failed_to_prepare = bool(reader.sqlstate) and bool(self._unit.prepared)
@@ -142,4 +142,4 @@
     def checked(self) -> bool:
         """Whether the member told its position in this exchange."""
         reader = self.reader
-        return reader.position_behind is not None or reader.position_before is not None
+        return reader.position_after is not None or reader.position_before is not None
--- a/limedyke/storage/durable_log.py
+++ b/limedyke/storage/durable_log.py
@@ -119,7 +119,7 @@
             hard_state=self._hard_state,
             snapshot=self._snapshot,
             entries=tuple(self._entries[skipped:]),
-            leader_heard_at=self._leader_contact.read(),
+            leader_contact_at=self._leader_contact.read(),
         )
         self._entries = []
         return stored
@@ -151,7 +151,7 @@
         """
         return self._guard(lambda: self._install_snapshot(snapshot, keep_entries))
 
-    def note_leader_heard(self, heard_at: float) -> Result[None, Failure]:
+    def save_leader_contact(self, heard_at: float) -> Result[None, Failure]:
         """Note when a leader was heard, for the next process; may run beside another write."""
         if self._failure is not None:
             return Err(self._failure)
