--- a/features/steps/agreement_steps.py
+++ b/features/steps/agreement_steps.py
@@ -104,7 +104,7 @@
 def step_bound_from(context, noted, term, began, bound):
     heard_at = None if noted == NONE else float(noted)
     stored = StoredState(hard_state=HardState(term, None), leader_contact_at=heard_at)
-    found = stored.after_process_start(began).leader_contact_at
+    found = stored.with_contact_bound(began).leader_contact_at
     expected = None if bound == "not bound" else float(bound.removeprefix("bound from "))
     assert found == expected, found
 
--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -230,7 +230,7 @@
             await curio.sleep(DISK_PROBE_INTERVAL_S)
         self.log = opened.ok_value
         EVENTS.warning("log-read-anew", last_index=self.log.last_index, cut=self.log.torn_tail)
-        return self.log.take_stored_state().heard_leader_at(heard_at)
+        return self.log.take_stored_state().with_leader_contact(heard_at)
 
     def _learn_stored_addresses(self, entries: tuple[LogEntry, ...]) -> None:
         """Learn where the others were last reached: the settings may name other controllers now.
@@ -253,7 +253,7 @@
         stored = self.log.take_stored_state()
         if self._process_started_at is None:
             return stored
-        return stored.after_process_start(self._process_started_at)
+        return stored.with_contact_bound(self._process_started_at)
 
     def _start_replica(self, stored: StoredState) -> None:
         self._network.cluster = stored.snapshot.configuration.cluster
--- a/limedyke/core/agreement/records.py
+++ b/limedyke/core/agreement/records.py
@@ -58,7 +58,7 @@
     entries: tuple[LogEntry, ...] = ()
     leader_contact_at: float | None = None
 
-    def after_process_start(self, started_at: float) -> StoredState:
+    def with_contact_bound(self, started_at: float) -> StoredState:
         """Return the same with the latest moment at which a leader can have been heard.
 
         An earlier process on this disk had ended before this one began, and this one has answered
@@ -69,7 +69,7 @@
         is_bounded = self.leader_contact_at is not None or self.hard_state.term == 0
         return self if is_bounded else replace(self, leader_contact_at=started_at)
 
-    def heard_leader_at(self, heard_at: float) -> StoredState:
+    def with_leader_contact(self, heard_at: float) -> StoredState:
         """Return the same for a process that has answered leaders itself.
 
         :param heard_at: when it last heard one, by its clock; no note on the disk is later
