--- a/features/steps/agreement_steps.py
+++ b/features/steps/agreement_steps.py
@@ -170,7 +170,7 @@
     if heard == "nothing":
         return []
     if heard == "a leader's entries":
-        return founding.leader_heard()
+        return founding.on_leader_contact()
     if words[0] == "founded":
         others = identities("b1 c1")
         voters = (own, *others) if heard == "founded with it" else others
--- a/limedyke/controller/founding_phase.py
+++ b/limedyke/controller/founding_phase.py
@@ -59,7 +59,7 @@
                 if isinstance(message, FoundingMessage):
                     commands += self._core.handle(sender, message)
                 elif isinstance(message, AppendEntriesRequest | InstallSnapshotRequest):
-                    commands += self._core.leader_heard()
+                    commands += self._core.on_leader_contact()
             commands += self._core.tick(boot_seconds())
             for command in commands:
                 if await self._execute(command):
--- a/limedyke/core/agreement/founding.py
+++ b/limedyke/core/agreement/founding.py
@@ -109,7 +109,7 @@
             case ClusterFounded():
                 return self._on_founded(message)
 
-    def leader_heard(self) -> list[FoundingCommand]:
+    def on_leader_contact(self) -> list[FoundingCommand]:
         """Take note that a leader already replicates to this incarnation."""
         return self._join(JoinReason.CLUSTER_EXISTS)
 
