--- a/features/steps/leader_losses_steps.py
+++ b/features/steps/leader_losses_steps.py
@@ -51,8 +51,8 @@
 )
 def step_silent(context, least, most, behind):
     rounds = context.leader.step_downs[-1].rounds
-    assert set(rounds.heard_s) == {"b", "c"}, rounds
-    assert all(least <= seconds <= most for seconds in rounds.heard_s.values()), rounds
+    assert set(rounds.silent_s) == {"b", "c"}, rounds
+    assert all(least <= seconds <= most for seconds in rounds.silent_s.values()), rounds
     assert set(rounds.behind.values()) == {behind}, rounds
     assert least <= rounds.confirmed_s <= most, rounds
     assert rounds.unsynced == 0, rounds
--- a/limedyke/controller/replica.py
+++ b/limedyke/controller/replica.py
@@ -395,7 +395,7 @@
             rounds_sent=rounds.sent,
             rounds_confirmed=rounds.confirmed,
             unconfirmed_ms=int(rounds.confirmed_s * MS_PER_S),
-            heard_ms=_by_name({n: int(s * MS_PER_S) for n, s in rounds.heard_s.items()}),
+            heard_ms=_by_name({n: int(s * MS_PER_S) for n, s in rounds.silent_s.items()}),
             behind=_by_name(rounds.behind),
             unsynced=rounds.unsynced,
             longest_step_ms=int(self._longest_step_s * MS_PER_S),
--- a/limedyke/core/agreement/commands.py
+++ b/limedyke/core/agreement/commands.py
@@ -39,7 +39,7 @@
     :param sent: number of the newest round that was sent
     :param confirmed: number of the newest round that a majority of the voters answered, 0 for none
     :param confirmed_s: since that round was sent, or since the election
-    :param heard_s: since each other voter last answered, by name
+    :param silent_s: since each other voter last answered, by name
     :param behind: entries of the log that each other voter has not said to hold, by name
     :param unsynced: entries of the log that are not on the leader's own disk yet
     """
@@ -48,7 +48,7 @@
     sent: int
     confirmed: int
     confirmed_s: float
-    heard_s: dict[str, float]
+    silent_s: dict[str, float]
     behind: dict[str, int]
     unsynced: int
 
--- a/limedyke/core/agreement/leader.py
+++ b/limedyke/core/agreement/leader.py
@@ -67,7 +67,7 @@
             sent=self.replication.round_number,
             confirmed=self.lease.confirmed_round,
             confirmed_s=self.lease.unconfirmed_s,
-            heard_s={name: state.now - progress.heard_at for name, progress in known.items()},
+            silent_s={name: state.now - progress.heard_at for name, progress in known.items()},
             behind={
                 name: state.log.last_index - progress.match_index
                 for name, progress in known.items()
