--- a/limedyke/core/agreement/leader.py
+++ b/limedyke/core/agreement/leader.py
@@ -67,7 +67,9 @@
             sent=self.replication.round_number,
             confirmed=self.lease.confirmed_round,
             confirmed_s=self.lease.unconfirmed_s,
-            silent_s={name: state.now - progress.heard_at for name, progress in known.items()},
+            silent_s={
+                name: state.now - progress.last_response_at for name, progress in known.items()
+            },
             behind={
                 name: state.log.last_index - progress.match_index
                 for name, progress in known.items()
@@ -153,7 +155,7 @@
             learner
             for learner in state.configuration.learners
             if self.replication.progress[learner].match_index >= state.commit_index
-            and self.replication.progress[learner].heard_at >= oldest
+            and self.replication.progress[learner].last_response_at >= oldest
         )
 
     def read(self, event: ReadRequested) -> None:
@@ -256,7 +258,7 @@
             for voter in state.other_voters()
             if progress[voter].match_index == state.log.last_index
         ]
-        return max(candidates, key=lambda voter: progress[voter].heard_at, default=None)
+        return max(candidates, key=lambda voter: progress[voter].last_response_at, default=None)
 
     def stop(self) -> None:
         """Answer what is pending: it may be committed by a later leader, or not."""
--- a/limedyke/core/agreement/progress.py
+++ b/limedyke/core/agreement/progress.py
@@ -12,7 +12,7 @@
     :param next_index: the next entry to send
     :param match_index: the last entry known synced there
     :param acknowledged_round: the newest heartbeat round it answered; 0 for none
-    :param heard_at: when it last answered, by the leader's clock
+    :param last_response_at: when it last answered, by the leader's clock
     :param probing: wait for one answer before sending further entries
     :param in_flight: last indexes of sent and unanswered batches
     :param snapshot_index: index of the snapshot being sent; 0 when none is
@@ -21,7 +21,7 @@
     """
 
     next_index: int
-    heard_at: float
+    last_response_at: float
     match_index: int = 0
     acknowledged_round: int = 0
     probing: bool = True
--- a/limedyke/core/agreement/replication.py
+++ b/limedyke/core/agreement/replication.py
@@ -35,7 +35,7 @@
         }
 
     def _new_progress(self) -> Progress:
-        return Progress(next_index=self._state.log.last_index + 1, heard_at=self._state.now)
+        return Progress(next_index=self._state.log.last_index + 1, last_response_at=self._state.now)
 
     def heartbeat(self, round_number: int) -> None:
         """Send every member something that it has to answer."""
@@ -103,7 +103,7 @@
 
     def _note_answer(self, progress: Progress, round_number: int) -> None:
         progress.acknowledged_round = max(progress.acknowledged_round, round_number)
-        progress.heard_at = self._state.now
+        progress.last_response_at = self._state.now
 
     def _note_match(self, progress: Progress, match_index: int) -> None:
         progress.match_index = max(progress.match_index, match_index)
