--- a/limedyke/controller/leading/voter_manager.py
+++ b/limedyke/controller/leading/voter_manager.py
@@ -46,7 +46,7 @@
         return self._policy.next_change(
             agreement.configuration,
             [learner for learner, lag in agreement.learner_lag().items() if lag == 0],
-            {member: found.heard_at for member, found in progress.items()},
+            {member: found.last_response_at for member, found in progress.items()},
             self._replica.waiting.all(),
             boot_seconds(),
         )
--- a/limedyke/controller/status_report.py
+++ b/limedyke/controller/status_report.py
@@ -54,7 +54,7 @@
         agreement = self._replica.agreement
         is_self = identity == agreement.identity
         progress = agreement.member_progress().get(identity)
-        heard_at = progress.heard_at if progress else 0.0
+        last_response_at = progress.last_response_at if progress else 0.0
         return ControllerStatus(
             name=identity.name,
             address=self._addresses.get(identity.name, ""),
@@ -62,7 +62,7 @@
             matched_index=agreement.last_index
             if is_self
             else (progress.match_index if progress else 0),
-            silent_ms=0 if is_self else int((boot_seconds() - heard_at) * 1000),
+            silent_ms=0 if is_self else int((boot_seconds() - last_response_at) * 1000),
         )
 
     def _proxy(self, record: ProxyRecord, service: LeaderService, now: float) -> ProxyStatus:
