--- a/features/steps/voter_policy_steps.py
+++ b/features/steps/voter_policy_steps.py
@@ -30,15 +30,15 @@
 @given('voter policy: "{silent}" silent for {seconds:g} s')
 def step_silent(context, silent, seconds):
     members = context.configuration.voters + context.configuration.learners
-    context.heard_at = dict.fromkeys(members[1:], NOW)
-    context.heard_at.update(dict.fromkeys(lives(silent), NOW - seconds))
+    context.last_response_at = dict.fromkeys(members[1:], NOW)
+    context.last_response_at.update(dict.fromkeys(lives(silent), NOW - seconds))
 
 
 @when('voter policy: "{waiting}" have announced themselves')
 def step_waiting(context, waiting):
     found = [WaitingController(life, "127.0.0.1:1", NOW) for life in lives(waiting)]
     context.change = context.policy.next_change(
-        context.configuration, context.caught_up, context.heard_at, found, NOW
+        context.configuration, context.caught_up, context.last_response_at, found, NOW
     )
 
 
--- a/limedyke/core/agreement/voter_policy.py
+++ b/limedyke/core/agreement/voter_policy.py
@@ -29,18 +29,18 @@
 class WaitingController:
     """A controller that is no member and announced itself.
 
-    :param heard_at: seconds of the leader's clock
+    :param announced_at: seconds of the leader's clock
     :param interval_s: after which it was asked to announce itself again
     """
 
     identity: ControllerIdentity
     address: str
-    heard_at: float
+    announced_at: float
     interval_s: float = 0.0
 
     def is_present(self, now: float, least_age_s: float) -> bool:
         """Tell whether it was heard within the last three announcements, or within an age."""
-        return now - self.heard_at <= max(least_age_s, ANNOUNCEMENTS_MISSED * self.interval_s)
+        return now - self.announced_at <= max(least_age_s, ANNOUNCEMENTS_MISSED * self.interval_s)
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,29 +60,29 @@
         self,
         configuration: MemberConfiguration,
         caught_up: Collection[ControllerIdentity],
-        heard_at: Mapping[ControllerIdentity, float],
+        last_response_at: Mapping[ControllerIdentity, float],
         waiting: Collection[WaitingController],
         now: float,
     ) -> MembershipChange | None:
         """Return the next change, or None when all is as wanted.
 
         :param caught_up: learners that hold all committed entries
-        :param heard_at: when each other member last answered the leader
+        :param last_response_at: when each other member last answered the leader
         """
         for learner in configuration.learners:
             if learner in caught_up:
-                change = self._promotion_of(learner, configuration, heard_at, now)
+                change = self._promotion_of(learner, configuration, last_response_at, now)
                 if change is not None:
                     return change
         return self._addition(configuration, waiting, now) or self._removal(
-            configuration, heard_at, now
+            configuration, last_response_at, now
         )
 
     def _promotion_of(
         self,
         learner: ControllerIdentity,
         configuration: MemberConfiguration,
-        heard_at: Mapping[ControllerIdentity, float],
+        last_response_at: Mapping[ControllerIdentity, float],
         now: float,
     ) -> PromoteLearner | None:
         for voter in configuration.voters:
@@ -90,16 +90,18 @@
                 return PromoteLearner(learner, replaces=voter)
         if len(configuration.voters) < self.voters_wanted:
             return PromoteLearner(learner)
-        silent = self._most_silent(configuration.voters, heard_at)
-        if silent is not None and now - heard_at[silent] > self.silence_limit_s:
+        silent = self._most_silent(configuration.voters, last_response_at)
+        if silent is not None and now - last_response_at[silent] > self.silence_limit_s:
             return PromoteLearner(learner, replaces=silent)
         return None
 
     def _most_silent(
-        self, members: Collection[ControllerIdentity], heard_at: Mapping[ControllerIdentity, float]
+        self,
+        members: Collection[ControllerIdentity],
+        last_response_at: Mapping[ControllerIdentity, float],
     ) -> ControllerIdentity | None:
-        others = [member for member in members if member in heard_at]
-        return min(others, key=lambda member: heard_at[member], default=None)
+        others = [member for member in members if member in last_response_at]
+        return min(others, key=lambda member: last_response_at[member], default=None)
 
     def _addition(
         self,
@@ -122,11 +124,11 @@
     def _removal(
         self,
         configuration: MemberConfiguration,
-        heard_at: Mapping[ControllerIdentity, float],
+        last_response_at: Mapping[ControllerIdentity, float],
         now: float,
     ) -> RemoveMember | None:
-        silent = self._most_silent(configuration.learners, heard_at)
+        silent = self._most_silent(configuration.learners, last_response_at)
         limit_s = FORGET_LEARNER_FACTOR * self.silence_limit_s
-        if silent is not None and now - heard_at[silent] > limit_s:
+        if silent is not None and now - last_response_at[silent] > limit_s:
             return RemoveMember(silent)
         return None
