--- a/limedyke/controller/leading/operator_changes.py
+++ b/limedyke/controller/leading/operator_changes.py
@@ -71,7 +71,7 @@
         configuration = self._replica.agreement.configuration
         match request.action:
             case ControllerAction.ADD:
-                waiting = self._replica.strangers.get(request.name)
+                waiting = self._replica.non_members.get(request.name)
                 if waiting is None:
                     return _failure(f"{request.name} has not announced itself to this controller")
                 return AddLearner(waiting)
--- a/limedyke/controller/replica.py
+++ b/limedyke/controller/replica.py
@@ -85,7 +85,7 @@
     :param on_role: called when the role, term or known leader changed, and on restored state
     :param advertise: where the other controllers reach this one (``ip:port``)
 
-    :ivar strangers: controllers that are no members and announced themselves, by name
+    :ivar non_members: controllers that are no members and announced themselves, by name
     :ivar waiting: those of them that said where they are reached, as long as they go on saying so
     """
 
@@ -109,7 +109,7 @@
         self.homes = HomeDirectory(self.state.home_proxies_per_group)
         self.storage_failure = ""
         self._storage_failed = curio.Event()
-        self.strangers: dict[str, ControllerIdentity] = {}
+        self.non_members: dict[str, ControllerIdentity] = {}
         self.waiting = WaitingControllers()
         self._leader_hint = ""
         self._advertise = advertise
@@ -172,7 +172,7 @@
         """Answer a controller that waits to be added; the leader notes it."""
         leader = self.leader_address(self._advertise)
         if self.leads:
-            self.strangers[call.identity.name] = call.identity
+            self.non_members[call.identity.name] = call.identity
             self.waiting.note(call.identity, call.address, boot_seconds())
         retry_after_ms = int(self.waiting.interval_s * MS_PER_S)
         return CallAnswer(leader=leader, members=self._members(), retry_after_ms=retry_after_ms)
@@ -229,7 +229,7 @@
     async def receive(self, sender: ControllerIdentity, message: PeerMessage) -> None:
         """Take a message of another controller."""
         if isinstance(message, FoundingQuery):
-            await self._answer_stranger(sender)
+            await self._answer_non_member(sender)
             return
         if isinstance(message, FoundingAnswer):
             for known in message.controllers:
@@ -238,9 +238,9 @@
         self._metrics.peer_messages.labels("in").inc()
         await self._events.put(MessageReceived(sender, message))
 
-    async def _answer_stranger(self, sender: ControllerIdentity) -> None:
+    async def _answer_non_member(self, sender: ControllerIdentity) -> None:
         """Note a controller that waits to be added, and tell it what it asks."""
-        self.strangers[sender.name] = sender
+        self.non_members[sender.name] = sender
         known = {self.agreement.identity.name: self._advertise, **self._network.addresses}
         answer = answer_founding_query(
             sender,
