--- a/limedyke/controller/status_report.py
+++ b/limedyke/controller/status_report.py
@@ -44,10 +44,10 @@
         rows += [self._controller(learner, "learner") for learner in configuration.learners]
         known = {identity.name for identity in configuration.voters + configuration.learners}
         known_identities = set(configuration.voters + configuration.learners)
-        for name, stranger in sorted(self._replica.strangers.items()):
-            if stranger not in known_identities:
+        for name, non_member in sorted(self._replica.non_members.items()):
+            if non_member not in known_identities:
                 role = "replaced-disk" if name in known else "waiting"
-                rows.append(self._controller(stranger, role))
+                rows.append(self._controller(non_member, role))
         return tuple(rows)
 
     def _controller(self, identity: ControllerIdentity, role: str) -> ControllerStatus:
