--- a/limedyke/controller/leading/leader_calls.py
+++ b/limedyke/controller/leading/leader_calls.py
@@ -63,7 +63,7 @@
         if not isinstance(call, AwaitMembershipCall):
             return await self.answer(call)
         began_at = boot_seconds()
-        answer = self._replica.welcome(call)
+        answer = self._replica.answer_membership_call(call)
         if self._replica.leads:
             self._counts.answered(call, answer, began_at, boot_seconds())
         return answer
--- a/limedyke/controller/replica.py
+++ b/limedyke/controller/replica.py
@@ -168,7 +168,7 @@
         for member in answer.members:
             self._network.set_address(member.name, member.address)
 
-    def welcome(self, call: AwaitMembershipCall) -> CallAnswer:
+    def answer_membership_call(self, call: AwaitMembershipCall) -> CallAnswer:
         """Answer a controller that waits to be added; the leader notes it."""
         leader = self.leader_address(self._advertise)
         if self.leads:
