--- a/limedyke/core/agreement/election.py
+++ b/limedyke/core/agreement/election.py
@@ -51,7 +51,7 @@
 
     def _start_pre_vote(self) -> None:
         state = self._state
-        state.ask_again_soon()
+        state.schedule_pre_vote_retry()
         state.set_role(Role.PRE_CANDIDATE, None)
         self._pre_votes = {state.identity}
         request = PreVoteRequest(state.term + 1, state.log.last_index, state.log.last_term)
@@ -106,11 +106,11 @@
             and self._is_up_to_date(request.last_index, request.last_term)
         )
         if granted:
-            self._yield_to(sender)
+            self._defer_to(sender)
         response = PreVoteResponse(state.term, request.term, granted)
         state.send_after_sync(sender, response)
 
-    def _yield_to(self, sender: ControllerIdentity) -> None:
+    def _defer_to(self, sender: ControllerIdentity) -> None:
         """Leave a moment to the one whose pre-vote was granted, so that votes don't split.
 
         Voters that restarted together ask at the same moment.  Of two pre-votes under way, that
@@ -122,7 +122,7 @@
                 return
             self._pre_votes = set()
         planned = state.election_deadline
-        state.ask_again_soon()
+        state.schedule_pre_vote_retry()
         state.election_deadline = max(planned, state.election_deadline)
 
     def on_pre_vote_response(self, sender: ControllerIdentity, response: PreVoteResponse) -> None:
--- a/limedyke/core/agreement/state.py
+++ b/limedyke/core/agreement/state.py
@@ -175,7 +175,7 @@
         links_are_up_at = self.now + self.timing.pre_vote_retry_minimum_s
         self.election_deadline = max(bound_until, links_are_up_at) + spread
 
-    def ask_again_soon(self) -> None:
+    def schedule_pre_vote_retry(self) -> None:
         """Draw a new random time to repeat a pre-vote; unlike a candidacy it disturbs no one."""
         self.election_deadline = self.now + self.rng.uniform(
             self.timing.pre_vote_retry_minimum_s, self.timing.pre_vote_retry_maximum_s
