--- a/features/support/agreement_mutants.py
+++ b/features/support/agreement_mutants.py
@@ -127,7 +127,7 @@
     ]
 
 
-def _bound_to_any(self: Election, sender: ControllerIdentity) -> bool:
+def _bound_by_any_lease(self: Election, sender: ControllerIdentity) -> bool:
     return self._leads() or self._state.heard_leader_recently()
 
 
@@ -193,7 +193,7 @@
         ((AgreementState, "__init__", _forget_leader_contact),)
     ),
     "waits for the lease of a leader that asks for votes itself": Mutant(
-        ((Election, "_bound_to_another", _bound_to_any),)
+        ((Election, "_bound_by_other_lease", _bound_by_any_lease),)
     ),
     "takes the first leader it vouched for as the last": Mutant(
         ((AgreementState, "vouch_for", _vouch_for_the_first_only),)
--- a/limedyke/core/agreement/election.py
+++ b/limedyke/core/agreement/election.py
@@ -102,7 +102,7 @@
             return
         granted = (
             request.term > state.term
-            and not self._bound_to_another(sender)
+            and not self._bound_by_other_lease(sender)
             and self._is_up_to_date(request.last_index, request.last_term)
         )
         if granted:
@@ -141,7 +141,7 @@
         state = self._state
         if not state.is_member(sender):
             return
-        if not request.leadership_transfer and self._bound_to_another(sender):
+        if not request.leadership_transfer and self._bound_by_other_lease(sender):
             return
         if request.term > state.term:
             self._become_follower(request.term, None)
@@ -178,7 +178,7 @@
         if is_current and state.is_voter and state.role is Role.FOLLOWER:
             self._start_candidacy(leadership_transfer=True)
 
-    def _bound_to_another(self, sender: ControllerIdentity) -> bool:
+    def _bound_by_other_lease(self, sender: ControllerIdentity) -> bool:
         """Tell whether the lease of a leader other than the candidate may still run.
 
         The leader that this voter vouched for last leads no more when it asks for votes: its
