--- a/limedyke/controller/peer_network.py
+++ b/limedyke/controller/peer_network.py
@@ -55,7 +55,7 @@
     :param link_identity: proves this process to its peers
     :param receive: called with each message for this very incarnation
 
-    :ivar dials_ahead: whether peers are dialled as soon as they are known, not only when there is
+    :ivar dials_eagerly: whether peers are dialled as soon as they are known, not only when there is
         something to send: members do, those that wait to be added may be hundreds
     """
 
@@ -77,7 +77,7 @@
         self._has_unstarted = curio.Event()
         self._generator = Random()
         self.cluster = ""
-        self.dials_ahead = True
+        self.dials_eagerly = True
 
     @property
     def addresses(self) -> dict[str, str]:
@@ -117,7 +117,7 @@
     def _take_wanted(self) -> list[str]:
         """Take out the peers to which a link is to be kept from now on."""
         wanted = [
-            name for name in self._unstarted if self.dials_ahead or self._outgoing[name].is_wanted
+            name for name in self._unstarted if self.dials_eagerly or self._outgoing[name].is_wanted
         ]
         self._unstarted = [name for name in self._unstarted if name not in wanted]
         return wanted
--- a/limedyke/controller/replica.py
+++ b/limedyke/controller/replica.py
@@ -156,7 +156,7 @@
 
     def keep_links(self) -> None:
         """Keep links to all other members from now on, also while there is nothing to send."""
-        self._network.dials_ahead = True
+        self._network.dials_eagerly = True
 
     def forget_leader(self) -> None:
         """Take no controller for the leader until one is heard or told of again."""
