--- a/limedyke/storage/durable_log.py
+++ b/limedyke/storage/durable_log.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LogPlace:
+class LogLocation:
     """Where and how a log is kept; see ``open_durable_log`` for each."""
 
     folder: Path
@@ -98,9 +98,9 @@
         self._leader_contact = LeaderContact(folder, file_system, identity)
 
     @property
-    def place(self) -> LogPlace:
+    def location(self) -> LogLocation:
         """Where and how it is kept, to open it again."""
-        return LogPlace(self._folder, self._file_system, self._sync, self._segment_bytes)
+        return LogLocation(self._folder, self._file_system, self._sync, self._segment_bytes)
 
     @property
     def last_index(self) -> int:
--- a/limedyke/storage/open_log.py
+++ b/limedyke/storage/open_log.py
@@ -55,10 +55,10 @@
 
     :returns: as ``open_durable_log``; after DISK_FULL it may be tried again
     """
-    place = log.place
+    location = log.location
     log.close()
     return open_durable_log(
-        place.folder, log.identity, place.file_system, place.sync, place.segment_bytes
+        location.folder, log.identity, location.file_system, location.sync, location.segment_bytes
     )
 
 
