--- a/limedyke/controller/replica.py
+++ b/limedyke/controller/replica.py
@@ -213,7 +213,7 @@
     async def _wait_for_disk_after_failure(self) -> None:
         """Return once the storage has failed and the disk takes writes again."""
         await self._storage_failed.wait()
-        while not await curio.run_in_thread(self._storage.disk_takes_writes):
+        while not await curio.run_in_thread(self._storage.disk_is_writable):
             await curio.sleep(DISK_PROBE_INTERVAL_S)
         EVENTS.warning("disk-works-again")
 
--- a/limedyke/storage/agreement_storage.py
+++ b/limedyke/storage/agreement_storage.py
@@ -73,9 +73,9 @@
         noted = self._log.save_leader_contact(heard_at)
         return StorageFailed(str(noted.unwrap_err())) if noted.is_err() else None
 
-    def disk_takes_writes(self) -> bool:
+    def disk_is_writable(self) -> bool:
         """Tell whether the disk would take writes again."""
-        return self._log.disk_takes_writes()
+        return self._log.disk_is_writable()
 
     def _take(self, command: StorageCommand, pending: list[LogRecord]) -> Result[None, Failure]:
         match command:
--- a/limedyke/storage/disk_probe.py
+++ b/limedyke/storage/disk_probe.py
@@ -10,7 +10,7 @@
 PROBE_BYTES = 64 * 1024
 
 
-def takes_writes(folder: Path, file_system: FileSystem) -> bool:
+def is_writable(folder: Path, file_system: FileSystem) -> bool:
     """Write, sync and remove a small file; tell whether all of it succeeded.
 
     :param folder: of the files that are to be written
--- a/limedyke/storage/durable_log.py
+++ b/limedyke/storage/durable_log.py
@@ -22,7 +22,7 @@
 from limedyke.messages.agreement import ControllerIdentity, LogEntry
 from limedyke.result_codes import Failure, ResultCode
 from limedyke.storage.crash_safe_file import CrashSafeFile
-from limedyke.storage.disk_probe import takes_writes
+from limedyke.storage.disk_probe import is_writable
 from limedyke.storage.file_system import FileSystem, WritableFile
 from limedyke.storage.frame import encode_frame
 from limedyke.storage.leader_contact import LeaderContact
@@ -162,9 +162,9 @@
             return Err(Failure(ResultCode.DISK_FULL, detail))
         return Ok(None)
 
-    def disk_takes_writes(self) -> bool:
+    def disk_is_writable(self) -> bool:
         """Tell whether the disk would take writes now; the log itself stays failed."""
-        return takes_writes(self._folder, self._file_system)
+        return is_writable(self._folder, self._file_system)
 
     def close(self) -> None:
         """Release the files and the folder."""
