--- a/limedyke/controller/call_router.py
+++ b/limedyke/controller/call_router.py
@@ -18,8 +18,8 @@
 from limedyke.under_way import UnderWay
 
 DIAL_TIMEOUT_S = 0.6
-ASK_LIMIT_S = 1.0
-LEADER_LOST = frozenset(
+CALL_TIMEOUT_S = 1.0
+LEADER_LOST_CODES = frozenset(
     code.value.number for code in (ResultCode.NOT_LEADER, ResultCode.CONTROL_OUTCOME_UNKNOWN)
 )
 EVENTS = EventLog("calls")
@@ -103,13 +103,13 @@
         self._keys = keys
         self._source_ip = source_ip
         self._link: _LeaderLink | None = None
-        self._dialling = curio.Lock()
-        self._answer_by = float("inf")
+        self._dial_lock = curio.Lock()
+        self._answer_deadline = float("inf")
         self._forwarded = UnderWay()
 
-    def stop_at(self, answer_by: float) -> None:
+    def set_answer_deadline(self, deadline: float) -> None:
         """Answer each call by a moment of the monotonic clock: the process ends soon after."""
-        self._answer_by = answer_by
+        self._answer_deadline = deadline
 
     async def drain(self) -> None:
         """Return once all calls that other controllers passed on are answered."""
@@ -117,14 +117,14 @@
 
     async def ask(self, call: Call, timeout_s: float) -> CallAnswer:
         """Return the answer to a call within ``timeout_s``."""
-        limit_s = min(timeout_s, self._answer_by - time.monotonic())
+        limit_s = min(timeout_s, self._answer_deadline - time.monotonic())
         async with curio.ignore_after(max(0.0, limit_s)):
             return await self._ask(call)
         return _lost("no answer in time")
 
     async def ask_leader(self, address: str, call: Call) -> CallAnswer:
         """Ask the controller at an address over the link to the leader, which stays open."""
-        async with curio.ignore_after(ASK_LIMIT_S):
+        async with curio.ignore_after(CALL_TIMEOUT_S):
             link = await self._leader_link(address)
             if link is None:
                 return _lost("not reached")
@@ -133,7 +133,7 @@
 
     async def ask_at(self, address: str, call: Call) -> CallAnswer:
         """Ask any controller over a link of its own."""
-        async with curio.ignore_after(ASK_LIMIT_S):
+        async with curio.ignore_after(CALL_TIMEOUT_S):
             return await self._ask_at(address, call)
         return _lost("no answer in time")
 
@@ -181,13 +181,13 @@
             return answer
         link = await self._leader_link(address)
         forwarded = answer if link is None else await link.ask(call)
-        if forwarded.code in LEADER_LOST:
+        if forwarded.code in LEADER_LOST_CODES:
             await self._leader_lost()
         return forwarded
 
     async def _leader_link(self, address: str) -> _LeaderLink | None:
         """Return a link to the leader, opened anew when there is none; None when it fails."""
-        async with self._dialling:
+        async with self._dial_lock:
             known = self._link
             if known is not None and known.is_open and known.address == address:
                 return known
--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -400,7 +400,7 @@
         await stop.wait()
         EVENTS.info("stopping")
         began_at = time.monotonic()
-        self._desk.stop_at(began_at + CALLS_ANSWERED_S)
+        self._desk.set_answer_deadline(began_at + CALLS_ANSWERED_S)
         if self._replica is not None and self._replica.agreement.role is Role.LEADER:
             await self._hand_over()
         left_s = began_at + STOP_LIMIT_S - time.monotonic()
