--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -71,7 +71,7 @@
 
     authority: PromotionAuthority | None
 
-    async def run(self, desk: CallRouter, learn_peers: LearnPeers) -> None:
+    async def run(self, router: CallRouter, learn_peers: LearnPeers) -> None:
         """Serve calls until cancelled.
 
         :param learn_peers: takes the controllers that changed settings name
@@ -130,7 +130,7 @@
         self._leader: LeaderService | None = None
         self._leader_task: curio.Task | None = None
         self._requests: OperatorRequests | None = None
-        self._desk = CallRouter(
+        self._call_router = CallRouter(
             lambda: self._calls,
             self._leader_address,
             replace(self._link_identity, role=PeerRole.FORWARDER),
@@ -166,7 +166,7 @@
             )
             await tasks.spawn(self._pages.run, self._settings.status_listen)
             if self._edge is not None:
-                await tasks.spawn(self._edge.run, self._desk, self.learn_peers)
+                await tasks.spawn(self._edge.run, self._call_router, self.learn_peers)
             work = await tasks.spawn(self._work)
             waiter = await tasks.spawn(self._wait_for_stop, stop)
         finished = tasks.completed
@@ -203,7 +203,7 @@
                 await tasks.spawn(self._search.run)
             await tasks.spawn(self._follow_leadership)
             if self._settings.voters_wanted:
-                await tasks.spawn(self._voter_care().run)
+                await tasks.spawn(self._voter_manager().run)
         await self._stop_leading()
         ended = tasks.completed
         if ended is replica and ended.exception is None:
@@ -242,7 +242,7 @@
                 for known in recorded_addresses(entry.payload):
                     self._network.set_address(known.name, known.address)
 
-    def _voter_care(self) -> VoterManager:
+    def _voter_manager(self) -> VoterManager:
         settings = self._settings
         silence_limit_s = settings.voter_silence_limit_ms / 1000
         policy = VoterPolicy(settings.voters_wanted, silence_limit_s)
@@ -284,7 +284,10 @@
         self._replica = replica
         if self._settings.voters_wanted:
             self._search = MembershipSearch(
-                replica, self._desk.ask_leader, self._desk.ask_at, self._settings.advertise
+                replica,
+                self._call_router.ask_leader,
+                self._call_router.ask_at,
+                self._settings.advertise,
             )
         self._calls = LeaderCalls(
             replica,
@@ -359,7 +362,7 @@
             case PeerRole.OPERATOR:
                 await self._serve_operator(link)
             case PeerRole.FORWARDER:
-                await self._desk.serve(link)
+                await self._call_router.serve(link)
 
     async def _serve_proxy(self, link: Link) -> None:
         async with curio.timeout_after(HELLO_TIMEOUT_S):
@@ -400,7 +403,7 @@
         await stop.wait()
         EVENTS.info("stopping")
         began_at = time.monotonic()
-        self._desk.set_answer_deadline(began_at + CALLS_ANSWERED_S)
+        self._call_router.set_answer_deadline(began_at + CALLS_ANSWERED_S)
         if self._replica is not None and self._replica.agreement.role is Role.LEADER:
             await self._hand_over()
         left_s = began_at + STOP_LIMIT_S - time.monotonic()
@@ -420,7 +423,7 @@
         """Answer the calls under way: a caller that gets no answer has to ask somebody else."""
         if self._edge is not None:
             await self._edge.drain()
-        await self._desk.drain()
+        await self._call_router.drain()
         await self._operators_under_way.ended()
 
 
