--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -188,7 +188,7 @@
         if self.log.snapshot_index == 0 and not self._settings.join:
             self._founding = FoundingPhase(self.log, self._network, self._voter_names)
             await self._founding.run()
-        self._start_replica(self._stored_before_start())
+        self._start_replica(self._initial_state())
         while await self._run_replica():
             stored = await self._reopen_log()
             if stored is None:
@@ -248,7 +248,7 @@
         policy = VoterPolicy(settings.voters_wanted, silence_limit_s)
         return VoterManager(self._replica, policy, settings.advertise)
 
-    def _stored_before_start(self) -> StoredState:
+    def _initial_state(self) -> StoredState:
         """Return what was on the disk when this process began."""
         stored = self.log.take_stored_state()
         if self._process_started_at is None:
