--- a/limedyke/controller/leading/leader_service.py
+++ b/limedyke/controller/leading/leader_service.py
@@ -35,7 +35,7 @@
 from limedyke.messages.control import ControlUpdate, PromoteOrder, ProxyHello, QuorumStamp
 
 DECISION_INTERVAL_S = 0.05
-EVENTS_AT_ONCE = 64
+EVENT_BATCH_SIZE = 64
 """Between so many events the agreement and the links get their turn."""
 NEWS_INTERVAL_S = 0.02
 NEWS_PAUSE_PER_PROXY_S = 0.0002
@@ -120,8 +120,8 @@
             if now >= next_time:
                 events.append(TimePassed())
                 next_time = now + DECISION_INTERVAL_S
-            for start in range(0, len(events), EVENTS_AT_ONCE):
-                for event in events[start : start + EVENTS_AT_ONCE]:
+            for start in range(0, len(events), EVENT_BATCH_SIZE):
+                for event in events[start : start + EVENT_BATCH_SIZE]:
                     self._meter.heard(event)
                     self.decisions.handle(event, now)
                 for command in self.decisions.take_commands():
