--- a/limedyke/controller/leading/leader_service.py
+++ b/limedyke/controller/leading/leader_service.py
@@ -37,8 +37,8 @@
 DECISION_INTERVAL_S = 0.05
 EVENT_BATCH_SIZE = 64
 """Between so many events the agreement and the links get their turn."""
-NEWS_INTERVAL_S = 0.02
-NEWS_PAUSE_PER_PROXY_S = 0.0002
+UPDATE_INTERVAL_S = 0.02
+UPDATE_PAUSE_PER_PROXY_S = 0.0002
 """After news went to n proxies the next waits n times as long, so that sending stays a share
 of the processor time however many changes come; a single change goes at once."""
 EVENTS = EventLog("leader")
@@ -74,12 +74,12 @@
         self._meter = LeaderMetrics(metrics or ControllerMetrics(CollectorRegistry()))
         self._timing = timing
         self._events: Mailbox[LeaderEvent] = Mailbox()
-        self.news = UpdateCache(replica.state, replica.updates)
-        self._news_waiting = curio.Event()
+        self.update_cache = UpdateCache(replica.state, replica.updates)
+        self._update_pending = curio.Event()
         self._platform: PlatformListReader | None = None
         if platform_list_url:
             self._platform = PlatformListReader(platform_list_url, source_ip, self._events.put)
-        self.sessions = ProxySessions(self._events.put, self.news.since, self._admits)
+        self.sessions = ProxySessions(self._events.put, self.update_cache.since, self._admits)
         self.decisions = LeaderDecisions(
             replica.state,
             timing,
@@ -94,7 +94,7 @@
         """Run until cancelled."""
         async with curio.TaskGroup(wait=any) as tasks:
             await tasks.spawn(self._run_decisions)
-            await tasks.spawn(self._spread_news)
+            await tasks.spawn(self._send_updates)
             if self._platform is not None:
                 await tasks.spawn(self._platform.run)
 
@@ -110,7 +110,7 @@
             )
         self._meter.state_changed(update, boot_seconds())
         await self._events.put(UpdateApplied(update, changed_homes))
-        await self._news_waiting.set()
+        await self._update_pending.set()
 
     async def _run_decisions(self) -> None:
         next_time = boot_seconds()
@@ -174,14 +174,14 @@
         )
         await self.sessions.send(command.proxy, answer)
 
-    async def _spread_news(self) -> None:
+    async def _send_updates(self) -> None:
         """Send changes to the proxies; those that come close together go as one."""
         while True:
-            await self._news_waiting.wait()
-            await curio.sleep(NEWS_INTERVAL_S)
-            self._news_waiting.clear()
-            await self.sessions.tell_news()
-            await curio.sleep(len(self.sessions) * NEWS_PAUSE_PER_PROXY_S)
+            await self._update_pending.wait()
+            await curio.sleep(UPDATE_INTERVAL_S)
+            self._update_pending.clear()
+            await self.sessions.notify_update()
+            await curio.sleep(len(self.sessions) * UPDATE_PAUSE_PER_PROXY_S)
 
     def _admits(self, hello: ProxyHello) -> bool:
         return self.decisions.admits(hello)
--- a/limedyke/controller/leading/proxy_sessions.py
+++ b/limedyke/controller/leading/proxy_sessions.py
@@ -53,7 +53,7 @@
         self.link = link
         self.name = hello.name
         self.sent_index = hello.control_index
-        self.news = True
+        self.has_update = True
         self._revision = hello.revision
         self._answered = False
         self._outgoing: deque[object] = deque()
@@ -68,9 +68,9 @@
         self._outgoing.append(message)
         await self._wakeup.set()
 
-    async def tell_news(self) -> None:
+    async def notify_update(self) -> None:
         """Have the newest state sent."""
-        self.news = True
+        self.has_update = True
         await self._wakeup.set()
 
     async def close(self, reason: str) -> None:
@@ -78,27 +78,27 @@
         self._closing = self._closing or reason
         await self._wakeup.set()
 
-    async def write_all(self, news: Callable[[int], EncodedUpdate | None]) -> None:
+    async def write_all(self, next_update: Callable[[int], EncodedUpdate | None]) -> None:
         """Send what is queued until the link is closed.
 
-        :param news: returns the next message for the index that the proxy has; None when there
+        :param next_update: returns the next message for the index that the proxy has; None when there
             is nothing newer
         """
         while True:
             await self._wakeup.wait()
             self._wakeup.clear()
-            if self.news:
-                self.news = False
-                await self._send_news(news)
+            if self.has_update:
+                self.has_update = False
+                await self._send_updates(next_update)
             while self._outgoing:
                 await self.link.send(self._outgoing.popleft())
             if self._closing:
                 EVENTS.info("proxy-link-closed", proxy=self.name, reason=self._closing)
                 raise LinkClosedError(self._closing)
 
-    async def _send_news(self, news: Callable[[int], EncodedUpdate | None]) -> None:
+    async def _send_updates(self, next_update: Callable[[int], EncodedUpdate | None]) -> None:
         """Send what is new; the first time also that there is nothing new."""
-        while (found := news(self.sent_index)) is not None:
+        while (found := next_update(self.sent_index)) is not None:
             is_newer = found.control_index > self.sent_index
             self.sent_index = found.control_index
             self._answered = True
@@ -120,18 +120,18 @@
     """All links of proxies; exists only while this controller serves as the leader.
 
     :param post: takes the events for the leader's decisions
-    :param news: see ``ProxyLink.write_all``
+    :param next_update: see ``ProxyLink.write_all``
     :param admits: tells whether a proxy may connect
     """
 
     def __init__(
         self,
         post: Callable[[LeaderEvent], Awaitable[None]],
-        news: Callable[[int], EncodedUpdate | None],
+        next_update: Callable[[int], EncodedUpdate | None],
         admits: Callable[[ProxyHello], bool],
     ) -> None:
         self._post = post
-        self._news = news
+        self._next_update = next_update
         self._admits = admits
         self._links: dict[str, ProxyLink] = {}
 
@@ -150,10 +150,10 @@
         if entry is not None:
             await entry.send(message)
 
-    async def tell_news(self) -> None:
+    async def notify_update(self) -> None:
         """Have the newest state sent to all proxies."""
         for entry in list(self._links.values()):
-            await entry.tell_news()
+            await entry.notify_update()
 
     async def disconnect(self, proxy: str, reason: str) -> None:
         """Close a proxy's link."""
@@ -179,11 +179,11 @@
             await older.close("the proxy connected anew")
         entry = self._links[hello.name] = ProxyLink(link, hello)
         await self._post(ProxyConnected(hello))
-        await entry.tell_news()
+        await entry.notify_update()
         try:
             async with curio.TaskGroup(wait=any) as tasks:
                 await tasks.spawn(until_closed, self._read_all, entry)
-                await tasks.spawn(until_closed, entry.write_all, self._news)
+                await tasks.spawn(until_closed, entry.write_all, self._next_update)
         finally:
             if self._links.get(hello.name) is entry:
                 del self._links[hello.name]
