--- a/limedyke/controller/leading/update_cache.py
+++ b/limedyke/controller/leading/update_cache.py
@@ -82,9 +82,9 @@
             return None
         if len(self._updates_to_present) >= MAXIMUM_CACHED_UPDATES:
             self._updates_to_present.clear()
-        news = EncodedUpdate.of(update)
-        self._updates_to_present[control_index] = news
-        return news
+        encoded = EncodedUpdate.of(update)
+        self._updates_to_present[control_index] = encoded
+        return encoded
 
     def _whole(self) -> EncodedUpdate:
         snapshot = self._snapshot
