--- a/limedyke/controller/membership_search.py
+++ b/limedyke/controller/membership_search.py
@@ -15,10 +15,10 @@
 from limedyke.event_log import EventLog
 from limedyke.messages.calls import AwaitMembershipCall, Call, CallAnswer
 
-ASKED_AT_ONCE = 2
+LEADER_QUERY_FANOUT = 2
 """Controllers that are asked for the leader at a time: one of them may hang."""
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 0.5
+INITIAL_RETRY_DELAY_S = 0.1
+MAXIMUM_RETRY_DELAY_S = 0.5
 """Between two searches: at first the others start too, later a leader is elected in a second."""
 MEMBER_CHECK_S = 0.3
 EVENTS = EventLog("membership")
@@ -41,7 +41,7 @@
         self._ask = ask
         self._call = AwaitMembershipCall(replica.agreement.identity, advertise)
         self._lost = curio.Event()
-        self._pause_s = FIRST_PAUSE_S
+        self._retry_delay_s = INITIAL_RETRY_DELAY_S
 
     async def leader_lost(self) -> None:
         """Search again at once: the leader gave no answer, or leads no longer."""
@@ -53,13 +53,13 @@
             self._lost.clear()
             if self._replica.is_member:
                 self._replica.keep_links()
-                pause_s = MEMBER_CHECK_S
+                delay_s = MEMBER_CHECK_S
             else:
-                pause_s = await self._step()
-            await curio.ignore_after(pause_s, self._lost.wait)
+                delay_s = await self._step()
+            await curio.ignore_after(delay_s, self._lost.wait)
             if self._lost.is_set():
                 self._replica.forget_leader()
-                await curio.sleep(FIRST_PAUSE_S)
+                await curio.sleep(INITIAL_RETRY_DELAY_S)
 
     async def _step(self) -> float:
         """Announce this controller to the leader, or look for it; return the pause after that."""
@@ -69,30 +69,30 @@
         answer = await self._ask_leader(leader, self._call)
         if answer.code:
             self._replica.forget_leader()
-            return self._next_pause_s()
+            return self._next_retry_delay_s()
         self._replica.learn_members(answer)
         if answer.leader != leader:
-            return self._next_pause_s()
-        self._pause_s = FIRST_PAUSE_S
+            return self._next_retry_delay_s()
+        self._retry_delay_s = INITIAL_RETRY_DELAY_S
         return answer.retry_after_ms / 1_000
 
     async def _look_for_leader(self) -> float:
         known = list(self._replica.known_addresses.values())
-        chosen = random.sample(known, min(ASKED_AT_ONCE, len(known)))
+        chosen = random.sample(known, min(LEADER_QUERY_FANOUT, len(known)))
         async with curio.TaskGroup() as tasks:
             for address in chosen:
                 await tasks.spawn(self._learn_from, address)
         if self._replica.leader_address(""):
             return 0.0
-        return self._next_pause_s()
+        return self._next_retry_delay_s()
 
     async def _learn_from(self, address: str) -> None:
         answer = await self._ask(address, self._call)
         if not answer.code:
             self._replica.learn_members(answer)
 
-    def _next_pause_s(self) -> float:
+    def _next_retry_delay_s(self) -> float:
         """Return a pause that grows, and differs from controller to controller."""
-        pause_s = self._pause_s
-        self._pause_s = min(2 * self._pause_s, LONGEST_PAUSE_S)
-        return pause_s * random.uniform(0.5, 1.5)
+        delay_s = self._retry_delay_s
+        self._retry_delay_s = min(2 * self._retry_delay_s, MAXIMUM_RETRY_DELAY_S)
+        return delay_s * random.uniform(0.5, 1.5)
