--- a/limedyke/controller/peer_network.py
+++ b/limedyke/controller/peer_network.py
@@ -26,19 +26,19 @@
 
 QUEUE_LIMIT = 1_024
 DIAL_TIMEOUT_S = 1.0
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 0.5
+INITIAL_REDIAL_DELAY_S = 0.05
+MAXIMUM_REDIAL_DELAY_S = 0.5
 PROBE_INTERVAL_S = 1.0
 """A link that has gone silent is found after so long and the next at the latest: 1.5 s. It costs
 the five controllers of a cluster 40 small messages a second together."""
-PROBE_LIMIT_S = 0.5
+PROBE_TIMEOUT_S = 0.5
 """A round trip over two regions takes 0.18 s, and a loaded machine pauses for 0.1 s."""
 EVENTS = EventLog("peer_network")
 
 PeerMessage = AgreementMessage | FoundingMessage
 
 
-class _Outgoing:
+class _OutgoingQueue:
     """Messages waiting for one peer, the oldest dropped when there are too many."""
 
     def __init__(self, address: str) -> None:
@@ -72,7 +72,7 @@
         self._keys = keys
         self._source_ip = source_ip
         self._receive = receive
-        self._outgoing: dict[str, _Outgoing] = {}
+        self._outgoing: dict[str, _OutgoingQueue] = {}
         self._unstarted: list[str] = []
         self._has_unstarted = curio.Event()
         self._generator = Random()
@@ -92,7 +92,7 @@
         if known is not None:
             known.address = address
             return
-        self._outgoing[name] = _Outgoing(address)
+        self._outgoing[name] = _OutgoingQueue(address)
         self._unstarted.append(name)
 
     async def send(self, to: ControllerIdentity, message: PeerMessage) -> None:
@@ -112,7 +112,7 @@
                 self._has_unstarted.clear()
                 for name in self._take_wanted():
                     await tasks.spawn(self._keep_link, self._outgoing[name])
-                await curio.ignore_after(LONGEST_PAUSE_S, self._has_unstarted.wait)
+                await curio.ignore_after(MAXIMUM_REDIAL_DELAY_S, self._has_unstarted.wait)
 
     def _take_wanted(self) -> list[str]:
         """Take out the peers to which a link is to be kept from now on."""
@@ -142,9 +142,9 @@
                 continue
             await self._receive(envelope.sender, opened.ok_value)
 
-    async def _keep_link(self, outgoing: _Outgoing) -> None:
+    async def _keep_link(self, outgoing: _OutgoingQueue) -> None:
         """Dial again soon at first: peers that restart together miss each other by little."""
-        backoff = Backoff(FIRST_PAUSE_S, LONGEST_PAUSE_S)
+        backoff = Backoff(INITIAL_REDIAL_DELAY_S, MAXIMUM_REDIAL_DELAY_S)
         while True:
             outgoing.has_dialled_us.clear()
             link = await self._dial_until_dialled(outgoing)
@@ -152,10 +152,10 @@
                 backoff.succeeded()
                 await self._use_link(link, outgoing)
             outgoing.mailbox.clear()
-            pause_s = backoff.failed(time.monotonic(), self._generator.random())
-            await curio.ignore_after(pause_s, outgoing.has_dialled_us.wait)
+            delay_s = backoff.failed(time.monotonic(), self._generator.random())
+            await curio.ignore_after(delay_s, outgoing.has_dialled_us.wait)
 
-    async def _dial_until_dialled(self, outgoing: _Outgoing) -> Link | None:
+    async def _dial_until_dialled(self, outgoing: _OutgoingQueue) -> Link | None:
         """Dial a peer; give up when it dials this controller meanwhile.
 
         An attempt begun while the peer's machine was off hangs until its packet is sent again,
@@ -175,10 +175,10 @@
             return None
         return dialling.result.ok_value if isinstance(dialling.result, Ok) else None
 
-    async def _use_link(self, link: Link, outgoing: _Outgoing) -> None:
+    async def _use_link(self, link: Link, outgoing: _OutgoingQueue) -> None:
         """Send to a peer until the link closes or goes silent, or the peer's address changes."""
         address = outgoing.address
-        keepalive = Keepalive(link, PROBE_INTERVAL_S, PROBE_LIMIT_S)
+        keepalive = Keepalive(link, PROBE_INTERVAL_S, PROBE_TIMEOUT_S)
         try:
             async with curio.TaskGroup(wait=any) as tasks:
                 await tasks.spawn(until_closed, self._send_all, link, outgoing)
@@ -189,7 +189,7 @@
         finally:
             await link.close()
 
-    async def _send_all(self, link: Link, outgoing: _Outgoing) -> None:
+    async def _send_all(self, link: Link, outgoing: _OutgoingQueue) -> None:
         address = outgoing.address
         while address == outgoing.address:
             for envelope in await outgoing.mailbox.take_all():
