--- a/features/support/durable_log_damage.py
+++ b/features/support/durable_log_damage.py
@@ -119,7 +119,7 @@
 def note_of(time, identity=IDENTITY):
     """Return a file with a note written on a disk that has not lost its power."""
     disk = SimulatedDisk(random.Random(1))
-    LeaderContact(FOLDER, disk, identity).note(time)
+    LeaderContact(FOLDER, disk, identity).save(time)
     return disk._names[FOLDER / LEADER_CONTACT_NAME]
 
 
@@ -157,6 +157,6 @@
         case "the system does not say since when it ran":
             disk.kill_process()
             disk.life = lambda: ""
-            LeaderContact(FOLDER, disk, IDENTITY).note(time)
+            LeaderContact(FOLDER, disk, IDENTITY).save(time)
         case _:
             raise AssertionError(event)
--- a/limedyke/controller/replica.py
+++ b/limedyke/controller/replica.py
@@ -127,7 +127,7 @@
         self._answers: dict[int, object] = {}
         self._snapshot_schedule = SnapshotSchedule()
         self._next_announcement_at = 0.0
-        self._noted_leader_heard_at = self.agreement.leader_contact_at
+        self._saved_leader_contact_at = self.agreement.leader_contact_at
         self._longest_step_s = 0.0
         self._longest_sync_s = 0.0
 
@@ -290,7 +290,7 @@
                 events.append(Tick())
                 next_tick_at = now + self._tick_interval_s
             commands = self.agreement.handle_batch(events, now)
-            for command in await self._note_leader_contact(commands, now):
+            for command in await self._save_leader_contact(commands, now):
                 await self._execute(command)
             self._answers.clear()
             await self._save_snapshot_when_due()
@@ -298,15 +298,15 @@
             ended_at = boot_seconds()
             self._longest_step_s = max(self._longest_step_s, ended_at - now)
 
-    async def _note_leader_contact(self, commands: list[Command], now: float) -> list[Command]:
+    async def _save_leader_contact(self, commands: list[Command], now: float) -> list[Command]:
         """Note that a leader was heard before it is answered, for the next process.
 
         :returns: the commands to carry out; without messages when it could not be noted
         """
         heard_at = self.agreement.leader_contact_at
-        if heard_at == self._noted_leader_heard_at:
+        if heard_at == self._saved_leader_contact_at:
             return commands
-        self._noted_leader_heard_at = heard_at
+        self._saved_leader_contact_at = heard_at
         failed = self._storage.save_leader_contact(heard_at)
         if failed is None:
             return commands
--- a/limedyke/storage/durable_log.py
+++ b/limedyke/storage/durable_log.py
@@ -156,7 +156,7 @@
         if self._failure is not None:
             return Err(self._failure)
         try:
-            self._leader_contact.note(heard_at)
+            self._leader_contact.save(heard_at)
         except OSError as error:
             detail = f"folder {self._folder}: {error.strerror or error}"
             return Err(Failure(ResultCode.DISK_FULL, detail))
--- a/limedyke/storage/leader_contact.py
+++ b/limedyke/storage/leader_contact.py
@@ -43,7 +43,7 @@
         frame = decode_frame(self._salt, content, 0)
         return None if frame is None else _TIME.unpack(frame.payload)[0]
 
-    def note(self, heard_at: float) -> None:
+    def save(self, heard_at: float) -> None:
         """Note the time; it must be noted before the leader is answered.
 
         :param heard_at: seconds of the clock that counts since the system started
