--- a/limedyke/core/agreement/__init__.py
+++ b/limedyke/core/agreement/__init__.py
@@ -1,20 +1,20 @@
-"""The replicated log among the controllers: elections, replication, lease and membership.
+"""The replicated log of the controllers: elections, replication, leader lease and membership.
 
-How a shell drives it:
+The core does no I/O. A shell drives it as follows:
 
-1. ``open_durable_log(folder, ControllerIdentity(name, fresh_random_incarnation))`` gives the
-   log and, by ``log.identity``, the incarnation that counts.
-2. While ``log.snapshot_index`` is 0, run :class:`founding.Founding`; it ends with
+1. Open the log with ``open_durable_log(folder, ControllerIdentity(name, random_incarnation))``. Use
+   ``log.identity`` from then on: a folder that already holds a log keeps its incarnation.
+2. While ``log.snapshot_index`` is 0, run :class:`founding.Founding`. It ends with
    ``InstallGenesis`` (pass its snapshot to ``log.install_snapshot``) or ``JoinCluster``.
-3. Make an :class:`Agreement` from ``log.take_stored_state()`` and hand it ``Started``.
-4. For every event: ``commands = agreement.handle(event, now)``; note ``leader_contact_at`` with
-   ``AgreementStorage.save_leader_contact`` when it has changed; then carry out the storage commands
-   with ``AgreementStorage.execute(commands)`` and the others in order; hand the event that
-   ``execute`` returned back to the core, and so on until there is none.  Messages that vouch
-   for a write are emitted only after its ``StorageSynced``.
-5. A clock that also counts while the machine sleeps (``CLOCK_BOOTTIME``) must be used, or a
-   lease could outlast a suspended machine's sleep.
-6. From time to time serialise the applied state and hand in ``SnapshotTaken``.
+3. Create an :class:`Agreement` from ``log.take_stored_state()`` and pass it ``Started``.
+4. For every event, call ``commands = agreement.handle(event, now)``. If ``leader_contact_at`` has
+   changed, store it with ``AgreementStorage.save_leader_contact``. Then run the storage commands
+   with ``AgreementStorage.execute(commands)`` and the other commands in order. Pass the event that
+   ``execute`` returns to the core, and repeat until it returns None. The core emits a message that
+   acknowledges a write only after its ``StorageSynced``.
+5. Read ``now`` from a clock that also counts while the machine is suspended (``CLOCK_BOOTTIME``).
+   With another clock, a leader could trust its lease after a suspend that outlasted it.
+6. Serialise the applied state from time to time and pass it as ``SnapshotTaken``.
 """
 
 from limedyke.core.agreement.agreement import Agreement
