--- a/limedyke/core/agreement/agreement.py
+++ b/limedyke/core/agreement/agreement.py
@@ -1,4 +1,4 @@
-"""The agreement core: one controller's part in the replicated log."""
+"""The agreement core of one controller."""
 
 from __future__ import annotations
 
@@ -51,13 +51,13 @@
 
 
 class Agreement(AgreementView):
-    """A replicated log among controllers, without clock, socket, file or randomness.
+    """State machine of a replicated log; sans-IO, with time and randomness passed in.
 
     :param identity: this controller and the incarnation of its data folder
-    :param stored: what was found on the disk
+    :param stored: the state found on disk
     :param timing: timeouts in seconds, and limits
     :param rng: source of randomness for election timeouts
-    :param now: seconds of a monotonic clock that also counts while the machine sleeps
+    :param now: seconds of a monotonic clock that also counts while the machine is suspended
     """
 
     def __init__(
@@ -79,11 +79,11 @@
         )
 
     def handle(self, event: Event, now: float) -> list[Command]:
-        """Take one event and return what to do, in order."""
+        """Process one event; return the commands to execute, in order."""
         return self.handle_batch((event,), now)
 
     def handle_batch(self, events: Iterable[Event], now: float) -> list[Command]:
-        """Take several events at once, so that their entries share messages and syncs."""
+        """Process several events at once, so that their entries share messages and syncs."""
         state = self._state
         state.now = max(now, state.now)
         for event in events:
@@ -144,7 +144,7 @@
             self._leader.change_members(event)
 
     def _refuse(self, event: Event) -> None:
-        """Refuse a request that this controller did not begin to carry out."""
+        """Refuse a request that this controller has not started to process."""
         state = self._state
         failure = Failure(ResultCode.NOT_LEADER, f"This controller is a {state.role}.")
         if isinstance(event, ReadRequested):
@@ -213,10 +213,10 @@
             self._follower.on_install_snapshot(sender, message)
 
     def _answer_old_leader(self, sender: ControllerIdentity) -> None:
-        """Tell a replaced leader the newer term.
+        """Answer a leader of an older term with the current term.
 
-        The round is not echoed: the sender may lead the newer term by the time this arrives,
-        and must not take it for an answer to a round of that term.
+        The response does not echo the round number. By the time it arrives the sender may lead the
+        newer term, and must not count it as a response to a round of that term.
         """
         response = AppendEntriesResponse(
             term=self._state.term,
@@ -244,7 +244,7 @@
             self._leader.on_snapshot_response(sender, message)
 
     def _become_follower(self, term: int, leader: ControllerIdentity | None) -> None:
-        """Follow a leader, or wait in a newer term for one."""
+        """Follow ``leader``; None means that the leader of ``term`` is not known yet."""
         state = self._state
         if term == state.term and state.role is Role.LEADER:
             raise AgreementInvariantError(f"{leader} also leads term {term}")
