--- a/limedyke/core/agreement/commands.py
+++ b/limedyke/core/agreement/commands.py
@@ -1,4 +1,4 @@
-"""Commands that the agreement core hands to the shell, to be carried out in order."""
+"""Commands that the agreement core passes to the shell, which executes them in order."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a controller is at present."""
+    """The current role of a controller."""
 
     LEARNER = "learner"
     FOLLOWER = "follower"
@@ -33,15 +33,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RoundTimings:
-    """What a leader knows of its heartbeat rounds; times in seconds before now.
+    """Statistics of a leader's heartbeat rounds; ages are in seconds before now.
 
-    :param led_s: since it was elected
+    :param led_s: age of the leadership
     :param sent: number of the newest round that was sent
-    :param confirmed: number of the newest round that a majority of the voters answered, 0 for none
-    :param confirmed_s: since that round was sent, or since the election
-    :param silent_s: since each other voter last answered, by name
-    :param behind: entries of the log that each other voter has not said to hold, by name
-    :param unsynced: entries of the log that are not on the leader's own disk yet
+    :param confirmed: number of the newest round that a majority of the voters answered; 0 for none
+    :param confirmed_s: age of that round, or of the leadership if no round was confirmed
+    :param silent_s: age of each other voter's last response, by name
+    :param behind: number of log entries that each other voter has not acknowledged, by name
+    :param unsynced: number of log entries that are not synced to the leader's own disk yet
     """
 
     led_s: float
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SaveSnapshot:
-    """Save an own snapshot and compact what it covers; answered by ``StorageSynced``."""
+    """Save a snapshot of this controller and compact the log; answered by ``StorageSynced``."""
 
     write_number: int
     snapshot: Snapshot
@@ -97,7 +97,7 @@
 class InstallSnapshot:
     """Save the leader's snapshot in place of the log; answered by ``StorageSynced``.
 
-    :param keep_entries: the log holds the snapshot's last entry, so later ones stay
+    :param keep_entries: the log holds the snapshot's last entry, so keep the entries after it
     """
 
     write_number: int
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyEntries:
-    """Apply committed entries in order; those that are no proposals are only counted."""
+    """Apply committed entries in order; entries of other kinds only advance the applied index."""
 
     entries: tuple[LogEntry, ...]
 
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadReady:
-    """The applied state is current as of the request and may be read now, at once."""
+    """The applied state is current as of the request; it must be read immediately."""
 
     request_id: str
     index: int
@@ -147,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRefused:
-    """This controller cannot vouch for its state."""
+    """The read is refused: this controller cannot guarantee that its state is current."""
 
     request_id: str
     failure: Failure
@@ -167,7 +167,7 @@
 class SteppedDown:
     """This controller stopped leading ``term``.
 
-    :param rounds: how its heartbeat rounds went until then
+    :param rounds: statistics of its heartbeat rounds
     """
 
     term: int
