--- a/limedyke/core/agreement/election.py
+++ b/limedyke/core/agreement/election.py
@@ -19,9 +19,9 @@
 class Election:
     """Stands for election and answers other candidates.
 
-    :param become_follower: called with a newer term before it is answered
+    :param become_follower: called with a newer term before that term's message is answered
     :param become_leader: called when a majority voted for this controller
-    :param leads: tells whether this controller leads with a quorum at present
+    :param leads: tells whether this controller leads under a valid lease
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self._own_vote_write_number = 0
 
     def tick(self) -> None:
-        """Stand for election when no leader was heard for the drawn time."""
+        """Start a pre-vote when the election timeout has passed without contact with a leader."""
         state = self._state
         if state.now < state.election_deadline:
             return
@@ -80,7 +80,7 @@
         self.count_own_vote()
 
     def count_own_vote(self) -> None:
-        """Count this candidate's own vote once it is synced."""
+        """Count this candidate's own vote once it is synced to disk."""
         state = self._state
         if state.role is not Role.CANDIDATE or not state.is_voter:
             return
@@ -96,7 +96,7 @@
         return self._state.holds_majorities(identities)
 
     def on_pre_vote_request(self, sender: ControllerIdentity, request: PreVoteRequest) -> None:
-        """Say whether a vote would be given; the term and vote stay as they are."""
+        """Answer whether a vote would be granted; the term and vote do not change."""
         state = self._state
         if not state.is_member(sender):
             return
@@ -111,22 +111,22 @@
         state.send_after_sync(sender, response)
 
     def _defer_to(self, sender: ControllerIdentity) -> None:
-        """Leave a moment to the one whose pre-vote was granted, so that votes don't split.
+        """Let a candidate whose pre-vote was granted go first, to avoid split votes.
 
-        Voters that restarted together ask at the same moment.  Of two pre-votes under way, that
-        of the lower name goes on.
+        Voters that restart together send pre-votes at the same time. Of two concurrent pre-votes,
+        the one of the lower name proceeds.
         """
         state = self._state
         if state.role is Role.PRE_CANDIDATE:
             if sender.name > state.identity.name:
                 return
             self._pre_votes = set()
-        planned = state.election_deadline
+        previous_deadline = state.election_deadline
         state.schedule_pre_vote_retry()
-        state.election_deadline = max(planned, state.election_deadline)
+        state.election_deadline = max(previous_deadline, state.election_deadline)
 
     def on_pre_vote_response(self, sender: ControllerIdentity, response: PreVoteResponse) -> None:
-        """Count a pre-vote for the candidacy under way."""
+        """Count a pre-vote for the pending candidacy."""
         state = self._state
         if response.term > state.term and state.is_member(sender):
             self._become_follower(response.term, None)
@@ -137,7 +137,7 @@
             self._count_pre_votes()
 
     def on_vote_request(self, sender: ControllerIdentity, request: VoteRequest) -> None:
-        """Give the vote of a term at most once, and none while a lease may run."""
+        """Grant at most one vote per term, and none while another leader's lease may be valid."""
         state = self._state
         if not state.is_member(sender):
             return
@@ -161,7 +161,7 @@
         return self._is_up_to_date(request.last_index, request.last_term)
 
     def on_vote_response(self, sender: ControllerIdentity, response: VoteResponse) -> None:
-        """Count a vote for the candidacy under way."""
+        """Count a vote for the pending candidacy."""
         state = self._state
         if response.term > state.term and state.is_member(sender):
             self._become_follower(response.term, None)
@@ -172,17 +172,17 @@
             self._count_votes()
 
     def on_timeout_now(self, sender: ControllerIdentity, request: TimeoutNowRequest) -> None:
-        """Stand for election at once: the leader of this term gave up its lease."""
+        """Start a candidacy at once: the leader of this term handed over and revoked its lease."""
         state = self._state
         is_current = request.term == state.term and sender == state.leader
         if is_current and state.is_voter and state.role is Role.FOLLOWER:
             self._start_candidacy(leadership_transfer=True)
 
     def _bound_by_other_lease(self, sender: ControllerIdentity) -> bool:
-        """Tell whether the lease of a leader other than the candidate may still run.
+        """Tell whether the lease of a leader other than the candidate may still be valid.
 
-        The leader that this voter vouched for last leads no more when it asks for votes: its
-        process has started anew, or it has stepped down.
+        The leader that this voter acknowledged last no longer leads when it asks for votes itself:
+        its process has restarted, or it has stepped down.
         """
         state = self._state
         if self._leads():
