--- a/limedyke/core/agreement/entry_log.py
+++ b/limedyke/core/agreement/entry_log.py
@@ -1,4 +1,4 @@
-"""The entries of the replicated log in memory, behind their snapshot."""
+"""The entries of the replicated log in memory, after the snapshot."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry, or of the snapshot when there is none."""
+        """Index of the last entry, or of the base if there is none."""
         return self.base_index + len(self._entries)
 
     @property
@@ -36,7 +36,7 @@
 
     @property
     def configuration_index(self) -> int:
-        """Index of the newest configuration entry; the snapshot's when there is none."""
+        """Index of the newest configuration entry, or of the snapshot if there is none."""
         return self._configurations[-1][0] if self._configurations else self.snapshot.index
 
     def configuration_at(self, index: int) -> MemberConfiguration:
@@ -49,7 +49,7 @@
         return found
 
     def holds(self, index: int, term: int) -> bool:
-        """Tell whether the entry with this index and term is known to be in the log."""
+        """Tell whether the log is known to contain the entry with this index and term."""
         return self.base_index <= index <= self.last_index and self.term_at(index) == term
 
     def term_at(self, index: int) -> int:
@@ -64,7 +64,7 @@
         return tuple(self._entries[start : last - self.base_index])
 
     def batch_from(self, first: int, entry_limit: int, byte_limit: int) -> tuple[LogEntry, ...]:
-        """Return entries from ``first`` on, up to both limits but at least one."""
+        """Return entries from ``first`` on: at least one, at most up to both limits."""
         batch: list[LogEntry] = []
         size = 0
         start = first - self.base_index - 1
@@ -92,7 +92,7 @@
             self._configurations.pop()
 
     def first_index_of_term(self, index: int) -> int:
-        """Return the first known index of the run of equal terms that ends at ``index``."""
+        """Return the first index of the run of entries of one term that ends at ``index``."""
         term = self.term_at(index)
         first = index
         while first - 1 > self.base_index and self.term_at(first - 1) == term:
@@ -109,7 +109,7 @@
         return self.base_index if self.base_term == term else None
 
     def compact(self, snapshot: Snapshot, retained_entries: int) -> None:
-        """Take a snapshot of applied entries as the base, keeping some entries before it."""
+        """Use a snapshot of applied entries as the base, retaining some entries before it."""
         base = max(self.base_index, snapshot.index - retained_entries)
         base_term = self.term_at(base)
         del self._entries[: base - self.base_index]
@@ -123,7 +123,7 @@
         ]
 
     def install(self, snapshot: Snapshot) -> None:
-        """Take the leader's snapshot; later entries stay when its last entry is held."""
+        """Adopt the leader's snapshot; keep later entries if the log holds its last entry."""
         if self.holds(snapshot.index, snapshot.term):
             self.compact(snapshot, retained_entries=0)
             return
