--- a/limedyke/core/agreement/envelope.py
+++ b/limedyke/core/agreement/envelope.py
@@ -1,4 +1,4 @@
-"""Envelopes: messages bound to one cluster and to exact identities at both ends."""
+"""Envelopes that bind a message to one cluster, sender and recipient."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     recipient: ControllerIdentity,
     message: AgreementMessage | FoundingMessage,
 ) -> AgreementEnvelope:
-    """Return a message ready to be sent."""
+    """Encode a message and address it to one recipient."""
     return AgreementEnvelope(cluster, sender, recipient, encode(message))
 
 
 def open_envelope(
     envelope: AgreementEnvelope, identity: ControllerIdentity, cluster: str
 ) -> Result[AgreementMessage | FoundingMessage, Failure]:
-    """Return the message, unless it is for another incarnation or of another cluster.
+    """Return the message, or a failure if it is addressed to another incarnation or cluster.
 
     :param cluster: the receiver's cluster; empty while it knows none
     """
@@ -45,7 +45,7 @@
         return message
     opened = message.unwrap()
     if not isinstance(opened, AgreementMessage | FoundingMessage):
-        return _refuse(f"with a {type(opened).__name__}")
+        return _refuse(f"of unexpected type {type(opened).__name__}")
     return Ok(opened)
 
 
