--- a/limedyke/core/agreement/events.py
+++ b/limedyke/core/agreement/events.py
@@ -1,4 +1,4 @@
-"""Events that the shell hands to the agreement core."""
+"""Events that the shell passes to the agreement core."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The process starts; the state found on disk is handed out again."""
+    """The process has started; the core emits the stored state again."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; to be sent at least every quarter of the heartbeat interval."""
+    """Time has passed; the shell sends this at least every quarter of the heartbeat interval."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message of another controller, its envelope already checked."""
+    """A message from another controller; its envelope is already checked."""
 
     sender: ControllerIdentity
     message: AgreementMessage
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposed:
-    """A caller wants ``payload`` in the log."""
+    """A caller proposes ``payload`` as a log entry."""
 
     request_id: str
     payload: bytes
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StorageFailed:
-    """A storage command failed; nothing since the last sync counts."""
+    """A storage command failed; writes since the last sync may be lost."""
 
     reason: str
 
@@ -64,9 +64,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AddLearner:
-    """Start replicating to a controller that does not count yet.
+    """Add a controller as a non-voting learner.
 
-    A learner of the same name is superseded: its machine lost its disk again.
+    It replaces a learner of the same name, whose machine lost its disk again.
     """
 
     identity: ControllerIdentity
@@ -76,7 +76,7 @@
 class PromoteLearner:
     """Make a caught-up learner a voter.
 
-    :param replaces: a voter to remove as soon as the promotion is committed
+    :param replaces: a voter to remove once the promotion is committed
     """
 
     identity: ControllerIdentity
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipChangeRequested:
-    """An operator wants one membership change."""
+    """Requests one membership change."""
 
     request_id: str
     change: MembershipChange
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipTransferRequested:
-    """The leader is about to stop and hands over to the best other voter."""
+    """The leader is about to stop and should hand over to a caught-up voter."""
 
 
 Event = (
