--- a/limedyke/core/agreement/follower.py
+++ b/limedyke/core/agreement/follower.py
@@ -1,4 +1,4 @@
-"""A follower's or learner's side of replication."""
+"""Replication on a follower or learner."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Follower:
-    """Takes entries and snapshots from the leader of the current term."""
+    """Receives entries and snapshots from the leader of the current term."""
 
     def __init__(self, state: AgreementState) -> None:
         self._state = state
@@ -25,11 +25,11 @@
         self._installing: tuple[int, Snapshot] | None = None
 
     def on_append_entries(self, sender: ControllerIdentity, request: AppendEntriesRequest) -> None:
-        """Append what follows the known log; refuse with a hint what does not."""
+        """Append entries that match the log; reject others with a hint where the logs conflict."""
         if self._installing is not None:
             return
         if not self._matches(request.previous_index, request.previous_term):
-            self._refuse(sender, request)
+            self._reject(sender, request)
             return
         self._append_new(request.entries)
         match_index = request.previous_index + len(request.entries)
@@ -67,7 +67,7 @@
         )
         self._state.send_after_sync(sender, response)
 
-    def _refuse(self, sender: ControllerIdentity, request: AppendEntriesRequest) -> None:
+    def _reject(self, sender: ControllerIdentity, request: AppendEntriesRequest) -> None:
         log = self._state.log
         conflict_index = log.last_index + 1
         conflict_term = 0
@@ -88,7 +88,7 @@
     def on_install_snapshot(
         self, sender: ControllerIdentity, request: InstallSnapshotRequest
     ) -> None:
-        """Collect the parts of a snapshot and install it when it is whole."""
+        """Collect the chunks of a snapshot and install it when it is complete."""
         if self._installing is not None:
             return
         if request.snapshot_index <= self._state.commit_index:
@@ -136,7 +136,7 @@
         self._installing = (write_number, snapshot)
 
     def finish_install(self) -> None:
-        """Take the snapshot as the state once it is synced."""
+        """Adopt the received snapshot as the state once it is synced."""
         state = self._state
         if self._installing is None or not state.is_synced(self._installing[0]):
             return
