--- a/limedyke/core/agreement/founding.py
+++ b/limedyke/core/agreement/founding.py
@@ -1,9 +1,9 @@
-"""How controllers with empty data folders found a cluster, or find out that there is one.
+"""Bootstrap with empty data folders: found a cluster, or join the existing one.
 
-The controller with the lowest name founds, and only when every founding voter named in the
-settings has answered exactly this incarnation that its folder is empty too.  So a machine
-that lost its disk never founds a second cluster while any other voter knows the first: it
-joins with its new incarnation and waits to be added as a learner.
+The controller with the lowest name founds the cluster, and only after every founding voter named in
+the settings has told this very incarnation that its folder is empty too. A machine that lost its
+disk therefore never founds a second cluster while another voter still knows the first: it joins
+with its new incarnation and waits to be added as a learner.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class JoinReason(enum.StrEnum):
-    """Why a controller with an empty folder does not found."""
+    """Why a controller with an empty folder joins a cluster instead of founding one."""
 
     CLUSTER_EXISTS = "cluster-exists"
     NOT_A_FOUNDING_VOTER = "not-a-founding-voter"
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendFoundingMessage:
-    """Send a message; an empty incarnation stands for whichever holds the name."""
+    """Send a message; an empty incarnation addresses any incarnation of the name."""
 
     to: ControllerIdentity
     message: FoundingMessage
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstallGenesis:
-    """Install this snapshot on the disk, then start the agreement as a voter."""
+    """Install this snapshot on disk, then start the agreement as a voter."""
 
     snapshot: Snapshot
 
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsDisagree:
-    """A peer's settings name other founding voters; nothing is founded."""
+    """A peer's settings name other founding voters, so no cluster is founded."""
 
     peer: ControllerIdentity
     voter_names: tuple[str, ...]
@@ -68,10 +68,10 @@
 
 
 class Founding:
-    """Runs while the data folder is empty, until it says how to go on.
+    """Decides whether to found or to join a cluster; used while the data folder is empty.
 
     :param voter_names: the founding voters in the settings
-    :param new_cluster: a fresh random cluster identifier, used only when this one founds
+    :param new_cluster: a random cluster identifier, used only if this controller founds the cluster
     """
 
     def __init__(
@@ -85,20 +85,20 @@
         self._finished = False
 
     def tick(self, now: float) -> list[FoundingCommand]:
-        """Ask the peers again from time to time."""
+        """Query the peers periodically."""
         if self._finished or now < self._next_query_at:
             return []
         self._next_query_at = now + QUERY_INTERVAL_S
         query = FoundingQuery(self._voter_names)
-        asked: list[FoundingCommand] = [
+        queries: list[FoundingCommand] = [
             SendFoundingMessage(ControllerIdentity(name, ANY_INCARNATION), query)
             for name in self._voter_names
             if name != self._identity.name
         ]
-        return asked + self._found_when_all_are_empty()
+        return queries + self._found_when_all_are_empty()
 
     def handle(self, sender: ControllerIdentity, message: FoundingMessage) -> list[FoundingCommand]:
-        """Take a peer's message."""
+        """Handle a message from a peer."""
         match message:
             case FoundingQuery():
                 return [self._answer(sender)]
@@ -110,7 +110,7 @@
                 return self._on_founded(message)
 
     def on_leader_contact(self) -> list[FoundingCommand]:
-        """Take note that a leader already replicates to this incarnation."""
+        """Join: a leader already replicates to this incarnation."""
         return self._join(JoinReason.CLUSTER_EXISTS)
 
     def _answer(self, sender: ControllerIdentity) -> SendFoundingMessage:
@@ -137,10 +137,10 @@
         voters = tuple(known[name] for name in self._voter_names)
         genesis = genesis_snapshot(self._new_cluster, voters)
         founded = ClusterFounded(genesis.configuration)
-        told: list[FoundingCommand] = [
+        notifications: list[FoundingCommand] = [
             SendFoundingMessage(voter, founded) for voter in voters if voter != self._identity
         ]
-        return [*told, InstallGenesis(genesis)]
+        return [*notifications, InstallGenesis(genesis)]
 
     def _on_founded(self, message: ClusterFounded) -> list[FoundingCommand]:
         configuration = message.configuration
@@ -163,12 +163,12 @@
     voter_names: tuple[str, ...],
     controllers: tuple[PeerAddress, ...] = (),
 ) -> SendFoundingMessage:
-    """Return what a controller that belongs to a cluster answers to an empty one.
+    """Return a cluster member's answer to the query of a controller with an empty folder.
 
-    :param snapshot: the responder's newest snapshot; while it is the one the cluster was
-        founded with, a founding voter that missed the founding still gets it
+    :param snapshot: the responder's newest snapshot; while this is still the genesis snapshot, a
+        founding voter that missed the founding receives it
     :param configuration: the responder's newest configuration
-    :param controllers: the controllers that the responder knows
+    :param controllers: the addresses of the controllers that the responder knows
     """
     is_genesis = (snapshot.index, snapshot.data) == (1, b"")
     if is_genesis and sender in snapshot.configuration.voters:
