--- a/limedyke/core/agreement/leader.py
+++ b/limedyke/core/agreement/leader.py
@@ -34,7 +34,7 @@
 
 
 class Leader:
-    """Everything a controller does only while it leads."""
+    """The part of the agreement that is active only while this controller leads."""
 
     def __init__(self, state: AgreementState) -> None:
         self._state = state
@@ -46,7 +46,7 @@
         self._transfer_deadline: float | None = None
 
     def start(self) -> None:
-        """Take the leadership: append an entry of the own term and send a heartbeat."""
+        """Begin the leadership: append a no-op entry of the new term and send a heartbeat."""
         state = self._state
         self._pending = {}
         self._transfer_deadline = None
@@ -58,7 +58,7 @@
         self.heartbeat()
 
     def round_timings(self) -> RoundTimings:
-        """Return how the heartbeat rounds of this leadership have gone."""
+        """Return statistics of the heartbeat rounds of this leadership."""
         state = self._state
         voters = [voter for voter in state.other_voters() if voter in self.replication.progress]
         known = {voter.name: self.replication.progress[voter] for voter in voters}
@@ -109,7 +109,7 @@
         return None
 
     def propose(self, event: Proposed) -> None:
-        """Append a proposal; it is answered when it is committed."""
+        """Append a proposal; it is answered once it is committed and applied."""
         failure = self.refusal()
         if len(event.payload) > self._state.timing.maximum_payload_bytes:
             failure = Failure(ResultCode.MESSAGE_TOO_LARGE, f"{len(event.payload)} bytes proposed.")
@@ -120,7 +120,7 @@
         self._pending[index] = event.request_id
 
     def change_members(self, event: MembershipChangeRequested) -> None:
-        """Append a configuration, unless the change is not safe now."""
+        """Append the changed configuration, or refuse a change that is unsafe at present."""
         state = self._state
         failure = self.refusal() or self._membership_refusal()
         if failure is not None:
@@ -159,7 +159,7 @@
         )
 
     def read(self, event: ReadRequested) -> None:
-        """Allow a read under the lease, once an entry of the own term is applied."""
+        """Allow a read while the lease is valid and an entry of this term has been applied."""
         state = self._state
         if self.lease.is_valid() and state.applied_index >= self._first_index:
             state.emit(ReadReady(event.request_id, state.applied_index))
@@ -170,7 +170,7 @@
     def on_append_response(
         self, sender: ControllerIdentity, response: AppendEntriesResponse
     ) -> None:
-        """Take a member's answer to entries or a heartbeat."""
+        """Handle a member's response to entries or a heartbeat."""
         if sender in self.replication.progress:
             self.replication.on_append_response(sender, response)
             self.lease.confirm()
@@ -178,13 +178,13 @@
     def on_snapshot_response(
         self, sender: ControllerIdentity, response: InstallSnapshotResponse
     ) -> None:
-        """Take a member's answer to a part of a snapshot."""
+        """Handle a member's response to a chunk of a snapshot."""
         if sender in self.replication.progress:
             self.replication.on_snapshot_response(sender, response)
             self.lease.confirm()
 
     def continue_work(self) -> StepDownReason | None:
-        """Send new entries, commit, answer proposals; return why the leadership ends."""
+        """Send new entries, commit, answer proposals; return why the leadership ends, if it does."""
         self.replication.replicate()
         self._commit()
         self._answer_applied()
@@ -198,10 +198,10 @@
         self._state.advance_commit(self._state.commit_index)
 
     def _end_joint_phase(self) -> None:
-        """Once a replacement's first entry is committed, append the one without the old voters.
+        """Append the configuration without the old voters once the joint one is committed.
 
-        Who asked for the replacement is answered when that entry is committed: from then on it
-        holds also for voters that restart.
+        The caller that requested the replacement is answered when this second entry is committed:
+        from then on the replacement also holds for voters that restart.
         """
         state = self._state
         joint_index = state.log.configuration_index
@@ -213,7 +213,7 @@
             self._pending[index] = request_id
 
     def _majority_index(self) -> int:
-        """Return the last index that majorities of all sets of voters in force have synced."""
+        """Return the highest index that a majority of every voter set in force has synced."""
         state = self._state
         match_indexes = {
             voter: progress.match_index for voter, progress in self.replication.progress.items()
@@ -234,7 +234,7 @@
             state.emit(ProposalAccepted(request_id, index, state.term))
 
     def begin_transfer(self) -> None:
-        """Refuse new proposals and hand over as soon as all old ones are answered."""
+        """Stop accepting proposals, and hand over once all pending ones are answered."""
         if self._transfer_deadline is None and self._state.other_voters():
             timeout = self._state.timing.transfer_timeout_s
             self._transfer_deadline = self._state.now + timeout
@@ -261,7 +261,7 @@
         return max(candidates, key=lambda voter: progress[voter].last_response_at, default=None)
 
     def stop(self) -> None:
-        """Answer what is pending: it may be committed by a later leader, or not."""
+        """Answer pending proposals as unknown: a later leader may or may not commit them."""
         self._transfer_deadline = None
         for request_id in self._pending.values():
             failure = Failure(ResultCode.CONTROL_OUTCOME_UNKNOWN, "The leadership was lost.")
