--- a/limedyke/core/agreement/lease.py
+++ b/limedyke/core/agreement/lease.py
@@ -1,4 +1,4 @@
-"""The leader's lease and quorum stamp, from the heartbeat rounds that voters answered."""
+"""The leader's lease and quorum stamp, derived from answered heartbeat rounds."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class LeaderLease:
-    """Counts a lease from the time at which a confirmed heartbeat round was *sent*.
+    """Counts the lease from the time at which a confirmed heartbeat round was *sent*.
 
-    A voter that answers round ``r`` received it after it was sent, and then gives no vote
-    for the shortest election timeout.  So for that time, less the clocks' drift, after the
-    sending of the newest round that a majority answered, no other leader can be elected.
+    A voter that answers a round received it after it was sent, and then grants no vote for the
+    minimum election timeout. No other leader can therefore be elected for that time, less the clock
+    drift, after the newest round that a majority answered was sent.
     """
 
     def __init__(self, state: AgreementState, replication: Replication) -> None:
@@ -25,7 +25,7 @@
         self.started_at = float("-inf")
 
     def start(self) -> None:
-        """Begin a leadership: no lease, but a full timeout to get one."""
+        """Begin a leadership without a lease; there is a full election timeout to obtain one."""
         self._sent_at = {}
         self._confirmed_round = 0
         self._confirmed_at = float("-inf")
@@ -34,13 +34,13 @@
         self._state.quorum_stamp = QuorumStamp(self._state.term, 0)
 
     def begin_round(self) -> int:
-        """Note the sending of the next heartbeat round and return its number."""
+        """Record the sending time of the next heartbeat round and return its number."""
         round_number = self._replication.round_number + 1
         self._sent_at[round_number] = self._state.now
         return round_number
 
     def confirm(self) -> None:
-        """Advance to the newest round that a majority of voters answered."""
+        """Advance to the newest round that a majority of the voters answered."""
         round_number = self._majority_round()
         if round_number <= self._confirmed_round:
             return
@@ -59,7 +59,7 @@
         return self._state.reached_by_majorities(rounds)
 
     def revoke(self) -> None:
-        """Give the lease up for the rest of the term."""
+        """Give up the lease for the rest of the term."""
         self._revoked = True
 
     def is_valid(self) -> bool:
@@ -75,10 +75,10 @@
 
     @property
     def unconfirmed_s(self) -> float:
-        """Seconds since that round was sent; without one, since the leadership began."""
+        """Seconds since the confirmed round was sent, or since the leadership began if none was."""
         return self._state.now - max(self._confirmed_at, self.started_at)
 
     def quorum_lost(self) -> bool:
-        """Tell whether no majority answered for the longest election timeout."""
+        """Tell whether no majority has answered for the maximum election timeout."""
         since = max(self._confirmed_at, self.started_at)
         return self._state.now > since + self._state.timing.election_timeout_maximum_s
