--- a/limedyke/core/agreement/membership.py
+++ b/limedyke/core/agreement/membership.py
@@ -1,10 +1,11 @@
-"""Rules for changing the members: one voter is added, removed or replaced at a time.
-
-A replacement takes two entries (joint consensus).  The first holds the old voters too: from then
-on elections and commits need majorities of both sets.  Once it is committed, the leader appends
-the second, which names the new voters alone.  Only that entry ends the joint phase for
-good: a controller that restarts doesn't know which entries of its log are committed, and goes by
-the old voters too as long as the first entry is the newest configuration in its log.
+"""Rules for membership changes: one voter is added, removed or replaced at a time.
+
+A replacement takes two entries (joint consensus). The first entry names the old and the new voters;
+from then on elections and commits need majorities of both sets. Once it is committed, the leader
+appends the second entry, which names only the new voters and ends the joint phase. The second entry
+is needed because a controller that restarts does not know which entries of its log are committed:
+it also needs a majority of the old voters as long as the first entry is the newest configuration in
+its log.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from limedyke.result_codes import Failure, ResultCode
 
 MAXIMUM_MEMBERS = 12
-"""Voters and learners together: seven voters, and as many machines in exchange as fit."""
+"""Limit on voters and learners together: seven voters and up to five learners to replace them."""
 
 
 def _refuse(detail: str) -> Err[Failure]:
@@ -50,7 +51,7 @@
 
 
 def without_previous_voters(configuration: MemberConfiguration) -> MemberConfiguration:
-    """Return the configuration that ends a replacement's joint phase."""
+    """Return the configuration that ends the joint phase of a replacement."""
     return replace(configuration, previous_voters=())
 
 
