--- a/limedyke/core/agreement/progress.py
+++ b/limedyke/core/agreement/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows about one other member."""
+"""A leader's replication progress towards one member."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 @dataclass(slots=True)
 class Progress:
-    """Replication towards one member.
+    """Replication progress towards one member.
 
     :param next_index: the next entry to send
-    :param match_index: the last entry known synced there
-    :param acknowledged_round: the newest heartbeat round it answered; 0 for none
-    :param last_response_at: when it last answered, by the leader's clock
-    :param probing: wait for one answer before sending further entries
-    :param in_flight: last indexes of sent and unanswered batches
-    :param snapshot_index: index of the snapshot being sent; 0 when none is
+    :param last_response_at: time of the member's last response, by the leader's clock
+    :param match_index: the last entry known to be synced on the member
+    :param acknowledged_round: the newest heartbeat round that the member answered; 0 for none
+    :param probing: whether to wait for one response before sending further entries
+    :param in_flight: number of batches that were sent and not answered
+    :param snapshot_index: index of the snapshot being sent; 0 for none
     :param snapshot_offset: next byte of the snapshot to send
-    :param snapshot_sent_at: when the last part with data was sent
+    :param snapshot_sent_at: when the last chunk with data was sent
     """
 
     next_index: int
