--- a/limedyke/core/agreement/records.py
+++ b/limedyke/core/agreement/records.py
@@ -1,4 +1,4 @@
-"""What a controller keeps on disk: term and vote, entries and a snapshot."""
+"""State that a controller keeps on disk: term, vote, entries and a snapshot."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HardState:
-    """The current term and the vote given in it.
+    """The current term and the vote cast in it.
 
-    :param vouched_for: the last leader that this controller answered, or was itself
+    :param vouched_for: the last leader that this controller acknowledged; itself if it led
     """
 
     term: int = 0
@@ -38,7 +38,7 @@
 def genesis_snapshot(cluster: str, voters: tuple[ControllerIdentity, ...]) -> Snapshot:
     """Return the empty state that all founding voters of a cluster start from.
 
-    It must be installed on the disk of each founding voter before its agreement starts.
+    Each founding voter installs it on its disk before its agreement starts.
     """
     configuration = MemberConfiguration(cluster=cluster, voters=voters)
     return Snapshot(index=1, term=1, configuration=configuration)
@@ -46,11 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """Everything a controller finds on its disk at start.
+    """Everything that a controller finds on its disk at start.
 
     :param entries: the entries after the snapshot, without gaps
-    :param leader_contact_at: when an earlier process last heard a leader, by the same clock
-        that this one reads; None when that is not known
+    :param leader_contact_at: when an earlier process last had contact with a leader, by the clock
+        that this process reads; None if unknown
     """
 
     hard_state: HardState = field(default_factory=HardState)
@@ -59,22 +59,23 @@
     leader_contact_at: float | None = None
 
     def with_contact_bound(self, started_at: float) -> StoredState:
-        """Return the same with the latest moment at which a leader can have been heard.
+        """Return this state with an upper bound for the last leader contact, if none is stored.
 
-        An earlier process on this disk had ended before this one began, and this one has answered
-        nobody yet.
+        Any earlier process on this disk ended before this one started, and this one has not
+        acknowledged a leader yet.
 
-        :param started_at: when this process began, by the clock that it reads
+        :param started_at: when this process started, by the clock that it reads
         """
         is_bounded = self.leader_contact_at is not None or self.hard_state.term == 0
         return self if is_bounded else replace(self, leader_contact_at=started_at)
 
-    def with_leader_contact(self, heard_at: float) -> StoredState:
-        """Return the same for a process that has answered leaders itself.
+    def with_leader_contact(self, contact_at: float) -> StoredState:
+        """Return this state for a process that has acknowledged leaders itself.
 
-        :param heard_at: when it last heard one, by its clock; no note on the disk is later
+        :param contact_at: when it last had contact with a leader, by its clock; a time stored on
+            disk is never later
         """
-        return replace(self, leader_contact_at=heard_at)
+        return replace(self, leader_contact_at=contact_at)
 
 
 def _pack_identity(identity: ControllerIdentity | None) -> list[str] | None:
@@ -88,8 +89,9 @@
 def encode_configuration(configuration: MemberConfiguration) -> bytes:
     """Return the stored form of a configuration.
 
-    The fourth item is always None; an earlier version kept a voter to be removed there.  The
-    previous voters follow only where there are any, so that it can read all other entries.
+    The fourth item is always None: an earlier version stored a voter to be removed there. The
+    previous voters are appended only if there are any, so that the earlier version can read all
+    other entries.
     """
     packed = [
         configuration.cluster,
@@ -117,7 +119,8 @@
 def encode_hard_state(hard_state: HardState) -> bytes:
     """Return the stored form of a term and vote.
 
-    The leader vouched for follows only where there is one, as an earlier version had none.
+    The last acknowledged leader is appended only if there is one, because an earlier version did
+    not store it.
     """
     packed = [hard_state.term, _pack_identity(hard_state.vote)]
     if hard_state.vouched_for is not None:
