--- a/limedyke/core/agreement/replication.py
+++ b/limedyke/core/agreement/replication.py
@@ -1,4 +1,4 @@
-"""A leader's side of replication: batches, back-off and snapshots."""
+"""Replication on the leader: batches, back-off and snapshots."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
         self.round_number = 0
 
     def start(self) -> None:
-        """Forget an earlier leadership."""
+        """Reset the progress of all members at the start of a leadership."""
         self.progress = {}
         self.round_number = 0
         self.refresh_members()
 
     def refresh_members(self) -> None:
-        """Follow the newest configuration."""
+        """Track exactly the members of the newest configuration."""
         members = self._state.other_members()
         self.progress = {
             member: self.progress.get(member) or self._new_progress() for member in members
@@ -38,21 +38,21 @@
         return Progress(next_index=self._state.log.last_index + 1, last_response_at=self._state.now)
 
     def heartbeat(self, round_number: int) -> None:
-        """Send every member something that it has to answer."""
+        """Send every member a message that requires a response."""
         self.round_number = round_number
         for member, progress in self.progress.items():
             self._send_heartbeat(member, progress)
 
     def _send_heartbeat(self, member: ControllerIdentity, progress: Progress) -> None:
         if self._needs_snapshot(progress):
-            self._send_snapshot_part(member, progress)
+            self._send_snapshot_chunk(member, progress)
         elif progress.probing:
             self._send_entries(member, progress)
         else:
             self._send_append(member, progress.next_index, with_entries=False)
 
     def replicate(self) -> None:
-        """Send new entries to the members that keep up."""
+        """Send new entries to the members that are not being probed."""
         for member, progress in self.progress.items():
             self._pipeline(member, progress)
 
@@ -92,20 +92,20 @@
     def on_append_response(
         self, sender: ControllerIdentity, response: AppendEntriesResponse
     ) -> None:
-        """Move a member's progress on, or back to where its log agrees."""
+        """Advance a member's progress, or move it back to where the logs may agree."""
         progress = self.progress[sender]
-        self._note_answer(progress, response.round_number)
+        self._record_response(progress, response.round_number)
         if response.accepted:
-            self._note_match(progress, response.match_index)
+            self._record_match(progress, response.match_index)
         elif response.previous_index == progress.next_index - 1 or not progress.probing:
             self._back_off(sender, progress, response)
         self._pipeline(sender, progress)
 
-    def _note_answer(self, progress: Progress, round_number: int) -> None:
+    def _record_response(self, progress: Progress, round_number: int) -> None:
         progress.acknowledged_round = max(progress.acknowledged_round, round_number)
         progress.last_response_at = self._state.now
 
-    def _note_match(self, progress: Progress, match_index: int) -> None:
+    def _record_match(self, progress: Progress, match_index: int) -> None:
         progress.match_index = max(progress.match_index, match_index)
         progress.next_index = max(progress.next_index, progress.match_index + 1)
         progress.in_flight = max(0, progress.in_flight - 1)
@@ -123,7 +123,7 @@
         self._send_heartbeat(member, progress)
 
     def _agreeing_index(self, response: AppendEntriesResponse) -> int:
-        """Return the last index at which the member's log may agree with this one."""
+        """Return the last index at which the member's log may agree with the leader's."""
         log = self._state.log
         hint = min(response.conflict_index, response.previous_index) - 1
         if response.conflict_term == 0:
@@ -136,8 +136,8 @@
     def _needs_snapshot(self, progress: Progress) -> bool:
         return progress.next_index - 1 < self._state.log.base_index
 
-    def _send_snapshot_part(self, member: ControllerIdentity, progress: Progress) -> None:
-        """Send the next part, or an empty one while the last may still be on its way."""
+    def _send_snapshot_chunk(self, member: ControllerIdentity, progress: Progress) -> None:
+        """Send the next chunk, or an empty one while the previous may still be in flight."""
         state = self._state
         snapshot = state.log.snapshot
         if progress.snapshot_index != snapshot.index:
@@ -165,11 +165,11 @@
     def on_snapshot_response(
         self, sender: ControllerIdentity, response: InstallSnapshotResponse
     ) -> None:
-        """Send the next part, or go on with entries once the snapshot is installed."""
+        """Send the next chunk, or continue with entries once the snapshot is installed."""
         progress = self.progress[sender]
-        self._note_answer(progress, response.round_number)
+        self._record_response(progress, response.round_number)
         if response.installed:
-            self._note_match(progress, response.snapshot_index)
+            self._record_match(progress, response.snapshot_index)
             progress.next_index = max(response.snapshot_index, progress.match_index) + 1
             progress.in_flight = 0
             self._pipeline(sender, progress)
@@ -178,4 +178,4 @@
         if is_current and response.next_offset != progress.snapshot_offset:
             progress.snapshot_offset = response.next_offset
             progress.snapshot_sent_at = float("-inf")
-            self._send_snapshot_part(sender, progress)
+            self._send_snapshot_chunk(sender, progress)
