--- a/limedyke/core/agreement/state.py
+++ b/limedyke/core/agreement/state.py
@@ -1,4 +1,4 @@
-"""State that the parts of the agreement core share, and the ways to change it."""
+"""State shared by the parts of the agreement core, and the operations that change it."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class AgreementInvariantError(Exception):
-    """A rule of the agreement was broken; the process must not go on."""
+    """An invariant of the agreement is violated; the process must not continue."""
 
 
 def majority_of(voters: Collection[ControllerIdentity]) -> int:
@@ -78,13 +78,13 @@
         self.role = Role.FOLLOWER
         self.leader: ControllerIdentity | None = None
         self.quorum_stamp = QuorumStamp()
-        # When it isn't known what this controller vouched for before it restarted, it waits as
-        # if it had heard a leader just now, so that no lease is broken.
+        # If the time of the last leader contact is unknown, assume that it is now: this voter then
+        # waits until any lease that it may have confirmed has expired.
         self.leader_contact_at = now
         if stored.leader_contact_at is not None:
             self.leader_contact_at = min(now, stored.leader_contact_at)
         elif stored.hard_state.term == 0:
-            # Before a leader is answered its term is on the disk: none was answered yet.
+            # The term is stored before a leader is acknowledged, so term 0 means that none was.
             self.leader_contact_at = float("-inf")
         self.election_deadline = now
         self.commands: list[Command] = []
@@ -102,20 +102,20 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this very incarnation counts."""
+        """Whether this incarnation is a voter."""
         return self.identity in self.configuration.voters
 
     @property
     def membership_settled(self) -> bool:
-        """Whether the newest configuration is committed and ends the change that it is part of."""
+        """Whether no membership change is pending: the configuration is committed and not joint."""
         is_committed = self.log.configuration_index <= self.commit_index
         return is_committed and not self.configuration.previous_voters
 
     @property
     def voter_sets(self) -> tuple[tuple[ControllerIdentity, ...], ...]:
-        """The sets of voters of each of which a majority is needed.
+        """The voter sets that must each contribute a majority.
 
-        While the newest configuration is not known committed, those that it replaces count too.
+        A joint configuration that is not known to be committed adds the previous voters.
         """
         configuration = self.configuration
         is_committed = self.log.configuration_index <= self.commit_index
@@ -124,48 +124,48 @@
         return (configuration.voters, configuration.previous_voters)
 
     def holds_majorities(self, identities: Collection[ControllerIdentity]) -> bool:
-        """Tell whether ``identities`` hold a majority of every set of voters in force."""
+        """Tell whether ``identities`` include a majority of every voter set in force."""
         return all(
             sum(voter in identities for voter in voters) >= majority_of(voters)
             for voters in self.voter_sets
         )
 
     def reached_by_majorities(self, values: Mapping[ControllerIdentity, int]) -> int:
-        """Return the highest value that majorities of all sets of voters have reached.
+        """Return the highest value that a majority of every voter set has reached.
 
-        :param values: what each known voter has reached; 0 for those not named
+        :param values: the value that each voter has reached; 0 for voters not named
         """
         return min(_reached_by_majority(voters, values) for voters in self.voter_sets)
 
     def is_member(self, identity: ControllerIdentity) -> bool:
-        """Tell whether this very incarnation is a voter or learner."""
+        """Tell whether this identity, including its incarnation, is a voter or learner."""
         configuration = self.configuration
         return identity in configuration.voters or identity in configuration.learners
 
     def other_members(self) -> tuple[ControllerIdentity, ...]:
-        """Return all voters and learners but this controller."""
+        """Return all voters and learners except this controller."""
         members = dict.fromkeys(itertools.chain(*self.voter_sets, self.configuration.learners))
         return tuple(member for member in members if member != self.identity)
 
     def other_voters(self) -> tuple[ControllerIdentity, ...]:
-        """Return all voters but this controller, those being replaced included."""
+        """Return all voters except this controller, including those being replaced."""
         voters = dict.fromkeys(itertools.chain(*self.voter_sets))
         return tuple(voter for voter in voters if voter != self.identity)
 
     def reset_election_deadline(self) -> None:
-        """Draw a new random time to stand for election, if no leader is heard before."""
+        """Draw a new random election timeout, counted from now."""
         timeout = self.rng.uniform(
             self.timing.election_timeout_minimum_s, self.timing.election_timeout_maximum_s
         )
         self.election_deadline = self.now + timeout
 
     def reset_first_election_deadline(self) -> None:
-        """Draw the time to stand for election after a restart.
+        """Draw the election deadline after a restart.
 
-        Voters that restart together are all bound for the shortest timeout; beyond it, only
-        a little chance is needed to keep them apart.  A leader gets some time to be heard.
-        The last leader itself is bound by no lease but its own, which ended with its process:
-        it stands first.
+        Voters that restart together are all bound by the lease for the minimum timeout; after it, a
+        small random spread is enough to separate their candidacies. The wait also gives a current
+        leader time to connect. The last leader stands first: the only lease that could bind it was
+        its own, which ended with its process.
         """
         if self.vouched_for == self.identity:
             self.election_deadline = self.now + self.timing.pre_vote_retry_minimum_s / 2
@@ -176,56 +176,56 @@
         self.election_deadline = max(bound_until, links_are_up_at) + spread
 
     def schedule_pre_vote_retry(self) -> None:
-        """Draw a new random time to repeat a pre-vote; unlike a candidacy it disturbs no one."""
+        """Draw a new random deadline to repeat a pre-vote, which disturbs no current leader."""
         self.election_deadline = self.now + self.rng.uniform(
             self.timing.pre_vote_retry_minimum_s, self.timing.pre_vote_retry_maximum_s
         )
 
     def heard_leader_recently(self) -> bool:
-        """Tell whether a lease that this voter vouched for may still run."""
+        """Tell whether a lease that this voter confirmed may still be valid."""
         return self.now < self.leader_contact_at + self.timing.election_timeout_minimum_s
 
     def set_role(self, role: Role, leader: ControllerIdentity | None) -> None:
-        """Change the role and the known leader, and report a change."""
+        """Change the role and the known leader, and report the change."""
         self.role = role
         self.leader = leader
         self.report_role()
 
     @property
     def visible_role(self) -> Role:
-        """The role, with followers that do not count told apart."""
+        """The role; a follower that is not a voter is a learner."""
         if self.role is Role.FOLLOWER and not self.is_voter:
             return Role.LEARNER
         return self.role
 
     def report_role(self) -> None:
-        """Emit ``RoleChanged`` when anything in it is new."""
+        """Emit ``RoleChanged`` if the role, term or leader has changed."""
         current = (self.visible_role, self.term, self.leader)
         if current != self._reported:
             self._reported = current
             self.emit(RoleChanged(*current))
 
     def emit(self, command: Command) -> None:
-        """Hand a command to the shell."""
+        """Add a command for the shell."""
         self.commands.append(command)
 
     def send(self, to: ControllerIdentity, message: AgreementMessage) -> None:
-        """Send a message that vouches for nothing unsynced."""
+        """Send a message that does not depend on unsynced writes."""
         self.emit(SendMessage(to, message))
 
     def send_after_sync(self, to: ControllerIdentity, message: AgreementMessage) -> None:
-        """Send a message once everything written so far is synced."""
+        """Send a message once all writes issued so far are synced."""
         if self.is_synced(self._write_number):
             self.send(to, message)
         else:
             self._held_messages.append((self._write_number, SendMessage(to, message)))
 
     def is_synced(self, write_number: int) -> bool:
-        """Tell whether a write, and all before it, is on disk."""
+        """Tell whether a write and all earlier ones are synced."""
         return write_number <= self._synced_write_number
 
     def next_write_number(self) -> int:
-        """Number the next storage command."""
+        """Allocate the number of the next storage command."""
         self._write_number += 1
         return self._write_number
 
@@ -236,9 +236,10 @@
         return self._write_hard_state()
 
     def vouch_for(self, leader: ControllerIdentity) -> None:
-        """Note on disk which leader is answered from now on, or is this controller itself.
+        """Store which leader, possibly itself, this controller acknowledges from now on.
 
-        Its lease may rest on that until it asks for votes itself: by then it leads no more.
+        That leader's lease may rest on the acknowledgement until the leader asks for votes itself;
+        by then it no longer leads.
         """
         if self.vouched_for != leader:
             self.vouched_for = leader
@@ -251,7 +252,7 @@
         return write_number
 
     def append(self, entries: tuple[LogEntry, ...]) -> None:
-        """Add entries to the log and start writing them."""
+        """Append entries to the log and start writing them."""
         self.log.append(entries)
         write_number = self.next_write_number()
         self._unsynced_entries.append((write_number, self.log.last_index))
@@ -272,11 +273,11 @@
         self.emit(TruncateLog(self.next_write_number(), index))
 
     def forget_unsynced_entries(self) -> None:
-        """Treat the log as it stands as replaced by a snapshot that is being written."""
+        """Forget the unsynced entries: a snapshot has replaced the log."""
         self._unsynced_entries.clear()
 
     def note_synced(self, write_number: int) -> None:
-        """Record that writes are on disk, and send what waited for them."""
+        """Record that writes are synced, and send the messages that waited for them."""
         self._synced_write_number = max(self._synced_write_number, write_number)
         while self._unsynced_entries and self.is_synced(self._unsynced_entries[0][0]):
             _, last_index = self._unsynced_entries.popleft()
@@ -286,11 +287,11 @@
             self.emit(held)
 
     def drop_held_messages(self) -> None:
-        """Forget messages that vouch for writes which failed."""
+        """Discard messages that acknowledge failed writes."""
         self._held_messages.clear()
 
     def advance_commit(self, commit_index: int) -> None:
-        """Raise the commit index and apply what is committed and synced here."""
+        """Raise the commit index and apply entries that are committed and synced here."""
         self.commit_index = max(self.commit_index, commit_index)
         last = min(self.commit_index, self.synced_index)
         if last <= self.applied_index:
