--- a/limedyke/core/agreement/timing.py
+++ b/limedyke/core/agreement/timing.py
@@ -10,17 +10,19 @@
     """Times in seconds of each controller's own monotonic clock.
 
     :param heartbeat_interval_s: time between two heartbeat rounds of a leader
-    :param election_timeout_minimum_s: a voter that heard a leader gives no vote for this long
+    :param election_timeout_minimum_s: a voter grants no vote for this long after contact with a
+        leader
     :param election_timeout_maximum_s: a follower stands for election after at most this long
     :param clock_drift_bound: largest relative rate error of any controller's clock
-    :param transfer_timeout_s: a leadership transfer that takes longer is given up
-    :param snapshot_retry_s: an unanswered part of a snapshot is sent again after this long
-    :param maximum_batch_entries: most entries in one message
-    :param maximum_batch_bytes: payload bytes after which a message takes no further entry
-    :param maximum_in_flight: most unanswered messages with entries to one follower
-    :param maximum_pending_proposals: most proposals that wait for their commit
+    :param transfer_timeout_s: a leadership transfer that takes longer is abandoned
+    :param snapshot_retry_s: an unanswered chunk of a snapshot is sent again after this long
+    :param maximum_batch_entries: maximum entries in one message
+    :param maximum_batch_bytes: payload bytes in one message; only a single larger entry may exceed
+        it
+    :param maximum_in_flight: maximum unanswered messages with entries to one follower
+    :param maximum_pending_proposals: maximum proposals waiting for their commit
     :param maximum_payload_bytes: largest proposal
-    :param snapshot_chunk_bytes: largest part of a snapshot in one message
+    :param snapshot_chunk_bytes: largest chunk of a snapshot in one message
     :param retained_entries: entries kept in memory behind a snapshot for slow followers
     """
 
@@ -48,20 +50,20 @@
 
     @property
     def pre_vote_retry_minimum_s(self) -> float:
-        """Shortest time after which a pre-vote that was not won is repeated."""
+        """Shortest time after which an unsuccessful pre-vote is repeated."""
         return self.election_timeout_minimum_s / 4
 
     @property
     def pre_vote_retry_maximum_s(self) -> float:
-        """Longest time after which a pre-vote that was not won is repeated."""
+        """Longest time after which an unsuccessful pre-vote is repeated."""
         return self.election_timeout_minimum_s / 2
 
     @property
     def lease_s(self) -> float:
-        """How long a confirmed heartbeat round vouches for the leader, from its sending.
+        """Duration of the leader's lease from the sending of a confirmed heartbeat round.
 
-        A voter waits the shortest election timeout by its own clock, which lasts at least
-        ``timeout / (1 + drift)``; the leader's clock may run slow by ``1 - drift``.
+        A voter waits the minimum election timeout by its own clock, which lasts at least ``timeout
+        / (1 + drift)``; the leader's clock may run slow by ``1 - drift``.
         """
         drift = self.clock_drift_bound
         return self.election_timeout_minimum_s * (1.0 - drift) / (1.0 + drift)
