--- a/limedyke/core/agreement/view.py
+++ b/limedyke/core/agreement/view.py
@@ -1,4 +1,4 @@
-"""What may be read of a controller's part in the replicated log."""
+"""Read-only view of a controller's agreement state."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     """Role, term, leader, indexes and lease of one controller.
 
     :param state: the state that all parts of the agreement share
-    :param leader: the leader's part, at work while this controller leads
+    :param leader: the leader's part, active while this controller leads
     """
 
     def __init__(self, state: AgreementState, leader: Leader) -> None:
@@ -27,7 +27,7 @@
 
     @property
     def role(self) -> Role:
-        """The present role; a follower that is no voter is a learner."""
+        """The current role; a follower that is not a voter is a learner."""
         return self._state.visible_role
 
     @property
@@ -37,12 +37,12 @@
 
     @property
     def leader(self) -> ControllerIdentity | None:
-        """The leader of the current term, when known."""
+        """The leader of the current term, if known."""
         return self._state.leader
 
     @property
     def leader_contact_at(self) -> float:
-        """When this controller last heard a leader; to be noted before commands are carried out."""
+        """Time of the last contact with a leader; store it before executing commands."""
         return self._state.leader_contact_at
 
     @property
@@ -52,27 +52,27 @@
 
     @property
     def membership_settled(self) -> bool:
-        """Whether the last change of the members is done: no replacement is in its joint phase."""
+        """Whether no membership change is pending, nor the joint phase of a replacement."""
         return self._state.membership_settled
 
     @property
     def commit_index(self) -> int:
-        """The last entry known committed."""
+        """Index of the last entry known to be committed."""
         return self._state.commit_index
 
     @property
     def applied_index(self) -> int:
-        """The last entry handed out to be applied."""
+        """Index of the last entry passed to the shell to be applied."""
         return self._state.applied_index
 
     @property
     def last_index(self) -> int:
-        """The last entry of the log, committed or not."""
+        """Index of the last entry of the log, committed or not."""
         return self._state.log.last_index
 
     @property
     def quorum_stamp(self) -> QuorumStamp:
-        """The newest stamp this controller leads with or heard from its leader."""
+        """The newest quorum stamp, issued by this leader or received from its leader."""
         return self._state.quorum_stamp
 
     def holds_lease(self, now: float) -> bool:
@@ -81,7 +81,7 @@
         return self._holds_lease()
 
     def member_progress(self) -> dict[ControllerIdentity, Progress]:
-        """Return, on the leader, what it knows about each other member; read only."""
+        """Return, on the leader, the replication progress of each other member; read only."""
         if self._state.role is not Role.LEADER:
             return {}
         return self._leader.replication.progress
