--- a/limedyke/core/agreement/voter_policy.py
+++ b/limedyke/core/agreement/voter_policy.py
@@ -1,8 +1,9 @@
-"""Which change of the members the leader should make next, without an operator; sans-IO.
+"""Chooses the leader's next automatic membership change; sans-IO.
 
-Controllers that are no members announce themselves.  The leader makes them learners, and a
-caught-up learner a voter: in place of the voter of its name (whose disk is lost), while there
-are fewer voters than wanted, or in place of a voter that has been silent for long.
+Controllers that are not members announce themselves, and the leader adds them as learners. A
+caught-up learner is promoted to voter in three cases: it replaces the voter of its own name, whose
+disk is lost; there are fewer voters than wanted; or it replaces a voter that has been silent too
+long.
 """
 
 from __future__ import annotations
@@ -19,18 +20,18 @@
 from limedyke.messages.agreement import ControllerIdentity, MemberConfiguration
 
 STANDBYS_WANTED = 3
-"""Learners kept beside the wanted voters, ready to replace one that is lost."""
+"""Learners kept in addition to the wanted voters, ready to replace a lost one."""
 ANNOUNCEMENTS_MISSED = 3
 FORGET_LEARNER_FACTOR = 4
-"""A learner silent for so many times the limit of voters is dropped."""
+"""A learner is removed after this multiple of the voters' silence limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class WaitingController:
-    """A controller that is no member and announced itself.
+    """A controller that is not a member and has announced itself.
 
-    :param announced_at: seconds of the leader's clock
-    :param interval_s: after which it was asked to announce itself again
+    :param announced_at: time of its last announcement, in seconds of the leader's clock
+    :param interval_s: the announcement interval that it was asked to keep
     """
 
     identity: ControllerIdentity
@@ -39,7 +40,11 @@
     interval_s: float = 0.0
 
     def is_present(self, now: float, least_age_s: float) -> bool:
-        """Tell whether it was heard within the last three announcements, or within an age."""
+        """Tell whether it has announced itself recently.
+
+        :param least_age_s: the lower bound for the accepted age; it grows to three announcement
+            intervals
+        """
         return now - self.announced_at <= max(least_age_s, ANNOUNCEMENTS_MISSED * self.interval_s)
 
 
@@ -47,9 +52,10 @@
 class VoterPolicy:
     """The wanted members.
 
-    :param voters_wanted: how many voters there should be
+    :param voters_wanted: the target number of voters
     :param silence_limit_s: a voter silent for longer is replaced when a learner is ready
-    :param announcement_age_s: an announcement older than this counts no more
+    :param announcement_age_s: announcements older than this are ignored, unless their interval is
+        long
     """
 
     voters_wanted: int
@@ -64,10 +70,11 @@
         waiting: Collection[WaitingController],
         now: float,
     ) -> MembershipChange | None:
-        """Return the next change, or None when all is as wanted.
+        """Return the next change, or None if none is needed.
 
         :param caught_up: learners that hold all committed entries
-        :param last_response_at: when each other member last answered the leader
+        :param last_response_at: when each other member last responded to the leader
+        :param waiting: the controllers that have announced themselves
         """
         for learner in configuration.learners:
             if learner in caught_up:
