--- a/limedyke/storage/__init__.py
+++ b/limedyke/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Files that survive a crash: the controllers' durable log and crash-safe files."""
+"""Crash-safe storage: the controllers' durable log and crash-safe files."""
