--- a/limedyke/storage/agreement_storage.py
+++ b/limedyke/storage/agreement_storage.py
@@ -1,4 +1,4 @@
-"""Carries out the agreement core's storage commands on a durable log."""
+"""Executes the agreement core's storage commands on a durable log."""
 
 from __future__ import annotations
 
@@ -23,29 +23,29 @@
 
 
 class AgreementStorage:
-    """Writes storage commands; those of one call share a sync where they can."""
+    """Writes storage commands; the commands of one call share a sync where possible."""
 
     def __init__(self, log: DurableLog) -> None:
         self._log = log
         self._writing = threading.Lock()
-        self._has_stopped = False
+        self._stopped = False
 
     def stop(self) -> None:
-        """Wait for the write under way, and begin no other; may block as long as the disk hangs.
+        """Wait for the current write and refuse further ones; blocks as long as the disk hangs.
 
-        The log must not be opened again while this one still writes to its files.
+        The log must not be reopened while this object still writes to its files.
         """
         with self._writing:
-            self._has_stopped = True
+            self._stopped = True
 
     def execute(self, commands: Iterable[Command]) -> StorageSynced | StorageFailed | None:
-        """Carry out the storage commands among ``commands``, in order.
+        """Execute the storage commands among ``commands``, in order.
 
-        :returns: the event to hand back to the core; None when there was nothing to write
+        :returns: the event to pass to the core; None if there was nothing to write
         """
         with self._writing:
-            if self._has_stopped:
-                return StorageFailed("The log is read anew.")
+            if self._stopped:
+                return StorageFailed("The log is being reopened.")
             return self._execute(commands)
 
     def _execute(self, commands: Iterable[Command]) -> StorageSynced | StorageFailed | None:
@@ -55,7 +55,7 @@
             if not isinstance(command, StorageCommand):
                 continue
             write_number = command.write_number
-            outcome = self._take(command, pending)
+            outcome = self._process(command, pending)
             if outcome.is_err():
                 return StorageFailed(str(outcome.unwrap_err()))
         if write_number == 0:
@@ -65,19 +65,19 @@
             return StorageFailed(str(outcome.unwrap_err()))
         return StorageSynced(write_number)
 
-    def save_leader_contact(self, heard_at: float) -> StorageFailed | None:
-        """Note when a leader was heard, before it is answered; this forces nothing to the disk.
+    def save_leader_contact(self, contact_at: float) -> StorageFailed | None:
+        """Store the time of the last leader contact, without a sync, before the leader is answered.
 
-        :returns: a failure, to be handed to the core in place of answering
+        :returns: a failure, to be passed to the core instead of answering the leader
         """
-        noted = self._log.save_leader_contact(heard_at)
+        noted = self._log.save_leader_contact(contact_at)
         return StorageFailed(str(noted.unwrap_err())) if noted.is_err() else None
 
     def disk_is_writable(self) -> bool:
-        """Tell whether the disk would take writes again."""
+        """Tell whether the disk accepts writes again."""
         return self._log.disk_is_writable()
 
-    def _take(self, command: StorageCommand, pending: list[LogRecord]) -> Result[None, Failure]:
+    def _process(self, command: StorageCommand, pending: list[LogRecord]) -> Result[None, Failure]:
         match command:
             case PersistHardState():
                 pending.append(command.hard_state)
