--- a/limedyke/storage/crash_safe_file.py
+++ b/limedyke/storage/crash_safe_file.py
@@ -1,4 +1,4 @@
-"""A small file that is replaced as a whole: after a crash it is the old or the new one."""
+"""A small file that is replaced atomically: after a crash it holds the old or the new content."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         self._sync = sync
 
     def read(self) -> Result[bytes | None, Failure]:
-        """Return the content, None when there is no file, or LOG_CORRUPT."""
+        """Return the content, None if there is no file, or LOG_CORRUPT."""
         try:
             content = self._file_system.read(self._path)
         except OSError as error:
@@ -40,7 +40,7 @@
         return Ok(frame.payload)
 
     def write(self, data: bytes) -> Result[None, Failure]:
-        """Replace the content; on return it lasts."""
+        """Replace the content; on return the new content is durable."""
         try:
             self._write(data)
         except OSError as error:
