--- a/limedyke/storage/disk_probe.py
+++ b/limedyke/storage/disk_probe.py
@@ -1,4 +1,4 @@
-"""Tells whether a disk that refused a write takes writes again."""
+"""Checks whether a disk that refused a write accepts writes again."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def is_writable(folder: Path, file_system: FileSystem) -> bool:
     """Write, sync and remove a small file; tell whether all of it succeeded.
 
-    :param folder: of the files that are to be written
+    :param folder: the folder of the files that are to be written
     """
     path = folder / PROBE_NAME
     try:
