--- a/limedyke/storage/durable_log.py
+++ b/limedyke/storage/durable_log.py
@@ -1,8 +1,8 @@
 """The controllers' durable log: term, vote, entries and snapshot on one disk.
 
-Each call that writes returns only after the data is synced.  A batch is one checksummed
-frame, so a crash leaves either all of it or none.  After any failed write or sync nothing
-more is written: what the disk holds is known again only when the log is reopened.
+Each write returns only after its data is synced. A batch is one checksummed frame, so after a crash
+either all of it is there or none. After a failed write or sync the log refuses all further writes:
+what the disk holds is known again only after the log is reopened.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLocation:
-    """Where and how a log is kept; see ``open_durable_log`` for each."""
+    """Where and how a log is stored; see ``open_durable_log`` for the fields."""
 
     folder: Path
     file_system: FileSystem
@@ -59,11 +59,11 @@
 
 
 class DurableLog:
-    """An open log; :func:`limedyke.storage.open_log.open_durable_log` makes one.
+    """An open log; :func:`limedyke.storage.open_log.open_durable_log` creates it.
 
     :param identity: the controller and the incarnation of this folder
-    :param replayed: the log as read back; its active segment is written anew here
-    :param sync: False only for trials: a crash then loses data
+    :param replayed: the replayed log; its active segment is rewritten when the log is opened
+    :param sync: False only for experiments: a crash then loses data
     """
 
     def __init__(
@@ -99,21 +99,21 @@
 
     @property
     def location(self) -> LogLocation:
-        """Where and how it is kept, to open it again."""
+        """Where and how the log is stored, to reopen it."""
         return LogLocation(self._folder, self._file_system, self._sync, self._segment_bytes)
 
     @property
     def last_index(self) -> int:
-        """The last entry on disk."""
+        """Index of the last entry on disk."""
         return self._last_index
 
     @property
     def snapshot_index(self) -> int:
-        """The last entry that the snapshot covers."""
+        """Index of the last entry that the snapshot covers."""
         return self._snapshot.index
 
     def take_stored_state(self) -> StoredState:
-        """Return what was found at open, once; the log then forgets the entries."""
+        """Return the state found at open, once; the log then releases the entries."""
         skipped = max(0, self._snapshot.index - self._base_index)
         stored = StoredState(
             hard_state=self._hard_state,
@@ -125,11 +125,11 @@
         return stored
 
     def append(self, entries: tuple[LogEntry, ...]) -> Result[None, Failure]:
-        """Add entries after the last one."""
+        """Append entries to the log."""
         return self.write(entries)
 
     def truncate_after(self, index: int) -> Result[None, Failure]:
-        """Drop all entries after ``index``."""
+        """Remove all entries after ``index``."""
         return self.write((TruncateRecord(index),))
 
     def save_hard_state(self, hard_state: HardState) -> Result[None, Failure]:
@@ -137,7 +137,7 @@
         return self.write((hard_state,))
 
     def write(self, records: tuple[LogRecord, ...]) -> Result[None, Failure]:
-        """Write records in order as one batch: after a crash all of them count, or none."""
+        """Write records in order as one batch: after a crash either all are there or none."""
         return self._guard(lambda: self._write(records))
 
     def save_snapshot(self, snapshot: Snapshot) -> Result[None, Failure]:
@@ -147,23 +147,23 @@
     def install_snapshot(self, snapshot: Snapshot, keep_entries: bool) -> Result[None, Failure]:
         """Save the leader's snapshot.
 
-        :param keep_entries: the log holds the snapshot's last entry, so later ones stay
+        :param keep_entries: the log holds the snapshot's last entry, so keep the entries after it
         """
         return self._guard(lambda: self._install_snapshot(snapshot, keep_entries))
 
-    def save_leader_contact(self, heard_at: float) -> Result[None, Failure]:
-        """Note when a leader was heard, for the next process; may run beside another write."""
+    def save_leader_contact(self, contact_at: float) -> Result[None, Failure]:
+        """Store the time of the last leader contact; may run concurrently with another write."""
         if self._failure is not None:
             return Err(self._failure)
         try:
-            self._leader_contact.save(heard_at)
+            self._leader_contact.save(contact_at)
         except OSError as error:
             detail = f"folder {self._folder}: {error.strerror or error}"
             return Err(Failure(ResultCode.DISK_FULL, detail))
         return Ok(None)
 
     def disk_is_writable(self) -> bool:
-        """Tell whether the disk would take writes now; the log itself stays failed."""
+        """Tell whether the disk accepts writes now; a failed log stays failed."""
         return is_writable(self._folder, self._file_system)
 
     def close(self) -> None:
@@ -175,7 +175,7 @@
         self._file_system.unlock(self._folder)
 
     def _guard(self, action) -> Result[None, Failure]:
-        """Run a write; after a failure refuse all further ones."""
+        """Run a write; after a failure, refuse all further writes."""
         if self._failure is not None:
             return Err(self._failure)
         try:
@@ -219,9 +219,9 @@
         self._active_bytes += len(frame)
 
     def begin_segment(self, number: int) -> None:
-        """Start a new newest segment and record it in the manifest.
+        """Start a new active segment and record it in the manifest.
 
-        :raises OSError: when the disk refuses
+        :raises OSError: if the disk refuses a write
         """
         if self._active is not None:
             self._active.close()
@@ -235,12 +235,12 @@
         self._write_manifest()
 
     def rewrite_active_segment(self, content: bytes) -> None:
-        """Write the newest segment anew, so that all of it is known to be on the disk.
+        """Rewrite the active segment, so that all of its content is known to be on disk.
 
-        What is read back after a failed sync may be only in the cache of the operating
-        system; it must not count before it is written and synced again.
+        After a failed sync, content that is read back may exist only in the operating system's
+        cache. It must be written and synced again before it is relied on.
 
-        :raises OSError: when the disk refuses
+        :raises OSError: if the disk refuses a write
         """
         path = self._folder / segment_name(self._segments[-1].number)
         temporary = path.with_name(path.name + ".new")
@@ -255,9 +255,9 @@
         self._write_manifest()
 
     def discard_entries_behind_snapshot(self) -> None:
-        """Finish an install that a crash cut short.
+        """Complete a snapshot installation that a crash interrupted.
 
-        :raises OSError: when the disk refuses
+        :raises OSError: if the disk refuses a write
         """
         self._entries = []
         self._reset_to(self._snapshot)
@@ -292,7 +292,7 @@
         self._base_index = snapshot.index
 
     def _compact(self) -> None:
-        """Remove the oldest segments while the snapshot covers all their entries."""
+        """Remove the oldest segments whose entries the snapshot covers."""
         removable = []
         while len(self._segments) > 1 and self._segments[0].last_index <= self._snapshot.index:
             removable.append(self._segments.pop(0))
@@ -304,7 +304,7 @@
 
 
 def load_snapshot(folder: Path, file_system: FileSystem) -> Result[Snapshot, Failure]:
-    """Return the saved snapshot, an empty one when there is none, or LOG_CORRUPT."""
+    """Return the saved snapshot, an empty one if there is none, or LOG_CORRUPT."""
     content = CrashSafeFile(folder / SNAPSHOT_NAME, file_system).read()
     if content.is_err():
         return content
