--- a/limedyke/storage/file_system.py
+++ b/limedyke/storage/file_system.py
@@ -1,4 +1,4 @@
-"""The few file operations that storage needs, behind one replaceable class."""
+"""File operations that storage needs, behind a replaceable interface."""
 
 from __future__ import annotations
 
@@ -20,54 +20,54 @@
         """Append all bytes, or raise ``OSError``."""
 
     def sync(self) -> None:
-        """Force what was written to the disk, or raise ``OSError``."""
+        """Force all written data to the disk, or raise ``OSError``."""
 
     def close(self) -> None:
-        """Release the file without forcing anything to the disk."""
+        """Close the file without forcing data to the disk."""
 
 
 class FileSystem(Protocol):
     """File operations; every one may raise ``OSError``.
 
-    Names and contents last only once ``sync`` and ``sync_folder`` have returned.
+    Names and contents are durable only after ``sync`` and ``sync_folder`` have returned.
     """
 
     def make_folder(self, folder: Path) -> None:
-        """Create a folder and its parents unless it exists."""
+        """Create a folder and its parents if missing."""
 
     def names(self, folder: Path) -> list[str]:
         """Return the sorted names of the files in a folder."""
 
     def read(self, path: Path) -> bytes | None:
-        """Return the whole file, or None when there is none."""
+        """Return the whole file, or None if there is none."""
 
     def create(self, path: Path) -> WritableFile:
-        """Open an empty file for appending, replacing one of that name."""
+        """Open an empty file for appending, replacing an existing one."""
 
     def overwrite(self, path: Path, data: bytes) -> None:
-        """Write over the start of a file in place, forcing nothing; create it if need be."""
+        """Overwrite the start of a file in place, without a sync; create it if missing."""
 
     def life(self) -> str:
-        """Name the time for which unsynced writes are kept, or return an empty string.
+        """Identify the period in which unsynced writes survive; an empty string if unknown.
 
-        Two calls return the same name only when nothing written in between was lost, and the
-        clock that counts since the system's start has gone on.
+        If two calls return the same string, nothing written in between was lost, and the clock that
+        counts from system start has not been reset.
         """
 
     def rename(self, source: Path, target: Path) -> None:
-        """Give a file another name, replacing one of that name in one step."""
+        """Rename a file atomically, replacing an existing target."""
 
     def remove(self, path: Path) -> None:
         """Remove a file if it exists."""
 
     def sync_folder(self, folder: Path) -> None:
-        """Force the names in a folder to the disk."""
+        """Force the folder's directory entries to the disk."""
 
     def lock(self, folder: Path) -> None:
-        """Keep other processes from the folder; ``OSError`` when one has it."""
+        """Lock a folder against other processes; ``OSError`` if another process holds it."""
 
     def unlock(self, folder: Path) -> None:
-        """Let go of a folder that was locked."""
+        """Release the lock of a folder."""
 
 
 class LocalFile:
@@ -96,8 +96,8 @@
 class LocalFileSystem:
     """The operating system's files.
 
-    :param keeps_unsynced_writes: the boot id tells losses of power apart, so that while it stays
-        the same nothing written was lost
+    :param keeps_unsynced_writes: whether a power loss always changes the boot id, so that no write
+        is lost while the boot id stays the same
     """
 
     def __init__(self, keeps_unsynced_writes: bool = True) -> None:
@@ -106,7 +106,7 @@
         self._overwritten: dict[Path, int] = {}
 
     def make_folder(self, folder: Path) -> None:
-        """Create a folder and its parents unless it exists."""
+        """Create a folder and its parents if missing."""
         if folder.is_dir():
             return
         self.make_folder(folder.parent)
@@ -118,18 +118,18 @@
         return sorted(os.listdir(folder))
 
     def read(self, path: Path) -> bytes | None:
-        """Return the whole file, or None when there is none."""
+        """Return the whole file, or None if there is none."""
         try:
             return path.read_bytes()
         except FileNotFoundError:
             return None
 
     def create(self, path: Path) -> LocalFile:
-        """Open an empty file for appending, replacing one of that name."""
+        """Open an empty file for appending, replacing an existing one."""
         return LocalFile(path)
 
     def overwrite(self, path: Path, data: bytes) -> None:
-        """Write over the start of a file in place; the file stays open until the unlock."""
+        """Overwrite the start of a file in place; the file stays open until ``unlock``."""
         descriptor = self._overwritten.get(path)
         if descriptor is None:
             flags = os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC
@@ -139,7 +139,7 @@
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
     def life(self) -> str:
-        """Name the run of the kernel and the time namespace of its clocks."""
+        """Return the boot id and the time namespace of the kernel's clocks."""
         if not self._keeps_unsynced_writes:
             return ""
         try:
@@ -148,7 +148,7 @@
             return ""
 
     def rename(self, source: Path, target: Path) -> None:
-        """Give a file another name in one step."""
+        """Rename a file atomically."""
         os.replace(source, target)
 
     def remove(self, path: Path) -> None:
@@ -156,7 +156,7 @@
         path.unlink(missing_ok=True)
 
     def sync_folder(self, folder: Path) -> None:
-        """Force the names in a folder to the disk."""
+        """Force the folder's directory entries to the disk."""
         descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
@@ -164,7 +164,7 @@
             os.close(descriptor)
 
     def lock(self, folder: Path) -> None:
-        """Keep other processes from the folder."""
+        """Lock a folder against other processes."""
         descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -174,7 +174,7 @@
         self._locks[folder] = descriptor
 
     def unlock(self, folder: Path) -> None:
-        """Let go of a folder that was locked, and of the files written over in it."""
+        """Release the lock of a folder and close its overwritten files."""
         for path in [path for path in self._overwritten if path.parent == folder]:
             os.close(self._overwritten.pop(path))
         descriptor = self._locks.pop(folder, None)
