--- a/limedyke/storage/frame.py
+++ b/limedyke/storage/frame.py
@@ -1,8 +1,8 @@
-"""Checksummed frames: the unit that is written and synced as a whole.
+"""Checksummed frames: the unit of an atomic write.
 
-A frame is a marker, the payload's length, a CRC-32C and a sequence number, then the payload.
-The checksum also covers a salt, the incarnation of the log, so that bytes of another log, or
-a frame inside a payload, are not taken for a frame of this one.
+A frame consists of a marker, the payload's length, a CRC-32C, a sequence number and the payload.
+The checksum also covers a salt, the incarnation of the log, so that a frame of another log, or a
+frame inside a payload, is not accepted as a frame of this log.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One frame read back.
+    """A decoded frame.
 
     :param offset: where it starts in its file
     :param end: where it ends in its file
@@ -61,9 +61,9 @@
 
 
 def find_later_frame(salt: bytes, content: bytes, offset: int, sequence: int) -> Frame | None:
-    """Return a valid frame after a bad one at ``offset``, or None.
+    """Return a valid frame after the invalid one at ``offset``, or None.
 
-    :param sequence: only frames with a later number count
+    :param sequence: frames up to this sequence number are ignored
     """
     candidate = content.find(FRAME_MARKER, offset + 1)
     while candidate >= 0:
