--- a/limedyke/storage/leader_contact.py
+++ b/limedyke/storage/leader_contact.py
@@ -1,9 +1,9 @@
-"""When a voter last heard a leader: noted without a sync, for the next process of the folder.
+"""Time of a voter's last contact with a leader, stored without a sync for the next process.
 
-A voter that answered a leader gives no vote for one election timeout.  A process that does not
-know when its predecessor last answered has to wait that long from its own start.  The note
-spares most of this wait after a crash of the process alone.  It counts only while the system
-goes on that kept the unsynced write: after a power loss, or on another machine, it is ignored.
+A voter that answered a leader grants no vote for one election timeout. A process that does not know
+when its predecessor last answered has to wait that long from its own start; the stored time saves
+most of this wait after a crash of the process alone. The time is used only while the system that
+kept the unsynced write is still running: after a power loss, or on another machine, it is ignored.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class LeaderContact:
-    """The note of one folder.
+    """The stored contact time of one folder.
 
     :param identity: the controller and the incarnation of the folder
     """
@@ -28,12 +28,12 @@
     def __init__(self, folder: Path, file_system: FileSystem, identity: ControllerIdentity) -> None:
         self._path = folder / LEADER_CONTACT_NAME
         self._file_system = file_system
-        life = file_system.life()
-        self._is_kept = bool(life)
-        self._salt = f"{identity}/{life}".encode()
+        session = file_system.life()
+        self._is_kept = bool(session)
+        self._salt = f"{identity}/{session}".encode()
 
     def read(self) -> float | None:
-        """Return when a leader was last heard, or None when that is not known."""
+        """Return the time of the last leader contact, or None if unknown."""
         try:
             content = self._file_system.read(self._path)
         except OSError:
@@ -43,13 +43,13 @@
         frame = decode_frame(self._salt, content, 0)
         return None if frame is None else _TIME.unpack(frame.payload)[0]
 
-    def save(self, heard_at: float) -> None:
-        """Note the time; it must be noted before the leader is answered.
+    def save(self, contact_at: float) -> None:
+        """Store the contact time; call this before the leader is answered.
 
-        :param heard_at: seconds of the clock that counts since the system started
-        :raises OSError: when the file cannot be written; the older note still stands then
+        :param contact_at: seconds of the clock that counts from system start
+        :raises OSError: if the file cannot be written; the older time then stays stored
         """
         if not self._is_kept:
             return
-        data = encode_frame(self._salt, 0, _TIME.pack(heard_at))
+        data = encode_frame(self._salt, 0, _TIME.pack(contact_at))
         self._file_system.overwrite(self._path, data)
