--- a/limedyke/storage/log_records.py
+++ b/limedyke/storage/log_records.py
@@ -1,4 +1,4 @@
-"""What the frames of the durable log hold: a batch of records each."""
+"""Records of the durable log; each frame holds a batch of them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RecordKind(enum.IntEnum):
-    """Kind numbers on disk; never reused."""
+    """Kind numbers on disk; a number is never reused."""
 
     ENTRY = 1
     TRUNCATE = 2
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TruncateRecord:
-    """All entries after ``index`` are dropped."""
+    """Removes all entries after ``index``."""
 
     index: int
 
 
 @dataclass(frozen=True, slots=True)
 class ResetRecord:
-    """All entries are dropped; the log goes on after ``index``, which a snapshot covers."""
+    """Removes all entries; the log continues after ``index``, which a snapshot covers."""
 
     index: int
     term: int
@@ -42,9 +42,9 @@
 class SegmentHeader:
     """The first frame of a segment.
 
-    :param number: the segment's number, as in its name
+    :param number: the segment's number, as in its file name
     :param base_index: the last entry before this segment
-    :param hard_state: the term and vote when it was begun
+    :param hard_state: the term and vote at the start of the segment
     """
 
     number: int
@@ -54,10 +54,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Manifest:
-    """Which log a folder holds.
+    """Identifies the log in a folder.
 
     :param first_segment: the oldest segment that is still needed
-    :param last_segment: the newest segment that may hold counted records
+    :param last_segment: the newest segment that may hold valid records
     """
 
     identity: ControllerIdentity
@@ -76,7 +76,7 @@
             return [int(RecordKind.HARD_STATE), 0, record.term, encode_hard_state(record)]
         case ResetRecord():
             return [int(RecordKind.RESET), record.index, record.term, None]
-    raise TypeError(f"{type(record).__name__} is no log record")
+    raise TypeError(f"{type(record).__name__} is not a log record")
 
 
 def _unpack_record(packed: list) -> LogRecord:
@@ -100,7 +100,7 @@
 def decode_batch(payload: bytes) -> tuple[LogRecord, ...]:
     """Return the records of a frame.
 
-    :raises ValueError: when the payload is no batch of records
+    :raises ValueError: if the payload is not a batch of records
     """
     return tuple(_unpack_record(packed) for packed in ormsgpack.unpackb(payload))
 
@@ -114,7 +114,7 @@
 def decode_header(payload: bytes) -> SegmentHeader:
     """Return the header from a segment's first frame.
 
-    :raises ValueError: when the payload is no header
+    :raises ValueError: if the payload is not a header
     """
     number, base_index, hard_state = ormsgpack.unpackb(payload)
     return SegmentHeader(number, base_index, decode_hard_state(hard_state))
