--- a/limedyke/storage/log_replay.py
+++ b/limedyke/storage/log_replay.py
@@ -1,4 +1,4 @@
-"""Reads the durable log back: what counts, what was torn, and what is corrupt."""
+"""Replays the durable log; finds torn tails and corruption."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TornTailCut:
-    """An unfinished write at the end of the log was cut; it was never answered.
+    """An incomplete write at the end of the log was cut off; it was never acknowledged.
 
     :param offset: where the file was cut
-    :param cut_bytes: how much was cut
+    :param cut_bytes: number of bytes cut off
     """
 
     file: str
@@ -35,21 +35,21 @@
 
 
 class CorruptLogError(Exception):
-    """The log cannot be read back."""
+    """The log cannot be replayed."""
 
     def __init__(self, path: Path, offset: int, reason: str) -> None:
         super().__init__(f"file {path} offset {offset}: {reason}")
 
     def failure(self) -> Failure:
-        """Return the numbered failure."""
+        """Return the error as a failure with a result code."""
         return Failure(ResultCode.LOG_CORRUPT, str(self))
 
 
 @dataclass(slots=True)
 class SegmentSummary:
-    """What the log remembers of a segment.
+    """Summary of a segment that the open log keeps in memory.
 
-    :param last_index: the highest entry it holds or follows
+    :param last_index: the highest entry that the segment holds or follows
     """
 
     number: int
@@ -58,10 +58,10 @@
 
 @dataclass(slots=True)
 class ReplayedLog:
-    """The log as read back.
+    """The replayed log.
 
     :param base_index: the entry before the first one in ``entries``
-    :param next_sequence: the number of the next frame
+    :param next_sequence: the sequence number of the next frame
     :param active_content: the valid bytes of the newest segment
     """
 
@@ -75,13 +75,13 @@
 
     @property
     def last_index(self) -> int:
-        """The last entry."""
+        """Index of the last entry."""
         return self.base_index + len(self.entries)
 
     def apply(self, record: LogRecord) -> None:
-        """Follow one record.
+        """Apply one record.
 
-        :raises ValueError: when it does not follow from the ones before
+        :raises ValueError: if it does not follow the previous records
         """
         match record:
             case LogEntry():
@@ -101,17 +101,17 @@
 
     def _truncate(self, index: int) -> None:
         if index > self.last_index:
-            raise ValueError(f"truncation to {index} of {self.base_index}..{self.last_index}")
+            raise ValueError(f"truncation after {index} of {self.base_index}..{self.last_index}")
         if index < self.base_index:
-            # The entries lay in a segment that was removed because a snapshot covers it.
+            # The truncated entries were in a segment that was removed because a snapshot covers it.
             self.base_index = index
         del self.entries[index - self.base_index :]
 
 
 class LogReplay:
-    """Reads segments in order.
+    """Replays segments in order.
 
-    :param salt: the incarnation that the frames were written under
+    :param salt: the incarnation under which the frames were written
     """
 
     def __init__(self, salt: bytes) -> None:
@@ -119,7 +119,7 @@
         self._log = ReplayedLog()
 
     def replay(self, segments: list[tuple[int, Path, bytes]]) -> Result[ReplayedLog, Failure]:
-        """Read (number, path, content) of all segments, oldest first."""
+        """Replay the (number, path, content) of all segments, oldest first."""
         last_position = len(segments) - 1
         try:
             for position, (number, path, content) in enumerate(segments):
