--- a/limedyke/storage/open_log.py
+++ b/limedyke/storage/open_log.py
@@ -34,12 +34,12 @@
     sync: bool = True,
     segment_bytes: int = DEFAULT_SEGMENT_BYTES,
 ) -> Result[DurableLog, Failure]:
-    """Open the log in a folder, and lock the folder.
+    """Lock a folder and open the log in it.
 
-    :param new_identity: this controller's name, and a fresh random incarnation that is used
-        only when the folder holds no log yet
-    :returns: the log, or LOG_CORRUPT (file and offset are given), DISK_FULL (the folder
-        cannot be written or is in use), or SETTINGS_INVALID (another controller's folder)
+    :param new_identity: this controller's name, and a new random incarnation that is used only if
+        the folder holds no log yet
+    :returns: the log, or LOG_CORRUPT (with file and offset), DISK_FULL (the folder cannot be
+        written or is in use), or SETTINGS_INVALID (the folder belongs to another controller)
     """
     opener = _Opener(Path(folder), new_identity, file_system or LocalFileSystem())
     try:
@@ -51,9 +51,9 @@
 
 
 def reopen_durable_log(log: DurableLog) -> Result[DurableLog, Failure]:
-    """Close a log whose disk refused a write, and read its folder anew.
+    """Close a log whose disk refused a write, and open its folder again.
 
-    :returns: as ``open_durable_log``; after DISK_FULL it may be tried again
+    :returns: as ``open_durable_log``; after DISK_FULL it may be called again
     """
     location = log.location
     log.close()
@@ -106,7 +106,7 @@
         return Err(Failure(ResultCode.LOG_CORRUPT, detail))
 
     def _initialise(self, sync: bool, segment_bytes: int) -> Result[DurableLog, Failure]:
-        """Begin an empty log; an initialisation that a crash cut short is begun again."""
+        """Create an empty log; an initialisation that a crash interrupted is repeated."""
         names = self._file_system.names(self._folder)
         if SNAPSHOT_NAME in names or self._segment_numbers() not in ([], [FIRST_SEGMENT]):
             return self._corrupt(MANIFEST_NAME, "the manifest is missing from a used folder")
@@ -168,7 +168,7 @@
         return LogReplay(manifest.identity.incarnation.encode()).replay(segments)
 
     def _remove_leftovers(self, manifest: Manifest) -> None:
-        """Remove what a crash left: unfinished files and segments outside the manifest."""
+        """Remove what a crash left behind: temporary files and segments outside the manifest."""
         for name in self._file_system.names(self._folder):
             if name.endswith(_TEMPORARY_SUFFIX):
                 self._file_system.remove(self._folder / name)
@@ -181,7 +181,7 @@
 
 
 def _holds_snapshot_entry(replayed: ReplayedLog, snapshot: Snapshot) -> bool:
-    """Tell whether the log goes on from the snapshot rather than beside it."""
+    """Tell whether the log contains the snapshot's last entry."""
     if snapshot.index == replayed.base_index:
         return True
     if snapshot.index > replayed.last_index:
