--- a/limedyke/controller/__init__.py
+++ b/limedyke/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The controller process: a thin curio shell around the core."""
+"""The controller process: a thin curio shell around the sans-IO core."""
