--- a/limedyke/controller/call_router.py
+++ b/limedyke/controller/call_router.py
@@ -1,4 +1,4 @@
-"""Takes calls from outside at any controller, and passes them on to the leader."""
+"""Accepts external calls at any controller and forwards them to the leader."""
 
 from __future__ import annotations
 
@@ -48,17 +48,17 @@
             self._waiting.pop(number, None)
 
     async def start(self) -> None:
-        """Begin to take answers."""
+        """Start receiving answers."""
         self._receiver = await curio.spawn(self._receive_all, daemon=True)
 
     async def stop(self) -> None:
-        """End the link; the task that reads it must not find it closed under its hands."""
+        """Close the link; the receiving task is cancelled first, as it reads from the link."""
         if self._receiver is not None:
             await self._receiver.cancel()
         await self.link.close()
 
     async def _receive_all(self) -> None:
-        """Hand out answers until the link ends; then tell those that wait."""
+        """Deliver answers until the link closes; then fail the calls that still wait."""
         reason = await until_closed(self._receive)
         self.is_open = False
         for answers in list(self._waiting.values()):
@@ -80,11 +80,11 @@
 
 
 class CallRouter:
-    """Answers calls: on the leader itself, else through a link to the leader.
+    """Answers calls: locally on the leader, otherwise over a link to the leader.
 
-    :param calls: carries calls out on the leader; None before the cluster is founded
+    :param calls: gives what executes calls on the leader; None before the cluster is founded
     :param leader_address: internal address of the known leader, or an empty string
-    :param leader_lost: called when the controller there can't be reached or leads no longer
+    :param leader_lost: called when the controller there cannot be reached or no longer leads
     """
 
     def __init__(
@@ -108,11 +108,11 @@
         self._forwarded = UnderWay()
 
     def set_answer_deadline(self, deadline: float) -> None:
-        """Answer each call by a moment of the monotonic clock: the process ends soon after."""
+        """Answer each call by a time of the monotonic clock, because the process ends soon after."""
         self._answer_deadline = deadline
 
     async def drain(self) -> None:
-        """Return once all calls that other controllers passed on are answered."""
+        """Return once all calls that other controllers forwarded are answered."""
         await self._forwarded.ended()
 
     async def ask(self, call: Call, timeout_s: float) -> CallAnswer:
@@ -123,7 +123,7 @@
         return _lost("no answer in time")
 
     async def ask_leader(self, address: str, call: Call) -> CallAnswer:
-        """Ask the controller at an address over the link to the leader, which stays open."""
+        """Ask the controller at an address over the persistent link to the leader."""
         async with curio.ignore_after(CALL_TIMEOUT_S):
             link = await self._leader_link(address)
             if link is None:
@@ -132,7 +132,7 @@
         return _lost("no answer in time")
 
     async def ask_at(self, address: str, call: Call) -> CallAnswer:
-        """Ask any controller over a link of its own."""
+        """Ask any controller over a link that is opened for this call."""
         async with curio.ignore_after(CALL_TIMEOUT_S):
             return await self._ask_at(address, call)
         return _lost("no answer in time")
@@ -154,7 +154,7 @@
         return answered.answer
 
     async def serve(self, link: Link) -> None:
-        """Answer the calls that another controller passes on."""
+        """Answer the calls that another controller forwards."""
         while True:
             message = await link.receive()
             if not isinstance(message, ForwardedCall):
@@ -186,7 +186,7 @@
         return forwarded
 
     async def _leader_link(self, address: str) -> _LeaderLink | None:
-        """Return a link to the leader, opened anew when there is none; None when it fails."""
+        """Return the open link to the leader, dialling if there is none; None if that fails."""
         async with self._dial_lock:
             known = self._link
             if known is not None and known.is_open and known.address == address:
