--- a/limedyke/controller/clock.py
+++ b/limedyke/controller/clock.py
@@ -1,4 +1,4 @@
-"""The clock of a controller: it also counts while the machine sleeps."""
+"""The controller's clock, which also counts while the machine is suspended."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def boot_seconds() -> float:
-    """Return seconds since the machine started, sleep included."""
+    """Return seconds since the machine started, including time in suspend."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
