--- a/limedyke/controller/founding_phase.py
+++ b/limedyke/controller/founding_phase.py
@@ -32,7 +32,7 @@
 
 
 class FoundingPhase:
-    """Runs the founding core until the data folder holds a cluster or is to join one.
+    """Runs the founding core until the data folder holds a cluster, or is to join one.
 
     :param log: the empty durable log
     :param voter_names: the founding voters in the settings
@@ -45,13 +45,13 @@
         self._received: Mailbox[tuple[ControllerIdentity, PeerMessage]] = Mailbox()
 
     async def receive(self, sender: ControllerIdentity, message: PeerMessage) -> None:
-        """Take a message of another controller."""
+        """Queue a message from another controller."""
         await self._received.put((sender, message))
 
     async def run(self) -> None:
         """Return when the agreement may be started.
 
-        :raises OSError: when the disk refuses the genesis
+        :raises OSError: if the disk refuses the genesis snapshot
         """
         while True:
             commands: list[FoundingCommand] = []
@@ -66,7 +66,7 @@
                     return
 
     async def _execute(self, command: FoundingCommand) -> bool:
-        """Carry out a command; tell whether the founding is over."""
+        """Execute a command; tell whether the founding is over."""
         match command:
             case SendFoundingMessage():
                 await self._network.send(command.to, command.message)
