--- a/limedyke/controller/mailbox.py
+++ b/limedyke/controller/mailbox.py
@@ -1,4 +1,4 @@
-"""A queue that is emptied in batches, bounded by dropping or refusing."""
+"""A queue that is emptied in batches; beyond its limit it drops the oldest items."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class Mailbox(Generic[ItemType]):
-    """Items from many tasks for one task.
+    """A queue from many producer tasks to one consumer task.
 
-    :param maximum: the oldest items are dropped beyond this; None for no limit
+    :param maximum: the oldest items are dropped beyond this number; None for no limit
     """
 
     def __init__(self, maximum: int | None = None) -> None:
@@ -24,17 +24,17 @@
         return len(self._items)
 
     async def put(self, item: ItemType) -> None:
-        """Add an item and wake the taker."""
+        """Add an item and wake the consumer."""
         self._items.append(item)
         if not self._wakeup.is_set():
             await self._wakeup.set()
 
     async def wake(self) -> None:
-        """Wake the taker without an item."""
+        """Wake the consumer without an item."""
         await self._wakeup.set()
 
     async def take_all(self, timeout_s: float | None = None) -> list[ItemType]:
-        """Wait until something comes, or for ``timeout_s``, and return all there is."""
+        """Wait for an item, or at most ``timeout_s``, and return all queued items."""
         if not self._wakeup.is_set():
             await self._wait(timeout_s)
         self._wakeup.clear()
@@ -43,7 +43,7 @@
         return items
 
     def clear(self) -> None:
-        """Drop everything."""
+        """Drop all items."""
         self._items.clear()
 
     async def _wait(self, timeout_s: float | None) -> None:
