--- a/limedyke/controller/membership_search.py
+++ b/limedyke/controller/membership_search.py
@@ -1,7 +1,7 @@
-"""A controller that is no member of its cluster: finds the leader, and waits there to be added.
+"""Finds the leader from a controller that is not a member, and waits there to be added.
 
-However many controllers wait, each keeps one link, to the leader, and the leader says how often
-it wants to hear of them.
+Every waiting controller keeps a single link, to the leader. The leader tells it how often to
+announce itself.
 """
 
 from __future__ import annotations
@@ -16,10 +16,11 @@
 from limedyke.messages.calls import AwaitMembershipCall, Call, CallAnswer
 
 LEADER_QUERY_FANOUT = 2
-"""Controllers that are asked for the leader at a time: one of them may hang."""
+"""Number of controllers asked for the leader at a time; more than one, as one may hang."""
 INITIAL_RETRY_DELAY_S = 0.1
 MAXIMUM_RETRY_DELAY_S = 0.5
-"""Between two searches: at first the others start too, later a leader is elected in a second."""
+"""Delay between two searches. It starts short because the others may just be starting, and grows
+because a later election takes about a second."""
 MEMBER_CHECK_S = 0.3
 EVENTS = EventLog("membership")
 
@@ -27,11 +28,11 @@
 
 
 class MembershipSearch:
-    """Runs beside the replica as long as the process does; rests while it is a member.
+    """Runs beside the replica for the life of the process; idle while it is a member.
 
     :param replica: this controller's replica
-    :param ask_leader: asks over the link to the leader, which stays open; for that address
-    :param ask: asks any controller, over a link of its own
+    :param ask_leader: asks the controller at an address over the persistent link to the leader
+    :param ask: asks any controller over a link opened for the call
     :param advertise: where the other controllers reach this one (``ip:port``)
     """
 
@@ -44,7 +45,7 @@
         self._retry_delay_s = INITIAL_RETRY_DELAY_S
 
     async def leader_lost(self) -> None:
-        """Search again at once: the leader gave no answer, or leads no longer."""
+        """Search again at once: the leader did not answer, or no longer leads."""
         await self._lost.set()
 
     async def run(self) -> None:
@@ -62,7 +63,7 @@
                 await curio.sleep(INITIAL_RETRY_DELAY_S)
 
     async def _step(self) -> float:
-        """Announce this controller to the leader, or look for it; return the pause after that."""
+        """Announce this controller to the leader, or look for the leader; return the next delay."""
         leader = self._replica.leader_address("")
         if not leader:
             return await self._look_for_leader()
@@ -81,18 +82,18 @@
         chosen = random.sample(known, min(LEADER_QUERY_FANOUT, len(known)))
         async with curio.TaskGroup() as tasks:
             for address in chosen:
-                await tasks.spawn(self._learn_from, address)
+                await tasks.spawn(self._query_controller, address)
         if self._replica.leader_address(""):
             return 0.0
         return self._next_retry_delay_s()
 
-    async def _learn_from(self, address: str) -> None:
+    async def _query_controller(self, address: str) -> None:
         answer = await self._ask(address, self._call)
         if not answer.code:
             self._replica.learn_members(answer)
 
     def _next_retry_delay_s(self) -> float:
-        """Return a pause that grows, and differs from controller to controller."""
+        """Return a jittered delay that grows with each call."""
         delay_s = self._retry_delay_s
         self._retry_delay_s = min(2 * self._retry_delay_s, MAXIMUM_RETRY_DELAY_S)
         return delay_s * random.uniform(0.5, 1.5)
