--- a/limedyke/controller/metrics.py
+++ b/limedyke/controller/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a controller; the attributes are the metrics themselves."""
+"""Metrics of a controller; each attribute is one metric."""
 
 from __future__ import annotations
 
