--- a/limedyke/controller/peer_network.py
+++ b/limedyke/controller/peer_network.py
@@ -1,4 +1,4 @@
-"""Links between controllers: one outgoing link to each peer, kept up by retries."""
+"""Links between controllers: one outgoing link to each peer, redialled when it fails."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 INITIAL_REDIAL_DELAY_S = 0.05
 MAXIMUM_REDIAL_DELAY_S = 0.5
 PROBE_INTERVAL_S = 1.0
-"""A link that has gone silent is found after so long and the next at the latest: 1.5 s. It costs
-the five controllers of a cluster 40 small messages a second together."""
+"""A silent link is detected after at most the interval plus the timeout, 1.5 s. The probes cost the
+five controllers of a cluster 40 small messages a second in total."""
 PROBE_TIMEOUT_S = 0.5
 """A round trip over two regions takes 0.18 s, and a loaded machine pauses for 0.1 s."""
 EVENTS = EventLog("peer_network")
@@ -39,7 +39,7 @@
 
 
 class _OutgoingQueue:
-    """Messages waiting for one peer, the oldest dropped when there are too many."""
+    """Messages waiting for one peer; the oldest are dropped beyond the limit."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -53,10 +53,11 @@
 
     :param identity: this controller and the incarnation of its data folder
     :param link_identity: proves this process to its peers
-    :param receive: called with each message for this very incarnation
+    :param receive: called with each message addressed to this incarnation
 
-    :ivar dials_eagerly: whether peers are dialled as soon as they are known, not only when there is
-        something to send: members do, those that wait to be added may be hundreds
+    :ivar dials_eagerly: whether peers are dialled as soon as they are known, and not only once
+        there is a message for them. Members dial eagerly; controllers that wait to be added do not,
+        as there may be hundreds of them
     """
 
     def __init__(
@@ -85,7 +86,7 @@
         return {name: outgoing.address for name, outgoing in self._outgoing.items()}
 
     def set_address(self, name: str, address: str) -> None:
-        """Learn where a peer is reached."""
+        """Set the address of a peer."""
         if name == self._identity.name:
             return
         known = self._outgoing.get(name)
@@ -96,7 +97,7 @@
         self._unstarted.append(name)
 
     async def send(self, to: ControllerIdentity, message: PeerMessage) -> None:
-        """Queue a message to a peer; it is lost when the peer can't be reached."""
+        """Queue a message to a peer; it is lost if the peer cannot be reached."""
         outgoing = self._outgoing.get(to.name)
         if outgoing is None:
             return
@@ -115,7 +116,7 @@
                 await curio.ignore_after(MAXIMUM_REDIAL_DELAY_S, self._has_unstarted.wait)
 
     def _take_wanted(self) -> list[str]:
-        """Take out the peers to which a link is to be kept from now on."""
+        """Remove and return the peers to which a link is to be kept from now on."""
         wanted = [
             name for name in self._unstarted if self.dials_eagerly or self._outgoing[name].is_wanted
         ]
@@ -123,7 +124,10 @@
         return wanted
 
     async def serve(self, link: Link) -> None:
-        """Receive from a peer that dialled this controller: it is up, and is dialled at once."""
+        """Receive from a peer that dialled this controller.
+
+        The peer is running, so this controller dials it at once.
+        """
         outgoing = self._outgoing.get(link.peer_name)
         if outgoing is not None:
             await outgoing.has_dialled_us.set()
@@ -135,7 +139,7 @@
             if not isinstance(envelope, AgreementEnvelope):
                 raise LinkClosedError(f"unexpected {type(envelope).__name__}")
             if envelope.sender.name != link.peer_name:
-                raise LinkClosedError(f"{link.peer_name} speaks for {envelope.sender}")
+                raise LinkClosedError(f"{link.peer_name} sent an envelope of {envelope.sender}")
             opened = open_envelope(envelope, self._identity, self.cluster)
             if isinstance(opened, Err):
                 EVENTS.debug("peer-message-dropped", reason=opened.err_value)
@@ -143,7 +147,10 @@
             await self._receive(envelope.sender, opened.ok_value)
 
     async def _keep_link(self, outgoing: _OutgoingQueue) -> None:
-        """Dial again soon at first: peers that restart together miss each other by little."""
+        """Keep a link to a peer, redialling when it fails.
+
+        The first redials are fast: peers that restart together often miss each other by little.
+        """
         backoff = Backoff(INITIAL_REDIAL_DELAY_S, MAXIMUM_REDIAL_DELAY_S)
         while True:
             outgoing.has_dialled_us.clear()
@@ -156,10 +163,10 @@
             await curio.ignore_after(delay_s, outgoing.has_dialled_us.wait)
 
     async def _dial_until_dialled(self, outgoing: _OutgoingQueue) -> Link | None:
-        """Dial a peer; give up when it dials this controller meanwhile.
+        """Dial a peer; abandon the attempt if the peer dials this controller meanwhile.
 
-        An attempt begun while the peer's machine was off hangs until its packet is sent again,
-        a second later.
+        An attempt that began while the peer's machine was off hangs until its packet is
+        retransmitted a second later.
         """
         async with curio.TaskGroup(wait=any) as tasks:
             dialling = await tasks.spawn(
