--- a/limedyke/controller/pending_requests.py
+++ b/limedyke/controller/pending_requests.py
@@ -23,20 +23,20 @@
 
 
 class PendingRequests:
-    """Numbers requests and wakes whoever waits for them."""
+    """Numbers requests and wakes the callers that wait for them."""
 
     def __init__(self) -> None:
         self._pending: dict[str, _Pending] = {}
         self._numbers = itertools.count(1)
-        self._has_ended = False
+        self._ended = False
 
     async def ask(self, begin: Callable[[str], Awaitable[None]]) -> Answer:
-        """Begin a request and wait for its answer.
+        """Start a request and wait for its answer.
 
-        :param begin: begins the request under the number it is given
+        :param begin: starts the request under the number passed to it
         """
-        if self._has_ended:
-            return Err(Failure(ResultCode.NOT_LEADER, "This controller reads its log anew."))
+        if self._ended:
+            return Err(Failure(ResultCode.NOT_LEADER, "This controller is reopening its log."))
         number = str(next(self._numbers))
         pending = self._pending[number] = _Pending()
         try:
@@ -47,18 +47,18 @@
         return pending.answer
 
     async def finish(self, number: str, answer: Answer) -> None:
-        """Give a request its answer; one that nobody waits for any more is dropped."""
+        """Set the answer of a request; ignored if no caller waits for it any more."""
         pending = self._pending.get(number)
         if pending is not None:
             pending.answer = answer
             await pending.done.set()
 
     async def end(self) -> None:
-        """Answer all that wait, and refuse whoever asks from now on.
+        """Fail all pending requests as unknown, and refuse new ones.
 
-        What was begun may be in the logs of others, and be committed by a later leader.
+        Their entries may be in other controllers' logs, where a later leader may commit them.
         """
-        self._has_ended = True
+        self._ended = True
         failure = Failure(ResultCode.CONTROL_OUTCOME_UNKNOWN, "The disk refused a write.")
         for number in list(self._pending):
             await self.finish(number, Err(failure))
