--- a/limedyke/controller/platform_list.py
+++ b/limedyke/controller/platform_list.py
@@ -1,8 +1,8 @@
-"""Reads the platform's list of live and leaving machines: a hint that may be old.
+"""Reads the platform's list of machines that are live or about to leave; it may be outdated.
 
-HTTP/1.1 by h11 on curio.  ``GET`` answers a JSON list of objects with ``name`` and ``state``;
-a proxy whose machine is ``leaving`` is suspected sooner when it falls silent, and nothing else
-follows from the list.
+HTTP/1.1 by h11 on curio. ``GET`` returns a JSON list of objects with ``name`` and ``state``. The
+list is only a hint: a silent proxy is suspected sooner if its machine is ``leaving``, and nothing
+else depends on it.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 
 
 class PlatformListError(Exception):
-    """The list can't be read; the text says why."""
+    """The list cannot be read; the text says why."""
 
 
 def leaving_machines(body: bytes) -> frozenset[str]:
-    """Return the names of the machines that a list calls leaving.
+    """Return the names of the machines whose state in the list is ``leaving``.
 
-    :raises PlatformListError: when the body is no such list
+    :raises PlatformListError: if the body is not such a list
     """
     try:
         machines = json.loads(body)
@@ -47,11 +47,11 @@
 
 
 class PlatformListReader:
-    """Reads the list again and again while this controller leads.
+    """Reads the list periodically while this controller leads.
 
     :param url: ``http://ip:port/path``
     :param source_ip: local address to connect from, or empty
-    :param post: takes what the list says
+    :param post: receives the content of each list
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self._failing = False
 
     async def run(self) -> None:
-        """Read until cancelled; a list that can't be read is no hint at all."""
+        """Read until cancelled; a list that cannot be read counts as empty."""
         while True:
             await self._post(PlatformListed(await self._read_leaving()))
             await curio.sleep(READ_INTERVAL_S)
