--- a/limedyke/controller/promotion_authority.py
+++ b/limedyke/controller/promotion_authority.py
@@ -1,4 +1,4 @@
-"""What the controllers ask of an outside authority that promotes members."""
+"""Interface to an external authority that promotes members."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     """Makes a member the primary of its group."""
 
     async def promote(self, group: str, member: str, fence: int) -> AuthorityOutcome:
-        """Ask once; ``UNKNOWN`` when the call may still be carried out.
+        """Send one promotion call; ``UNKNOWN`` if it may still be executed.
 
-        :param fence: refused when a call on the group under a higher one was seen
+        :param fence: the authority refuses the call if it has seen a higher fence for the group
         """
