--- a/limedyke/controller/replica.py
+++ b/limedyke/controller/replica.py
@@ -1,4 +1,4 @@
-"""One controller's replica: the agreement core, its storage and the control state on it."""
+"""One controller's replica: the agreement core, its storage and the replicated control state."""
 
 from __future__ import annotations
 
@@ -74,19 +74,19 @@
     """Drives the agreement core and applies its entries.
 
     :param identity: this controller and the incarnation of its data folder
-    :param stored: what was found on the disk
+    :param stored: the state found on disk
     :param storage: the same disk, opened for writing
     :param network: the links to the other controllers
-    :param voter_names: the controllers that found the log, from the settings
+    :param voter_names: the founding voters in the settings
     :param tick_interval_s: seconds between two ticks of the agreement
-    :param on_update: called for each applied change that proxies must learn, with the groups
-        whose home proxies it changed
+    :param on_update: called for each applied change that proxies must learn, with the groups whose
+        home proxies it changed
+    :param on_role: called when the role, term or known leader changes, and when state is restored
     :param metrics: counts roles, snapshots and messages, and measures syncs and commits
-    :param on_role: called when the role, term or known leader changed, and on restored state
     :param advertise: where the other controllers reach this one (``ip:port``)
 
-    :ivar non_members: controllers that are no members and announced themselves, by name
-    :ivar waiting: those of them that said where they are reached, as long as they go on saying so
+    :ivar non_members: controllers that announced themselves and are not members, by name
+    :ivar waiting: those of them that gave their address and keep announcing themselves
     """
 
     def __init__(
@@ -133,13 +133,14 @@
 
     @property
     def leads(self) -> bool:
-        """Whether this controller is the leader and no other can have been elected."""
+        """Whether this controller leads and no other leader can have been elected."""
         return self.agreement.holds_lease(boot_seconds())
 
     def leader_address(self, own_address: str) -> str:
         """Return the address of the known leader, or an empty string.
 
-        A controller that is no member hears no leader, but may have been told of one.
+        A controller that is not a member receives nothing from the leader; it uses the address that
+        another controller gave it.
         """
         leader = self.agreement.leader
         if leader is None:
@@ -155,21 +156,21 @@
         return self.agreement.identity in configuration.voters + configuration.learners
 
     def keep_links(self) -> None:
-        """Keep links to all other members from now on, also while there is nothing to send."""
+        """Keep links to all other members from now on, even when there is nothing to send."""
         self._network.dials_eagerly = True
 
     def forget_leader(self) -> None:
-        """Take no controller for the leader until one is heard or told of again."""
+        """Drop the leader address that another controller gave."""
         self._leader_hint = ""
 
     def learn_members(self, answer: CallAnswer) -> None:
-        """Learn from another controller where the leader and the members are reached."""
+        """Store the addresses of the leader and the members from another controller's answer."""
         self._leader_hint = answer.leader
         for member in answer.members:
             self._network.set_address(member.name, member.address)
 
     def answer_membership_call(self, call: AwaitMembershipCall) -> CallAnswer:
-        """Answer a controller that waits to be added; the leader notes it."""
+        """Answer a controller that waits to be added; the leader also records it as waiting."""
         leader = self.leader_address(self._advertise)
         if self.leads:
             self.non_members[call.identity.name] = call.identity
@@ -178,7 +179,7 @@
         return CallAnswer(leader=leader, members=self._members(), retry_after_ms=retry_after_ms)
 
     def _members(self) -> tuple[PeerAddress, ...]:
-        """Return where the members are reached that this controller knows."""
+        """Return the members whose address this controller knows."""
         own = self.agreement.identity.name
         known = {own: self._advertise, **self._network.addresses}
         configuration = self.agreement.configuration
@@ -186,12 +187,12 @@
         return tuple(PeerAddress(name, known[name]) for name in names if known.get(name))
 
     async def run(self) -> None:
-        """Run until cancelled; returns when the storage has failed and the disk works again.
+        """Run until cancelled; return once the storage has failed and the disk works again.
 
-        What was being written is not known then: the state has to be read from the disk anew, by
-        another replica. This one has given up its leadership, and refuses what is asked of it.
+        After a failed write it is unknown what the disk holds, so another replica has to load the
+        state from disk. This replica has given up its leadership and refuses requests.
 
-        :raises Exception: whatever else ended it
+        :raises Exception: any other error that ended the replica
         """
         await self._events.put(Started())
         async with curio.TaskGroup(wait=any) as tasks:
@@ -203,7 +204,7 @@
         await self._end()
 
     async def _end(self) -> None:
-        """Vouch for nothing any more, and let go of the disk."""
+        """Stop the agreement, fail pending requests and release the disk."""
         failed = StorageFailed(self.storage_failure)
         for command in self.agreement.handle(failed, boot_seconds()):
             await self._execute(command)
@@ -211,7 +212,7 @@
         await curio.run_in_thread(self._storage.stop)
 
     async def _wait_for_disk_after_failure(self) -> None:
-        """Return once the storage has failed and the disk takes writes again."""
+        """Return once the storage has failed and the disk accepts writes again."""
         await self._storage_failed.wait()
         while not await curio.run_in_thread(self._storage.disk_is_writable):
             await curio.sleep(DISK_PROBE_INTERVAL_S)
@@ -219,15 +220,15 @@
 
     @property
     def known_addresses(self) -> dict[str, str]:
-        """Where the other controllers are reached, by name."""
+        """The addresses of the other controllers, by name."""
         return self._network.addresses
 
     def learn_address(self, name: str, address: str) -> None:
-        """Learn where another controller is reached."""
+        """Set the address of another controller."""
         self._network.set_address(name, address)
 
     async def receive(self, sender: ControllerIdentity, message: PeerMessage) -> None:
-        """Take a message of another controller."""
+        """Handle a message from another controller."""
         if isinstance(message, FoundingQuery):
             await self._answer_non_member(sender)
             return
@@ -239,7 +240,7 @@
         await self._events.put(MessageReceived(sender, message))
 
     async def _answer_non_member(self, sender: ControllerIdentity) -> None:
-        """Note a controller that waits to be added, and tell it what it asks."""
+        """Record a controller that waits to be added, and answer its query."""
         self.non_members[sender.name] = sender
         known = {self.agreement.identity.name: self._advertise, **self._network.addresses}
         answer = answer_founding_query(
@@ -252,7 +253,7 @@
         await self._network.send(answer.to, answer.message)
 
     async def propose(self, entry: ControlEntry) -> Result[object, Failure]:
-        """Put an entry into the log; return the answer it gave when it was applied."""
+        """Propose an entry; return the answer that it gave when it was applied."""
         payload = pack_entry(entry)
         proposed_at = boot_seconds()
         result = await self._request(lambda number: Proposed(number, payload))
@@ -261,19 +262,19 @@
         return result
 
     async def propose_without_answer(self, entry: ControlEntry) -> None:
-        """Put an entry into the log; whoever wants it proposes it again when it is lost."""
+        """Propose an entry without waiting; the caller proposes it again if it is lost."""
         await self._events.put(Proposed("", pack_entry(entry)))
 
     async def change_members(self, change: MembershipChange) -> Result[object, Failure]:
-        """Change the controllers that replicate the log."""
+        """Request a membership change."""
         return await self._request(lambda number: MembershipChangeRequested(number, change))
 
     async def confirm_leadership(self) -> Result[object, Failure]:
-        """Tell whether the applied state is current and may be read."""
+        """Return Ok if the applied state is current and may be read."""
         return await self._request(lambda number: ReadRequested(number))
 
     async def transfer_leadership(self) -> None:
-        """Hand the leadership to the best other voter, if this controller has it."""
+        """Hand over the leadership, if this controller has it."""
         await self._events.put(LeadershipTransferRequested())
 
     async def _request(self, event: Callable[[str], Event]) -> Result[object, Failure]:
@@ -299,15 +300,15 @@
             self._longest_step_s = max(self._longest_step_s, ended_at - now)
 
     async def _save_leader_contact(self, commands: list[Command], now: float) -> list[Command]:
-        """Note that a leader was heard before it is answered, for the next process.
+        """Store the time of a leader contact before the leader is answered.
 
-        :returns: the commands to carry out; without messages when it could not be noted
+        :returns: the commands to execute; without messages if the time could not be stored
         """
-        heard_at = self.agreement.leader_contact_at
-        if heard_at == self._saved_leader_contact_at:
+        contact_at = self.agreement.leader_contact_at
+        if contact_at == self._saved_leader_contact_at:
             return commands
-        self._saved_leader_contact_at = heard_at
-        failed = self._storage.save_leader_contact(heard_at)
+        self._saved_leader_contact_at = contact_at
+        failed = self._storage.save_leader_contact(contact_at)
         if failed is None:
             return commands
         await self._note_storage_failure(failed)
@@ -315,9 +316,9 @@
         return kept + self.agreement.handle(failed, now)
 
     async def _announce_when_due(self, now: float) -> None:
-        """Tell all declared others that this controller waits; a restart forgets it.
+        """Announce a waiting controller to all declared controllers, which forget it when they restart.
 
-        Where controllers find each other by themselves, ``MembershipSearch`` does it.
+        Where controllers find each other automatically, ``MembershipSearch`` does this.
         """
         if self._advertise or self.is_member or now < self._next_announcement_at:
             return
@@ -327,7 +328,7 @@
             await self._network.send(ControllerIdentity(name, ANY_INCARNATION), query)
 
     async def _run_writes(self) -> None:
-        """Write to the disk beside the event loop, so that heartbeats go on meanwhile."""
+        """Write to disk in a thread, so that the event loop keeps sending heartbeats."""
         while True:
             commands = await self._writes.take_all()
             started_at = boot_seconds()
@@ -373,7 +374,7 @@
                 await self._writes.put(command)
 
     def _note_role(self, command: RoleChanged | SteppedDown) -> None:
-        """Count and log a change of role."""
+        """Count and log a role change."""
         if isinstance(command, SteppedDown):
             self._metrics.step_downs.labels(command.reason).inc()
             self._log_step_down(command)
@@ -385,7 +386,7 @@
         EVENTS.info("role", role=command.role, term=command.term, leader=leader)
 
     def _log_step_down(self, command: SteppedDown) -> None:
-        """Say why a leadership was lost: who was silent, how far behind, and how slow this was."""
+        """Log why the leadership was lost: silent voters, replication lag, slow steps and syncs."""
         rounds = command.rounds
         EVENTS.warning(
             "stepped-down",
@@ -419,7 +420,7 @@
         self._learn_addresses()
 
     async def _pass_on(self, update: ControlUpdate) -> None:
-        """Keep an update for the proxies that lag, and hand it to those that are linked."""
+        """Keep an update for proxies that lag, and pass it to those that are connected."""
         self.updates.add(update)
         changed_homes = frozenset(self.homes.apply(update))
         await self._on_update(update, changed_homes)
@@ -451,5 +452,5 @@
 
 
 def _by_name(values: dict[str, int]) -> str:
-    """Return ``name:value`` pairs for a line of the log."""
+    """Return ``name:value`` pairs for a log line."""
     return ",".join(f"{name}:{value}" for name, value in sorted(values.items()))
