--- a/limedyke/controller/snapshot_schedule.py
+++ b/limedyke/controller/snapshot_schedule.py
@@ -1,4 +1,4 @@
-"""When the log has grown so far that a snapshot is worth its write; sans-IO."""
+"""Decides when the log has grown enough for a snapshot; sans-IO."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         self._bytes += payload_bytes
 
     def take_due(self) -> bool:
-        """Tell whether a snapshot is due; the count begins anew when it is."""
+        """Tell whether a snapshot is due; if so, reset the counts."""
         if self._entries < SNAPSHOT_AFTER_ENTRIES and self._bytes < SNAPSHOT_AFTER_BYTES:
             return False
         self._entries = 0
