--- a/limedyke/controller/status_pages.py
+++ b/limedyke/controller/status_pages.py
@@ -20,10 +20,10 @@
 
 
 class StatusPages:
-    """Serves the pages, and brings the gauges up to date once a second.
+    """Serves the pages, and refreshes the gauges once a second.
 
-    :param replica: gives the replica, None before the cluster is founded
-    :param leader: gives the service while this controller leads, else None
+    :param replica: gives the replica, or None before the cluster is founded
+    :param leader: gives the leader service while this controller leads, else None
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         self._count_traffic(leader)
 
     def _observe_in_force(self, revision: int, behind: int) -> None:
-        """Note how long the last proxy took, to the second, once a new revision is everywhere."""
+        """Measure how long it took, to the second, until all proxies had a new revision."""
         now = boot_seconds()
         if revision != self._awaited_revision:
             self._is_awaiting = self._awaited_revision > 0
@@ -116,7 +116,7 @@
             self.metrics.in_force_seconds.observe(now - self._changed_at)
 
     def _count_traffic(self, leader: LeaderService) -> None:
-        """Add what the links have carried since the last time; ended links are left out."""
+        """Add the bytes since the last refresh; links that have closed are left out."""
         present = leader.sessions.traffic()
         for direction, before, now in zip(("in", "out"), self._traffic, present, strict=True):
             self.metrics.proxy_bytes.labels(direction).inc(max(0, now - before))
