--- a/limedyke/controller/status_report.py
+++ b/limedyke/controller/status_report.py
@@ -1,4 +1,4 @@
-"""The state of the whole system, as the leading controller sees it."""
+"""The state of the whole system as the leading controller knows it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 class StatusReport:
     """Builds the answer to ``StatusRequest``.
 
-    :param addresses: gives the addresses of the controllers by name
+    :param addresses: the addresses of the controllers by name
     """
 
     def __init__(self, replica: Replica, addresses: dict[str, str]) -> None:
@@ -21,7 +21,7 @@
         self._addresses = addresses
 
     def report(self, request_id: str, service: LeaderService) -> Status:
-        """Return the present state; called only under the leader lease."""
+        """Return the current state; call this only under the leader lease."""
         replica = self._replica
         state = replica.state
         now = boot_seconds()
