--- a/limedyke/controller/timings.py
+++ b/limedyke/controller/timings.py
@@ -1,4 +1,4 @@
-"""The times of a controller, from its settings."""
+"""Timing parameters of a controller, from its settings."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def agreement_timing(settings: ControllerSettings) -> AgreementTiming:
-    """Return the agreement's times from the settings."""
+    """Return the agreement's timing from the settings."""
     shortest = settings.election_timeout_ms / MS_PER_S
     return AgreementTiming(
         heartbeat_interval_s=settings.heartbeat_interval_ms / MS_PER_S,
@@ -20,7 +20,7 @@
 
 
 def control_timing(settings: ControllerSettings) -> ControlTiming:
-    """Return the times of the leader's decisions from the settings."""
+    """Return the timing of the leader's decisions from the settings."""
     return ControlTiming(
         lease_s=settings.connection_lease_ms / MS_PER_S,
         report_hold_s=settings.failure_report_hold_ms / MS_PER_S,
