--- a/limedyke/controller/waiting_controllers.py
+++ b/limedyke/controller/waiting_controllers.py
@@ -1,4 +1,4 @@
-"""Controllers that wait to be added to the cluster, as the leader hears them."""
+"""Controllers that announced themselves to the leader and wait to be added to the cluster."""
 
 from __future__ import annotations
 
@@ -8,38 +8,40 @@
 from limedyke.messages.agreement import ControllerIdentity
 
 ANNOUNCEMENT_INTERVAL_S = 0.3
-"""Between two announcements of one that waits alone: soon enough for a lost disk's successor."""
+"""Announcement interval of a controller that waits alone; short, so that a controller that lost its
+disk is replaced soon."""
 ANNOUNCEMENT_COST_S = 0.02
-"""Time for which the leader asks each waiting controller to leave it to the others: it hears at
-most fifty of them a second."""
+"""The announcement interval grows by this for each waiting controller, so that the leader receives
+at most fifty announcements a second."""
 ANNOUNCEMENT_AGE_S = 3.0
-"""A controller that announced itself so lately counts as waiting, whatever its interval."""
+"""A controller counts as waiting for at least this long after its last announcement, whatever its
+interval."""
 
 
 class WaitingControllers:
-    """Those that wait, by name, forgotten when they announce themselves no more."""
+    """The waiting controllers by name; those that stop announcing themselves are removed."""
 
     def __init__(self) -> None:
         self._waiting: dict[str, WaitingController] = {}
 
     def all(self) -> Collection[WaitingController]:
-        """Return those that wait."""
+        """Return the waiting controllers."""
         return self._waiting.values()
 
     def find(self, name: str) -> WaitingController:
-        """Return the one of a name.
+        """Return the waiting controller of a name.
 
-        :raises KeyError: when it does not wait
+        :raises KeyError: if it does not wait
         """
         return self._waiting[name]
 
     @property
     def interval_s(self) -> float:
-        """After which each should announce itself again: the later the more there are."""
+        """Interval at which each should announce itself; it grows with their number."""
         return _interval_s(len(self._waiting))
 
     def note(self, identity: ControllerIdentity, address: str, now: float) -> None:
-        """Note an announcement, and forget those that are heard no more.
+        """Record an announcement, and remove the controllers that stopped announcing themselves.
 
         :param now: seconds of the leader's clock
         """
