--- a/limedyke/controller/leading/__init__.py
+++ b/limedyke/controller/leading/__init__.py
@@ -1,1 +1,1 @@
-"""What a controller does only while it leads."""
+"""The work of a controller while it leads."""
