--- a/limedyke/controller/leading/call_counts.py
+++ b/limedyke/controller/leading/call_counts.py
@@ -1,4 +1,4 @@
-"""Counts the calls that come to the leader, by kind and outcome."""
+"""Counts the calls that the leader answers, by kind and outcome."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 
 LINE_INTERVAL_S = 5.0
-"""Seconds between two lines of the log, which say what a busy leader does."""
+"""Seconds between two log lines about the load of a busy leader."""
 KINDS = {
     DeclareCall: "declare",
     ReadDeclarationCall: "read",
@@ -29,38 +29,40 @@
 
 
 class CallCounts:
-    """Counts for ``/metrics``, and for a line of the log every few seconds.
+    """Counts calls for ``/metrics`` and for a periodic log line.
 
     :param now: seconds of the controller's clock
     """
 
     def __init__(self, metrics: ControllerMetrics, now: float) -> None:
         self._metrics = metrics
-        self._lately: Counter[str] = Counter()
-        self._seconds: Counter[str] = Counter()
+        self._recent_counts: Counter[str] = Counter()
+        self._recent_seconds: Counter[str] = Counter()
         self._counted_since = now
 
     def answered(self, call: Call, answer: CallAnswer, began_at: float, now: float) -> None:
-        """Count a call; those passed on to another controller are counted there.
+        """Count a call; a call forwarded to another controller is counted there.
 
-        :param began_at: when it came, by the same clock as ``now``
+        :param began_at: when the call arrived, by the same clock as ``now``
         """
         kind = KINDS[type(call)]
         outcome = f"LD{answer.code}" if answer.code else "ok"
         self._metrics.calls.labels(kind, outcome).inc()
-        self._lately[f"{kind}/{outcome}"] += 1
-        self._seconds[f"{kind}/{outcome}"] += now - began_at
+        self._recent_counts[f"{kind}/{outcome}"] += 1
+        self._recent_seconds[f"{kind}/{outcome}"] += now - began_at
         if now >= self._counted_since + LINE_INTERVAL_S:
             self._write_line(now)
 
     def _write_line(self, now: float) -> None:
-        mean_ms = {name: 1_000 * self._seconds[name] / n for name, n in self._lately.items()}
+        mean_ms = {
+            name: 1_000 * self._recent_seconds[name] / n for name, n in self._recent_counts.items()
+        }
         EVENTS.info(
             "calls-answered",
             in_s=round(now - self._counted_since, 1),
-            counts=",".join(f"{name}:{n}" for name, n in sorted(self._lately.items())),
+            counts=",".join(f"{name}:{n}" for name, n in sorted(self._recent_counts.items())),
             mean_ms=",".join(f"{name}:{ms:.0f}" for name, ms in sorted(mean_ms.items())),
         )
-        self._lately.clear()
-        self._seconds.clear()
+        self._recent_counts.clear()
+        self._recent_seconds.clear()
         self._counted_since = now
