--- a/limedyke/controller/leading/leader_calls.py
+++ b/limedyke/controller/leading/leader_calls.py
@@ -1,4 +1,4 @@
-"""Carries out calls from outside, here on the leader."""
+"""Executes external calls on the leader."""
 
 from __future__ import annotations
 
@@ -25,8 +25,9 @@
 from limedyke.result_codes import Failure, ResultCode
 
 VOTERS_WAIT_S = 6.0
-"""A declaration is not acknowledged by fewer voters than wanted, unless there seem to be no more
-controllers: then it is, after the leader has led for so long."""
+"""A declaration is acknowledged only once the wanted number of voters is reached. After a
+leadership of this length it is acknowledged by fewer voters, as there seem to be no more
+controllers."""
 EVENTS = EventLog("calls")
 
 
@@ -38,8 +39,8 @@
 class LeaderCalls:
     """Answers calls while this controller leads.
 
-    :param leader: gives the service while this controller leads, else None
-    :param voters_wanted: how many voters must hold a declaration's log before it is acknowledged
+    :param leader: gives the leader service while this controller leads, else None
+    :param voters_wanted: number of voters required before the first declaration is acknowledged
     :param advertise: internal address of this controller (``ip:port``)
     :param metrics: counts the calls
     """
@@ -59,7 +60,11 @@
         self._advertise = advertise
 
     async def answer_forwarded(self, call: Call) -> CallAnswer:
-        """Answer a call of another controller; one that waits to be added is always answered."""
+        """Answer a call that another controller forwarded.
+
+        A controller that waits to be added is always answered, also by a controller that does not
+        lead.
+        """
         if not isinstance(call, AwaitMembershipCall):
             return await self.answer(call)
         began_at = boot_seconds()
@@ -69,16 +74,16 @@
         return answer
 
     async def answer(self, call: Call) -> CallAnswer:
-        """Carry out a call, or say that this controller does not lead."""
+        """Execute a call, or answer that this controller does not lead."""
         service = self._leader()
         if service is None or not self._replica.leads:
             return failed(Failure(ResultCode.NOT_LEADER))
         began_at = boot_seconds()
-        answer = await self._carry_out(call, service)
+        answer = await self._execute(call, service)
         self._counts.answered(call, answer, began_at, boot_seconds())
         return answer
 
-    async def _carry_out(self, call: Call, service: LeaderService) -> CallAnswer:
+    async def _execute(self, call: Call, service: LeaderService) -> CallAnswer:
         match call:
             case DeclareCall():
                 return await self._declare(call, service)
@@ -129,7 +134,7 @@
         return await self._record(entry)
 
     async def _record(self, entry: ControlEntry | None) -> CallAnswer:
-        """Acknowledge a member's word once a quorum holds what it changes."""
+        """Record a change of members; acknowledge it once a quorum holds it."""
         if entry is None:
             return CallAnswer(leader=self._advertise)
         result = await self._replica.propose(entry)
