--- a/limedyke/controller/leading/leader_metrics.py
+++ b/limedyke/controller/leading/leader_metrics.py
@@ -1,4 +1,4 @@
-"""Counts what the leader hears and decides, for ``/metrics``."""
+"""Counts the leader's events and commands for ``/metrics``."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 class LeaderMetrics:
-    """Turns events and commands of one leadership into counts.
+    """Turns the events and commands of one leadership into counts.
 
-    :param metrics: of the process
+    :param metrics: the metrics of the process
     """
 
     def __init__(self, metrics: ControllerMetrics) -> None:
@@ -31,7 +31,7 @@
         self._lost_at: dict[str, float] = {}
 
     def heard(self, event: LeaderEvent) -> None:
-        """Count an event."""
+        """Count an event that the leader received."""
         match event:
             case MemberReported():
                 self._metrics.member_reports.labels(event.report.health.value).inc()
@@ -40,7 +40,7 @@
                 self._metrics.promotions.labels(done.value).inc()
 
     def decided(self, command: LeaderCommand) -> None:
-        """Count a command."""
+        """Count a command that the leader's decisions issued."""
         match command:
             case AnswerHeartbeat():
                 self._metrics.heartbeats.inc()
@@ -54,7 +54,7 @@
                 self._metrics.leases_expired.inc()
 
     def state_changed(self, update: ControlUpdate, now: float) -> None:
-        """Measure how long a group is without a recorded primary.
+        """Measure how long a group has no recorded primary.
 
         :param now: seconds of the controller's clock
         """
