--- a/limedyke/controller/leading/leader_service.py
+++ b/limedyke/controller/leading/leader_service.py
@@ -1,4 +1,4 @@
-"""What a controller does only while it leads: proxies, decisions and operators' changes."""
+"""The leader's services: proxy links, control decisions and state updates."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
 
 DECISION_INTERVAL_S = 0.05
 EVENT_BATCH_SIZE = 64
-"""Between so many events the agreement and the links get their turn."""
+"""Events handled at a time; between batches the agreement and the links get a turn."""
 UPDATE_INTERVAL_S = 0.02
 UPDATE_PAUSE_PER_PROXY_S = 0.0002
-"""After news went to n proxies the next waits n times as long, so that sending stays a share
-of the processor time however many changes come; a single change goes at once."""
+"""Pause after an update was sent, per proxy. It bounds the share of processor time that sending
+takes under many changes; a single change is still sent at once."""
 EVENTS = EventLog("leader")
 
 
@@ -48,11 +48,11 @@
     """Runs the leader's decisions on the events of the proxies' links.
 
     :param replica: the replicated state, current because this controller leads
-    :param platform_list_url: where the platform's list is, or empty
+    :param platform_list_url: URL of the platform's list of machines, or empty
     :param source_ip: local address to connect to the platform from, or empty
-    :param metrics: counts what is heard and decided; None keeps it from view
-    :param authority: promotes members that announce themselves; None where there is none
-    :param other_began_at: when the leader before began to lead, as far as this controller knows
+    :param metrics: counts events and decisions; None for metrics that are not exported
+    :param authority: promotes members that announce themselves; None if there is none
+    :param other_began_at: when the previous leader began to lead, as far as this controller knows
 
     :ivar started_at: when this controller began to lead
     """
@@ -99,7 +99,7 @@
                 await tasks.spawn(self._platform.run)
 
     async def state_changed(self, update: ControlUpdate, changed_homes: frozenset[str]) -> None:
-        """Take a change out of the log, for the decisions and the proxies."""
+        """Pass an applied change to the decisions and to the proxies."""
         for primary in update.primaries:
             EVENTS.info(
                 "primary-recorded",
@@ -160,7 +160,7 @@
         await self._events.put(AuthorityAnswered(command.group, command.fence, outcome))
 
     async def _answer_heartbeat(self, command: AnswerHeartbeat) -> None:
-        """Prolong a proxy's leases, only under the leader lease."""
+        """Renew a proxy's leases, only under the leader lease."""
         if not self._replica.leads:
             return
         stamp = self._replica.agreement.quorum_stamp
@@ -175,7 +175,7 @@
         await self.sessions.send(command.proxy, answer)
 
     async def _send_updates(self) -> None:
-        """Send changes to the proxies; those that come close together go as one."""
+        """Send changes to the proxies; changes close together are sent as one update."""
         while True:
             await self._update_pending.wait()
             await curio.sleep(UPDATE_INTERVAL_S)
@@ -188,7 +188,7 @@
 
 
 def _log_order(command: SendToProxy) -> None:
-    """Note an order to promote; other messages are not worth a line."""
+    """Log an order to promote; other messages are not logged."""
     order = command.message
     if isinstance(order, PromoteOrder):
         EVENTS.info(
