--- a/limedyke/controller/leading/update_cache.py
+++ b/limedyke/controller/leading/update_cache.py
@@ -1,4 +1,4 @@
-"""What brings a proxy to the present: encoded and compressed once, whoever asks for it."""
+"""Snapshots and updates for proxies, encoded and compressed once for all of them."""
 
 from __future__ import annotations
 
@@ -16,11 +16,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EncodedUpdate:
-    """A snapshot or update, and the control index of a proxy that has taken it.
+    """An encoded snapshot or update.
 
-    :param message: encoded
-    :param framed: its frame, compressed once for all proxies when it is large
-    :param present_index: the newest index; higher when an update follows a kept snapshot
+    :param control_index: the control index of a proxy that has applied it
+    :param message: the encoded message
+    :param framed: its frame; if the message is large, compressed once for all proxies
+    :param present_index: the newest control index; higher than ``control_index`` if an update
+        follows a cached snapshot
     """
 
     control_index: int
@@ -30,22 +32,22 @@
 
     @property
     def is_large(self) -> bool:
-        """Whether it pays to send every proxy the same frame; else each link compresses it."""
+        """Whether all proxies are sent the same compressed frame; else each link compresses."""
         return len(self.message) > COMPRESS_ABOVE_BYTES
 
     @classmethod
     def of(cls, message: ControlSnapshot | ControlUpdate) -> EncodedUpdate:
-        """Encode and frame what brings a proxy to the message's control index."""
+        """Encode and frame a snapshot or update."""
         data = encode(message)
         framed = compressed_frame(data) if len(data) > COMPRESS_ABOVE_BYTES else frame(data)
         return cls(message.control_index, data, framed, message.control_index)
 
 
 class UpdateCache:
-    """Keeps the newest encoded snapshot and the encoded updates to the present state.
+    """Caches the newest encoded snapshot and the encoded updates to the current state.
 
-    A snapshot is made anew only when the updates that follow it are no longer kept: while many
-    proxies start at once, each start changes the state, and all are sent the same snapshot and
+    A snapshot is encoded again only when the updates that follow it are no longer kept. While many
+    proxies start at once, each start changes the state; all of them are sent the same snapshot and
     then the short update from there.
 
     :param state: the applied state
@@ -61,9 +63,9 @@
         self.snapshots_encoded = 0
 
     def since(self, control_index: int) -> EncodedUpdate | None:
-        """Return the next message for a proxy at an index, or None when it is at the present.
+        """Return the next message for a proxy, or None if the proxy is up to date.
 
-        :param control_index: what the proxy has; 0 for nothing
+        :param control_index: the proxy's control index; 0 if it has no state
         """
         if control_index == self._state.control_index and control_index > 0:
             return None
@@ -71,7 +73,7 @@
             self._updates_to_present.clear()
             self._present_index = self._state.control_index
         update = self._update_since(control_index) if control_index else None
-        return update or self._whole()
+        return update or self._snapshot_update()
 
     def _update_since(self, control_index: int) -> EncodedUpdate | None:
         known = self._updates_to_present.get(control_index)
@@ -86,7 +88,7 @@
         self._updates_to_present[control_index] = encoded
         return encoded
 
-    def _whole(self) -> EncodedUpdate:
+    def _snapshot_update(self) -> EncodedUpdate:
         snapshot = self._snapshot
         if snapshot is not None and self._can_follow(snapshot.control_index):
             return replace(snapshot, present_index=self._state.control_index)
