--- a/limedyke/controller/leading/operator_changes.py
+++ b/limedyke/controller/leading/operator_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the controllers themselves: one at a time, learner first, then voter."""
+"""Operators' changes of the controllers: one at a time, first learner, then voter."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ControllerAction(enum.StrEnum):
-    """What an operator may ask of the controllers themselves."""
+    """Actions that an operator may request on the controllers."""
 
     ADD = "add"
     PROMOTE = "promote"
@@ -32,11 +32,11 @@
 
 
 class ControllerChanges:
-    """Carries out ``controller add|promote|replace|remove`` on the leader.
+    """Executes ``controller add|promote|replace|remove`` on the leader.
 
-    ``add`` makes a waiting controller a learner; ``promote`` makes a caught-up learner a
-    voter; ``replace`` does the same and removes the voter that ``address`` names, or the one
-    of the same name; ``remove`` removes a voter or learner.
+    ``add`` makes a waiting controller a learner. ``promote`` makes a caught-up learner a voter.
+    ``replace`` does the same and removes the voter that ``address`` names, or the one of the same
+    name. ``remove`` removes a voter or learner.
     """
 
     def __init__(self, replica: Replica) -> None:
@@ -45,7 +45,7 @@
     async def change(
         self, operator: str, request: ControllerChangeRequest
     ) -> ControllerChanged | Refused:
-        """Answer with the plan in words, or carry it out when it is confirmed."""
+        """Describe the change, or execute it if the operator has confirmed it."""
         change = self._change_of(request)
         if isinstance(change, Failure):
             return refused(request.request_id, change)
