--- a/limedyke/controller/leading/operator_requests.py
+++ b/limedyke/controller/leading/operator_requests.py
@@ -38,9 +38,9 @@
 
 
 class OperatorRequests:
-    """Carries out one request at a time for each operator's link.
+    """Executes one request at a time for each operator's link.
 
-    :param leader: gives the service while this controller leads, else None
+    :param leader: gives the leader service while this controller leads, else None
     :param leader_address: gives the address of the known leader, or an empty string
     """
 
@@ -88,9 +88,9 @@
         if service is None or not self._replica.leads:
             failure = Failure(ResultCode.NOT_LEADER, "", 200)
             return refused(request.request_id, failure, self._leader_address())
-        first = self._replica.state.first_answer(operator, request.request_id)
-        if first is not None:
-            return first
+        earlier_answer = self._replica.state.first_answer(operator, request.request_id)
+        if earlier_answer is not None:
+            return earlier_answer
         return await handler(operator, request, service)
 
     def _handlers(self) -> dict[type, Callable[..., Awaitable[object]]]:
