--- a/limedyke/controller/leading/proxy_sessions.py
+++ b/limedyke/controller/leading/proxy_sessions.py
@@ -47,7 +47,7 @@
 
 
 class ProxyLink:
-    """One proxy's link: messages to it wait here, and so does the news of the state."""
+    """The link of one proxy, with its outgoing messages and pending state updates."""
 
     def __init__(self, link: Link, hello: ProxyHello) -> None:
         self.link = link
@@ -69,20 +69,20 @@
         await self._wakeup.set()
 
     async def notify_update(self) -> None:
-        """Have the newest state sent."""
+        """Schedule sending the newest state."""
         self.has_update = True
         await self._wakeup.set()
 
     async def close(self, reason: str) -> None:
-        """End the link once what is queued has been sent."""
+        """Close the link once the queued messages have been sent."""
         self._closing = self._closing or reason
         await self._wakeup.set()
 
     async def write_all(self, next_update: Callable[[int], EncodedUpdate | None]) -> None:
-        """Send what is queued until the link is closed.
+        """Send queued messages until the link is closed.
 
-        :param next_update: returns the next message for the index that the proxy has; None when there
-            is nothing newer
+        :param next_update: returns the next message for the control index that the proxy has; None
+            if there is nothing newer
         """
         while True:
             await self._wakeup.wait()
@@ -97,7 +97,7 @@
                 raise LinkClosedError(self._closing)
 
     async def _send_updates(self, next_update: Callable[[int], EncodedUpdate | None]) -> None:
-        """Send what is new; the first time also that there is nothing new."""
+        """Send state updates; the first time, confirm even if there is nothing new."""
         while (found := next_update(self.sent_index)) is not None:
             is_newer = found.control_index > self.sent_index
             self.sent_index = found.control_index
@@ -119,7 +119,7 @@
 class ProxySessions:
     """All links of proxies; exists only while this controller serves as the leader.
 
-    :param post: takes the events for the leader's decisions
+    :param post: receives the events for the leader's decisions
     :param next_update: see ``ProxyLink.write_all``
     :param admits: tells whether a proxy may connect
     """
@@ -139,19 +139,19 @@
         return len(self._links)
 
     def traffic(self) -> tuple[int, int]:
-        """Return the bytes received and sent on the present links."""
+        """Return the bytes received and sent on the current links."""
         counters = [entry.link.counters for entry in self._links.values()]
         received = sum(counter.bytes_in for counter in counters)
         return received, sum(counter.bytes_out for counter in counters)
 
     async def send(self, proxy: str, message: object) -> None:
-        """Queue a message for a proxy, if it is linked."""
+        """Queue a message for a proxy, if it is connected."""
         entry = self._links.get(proxy)
         if entry is not None:
             await entry.send(message)
 
     async def notify_update(self) -> None:
-        """Have the newest state sent to all proxies."""
+        """Schedule sending the newest state to all proxies."""
         for entry in list(self._links.values()):
             await entry.notify_update()
 
@@ -162,10 +162,10 @@
             await entry.close(reason)
 
     async def close_all(self, leader: str) -> None:
-        """Tell all proxies to go to another controller."""
+        """Redirect all proxies to another controller and close their links."""
         for entry in list(self._links.values()):
             await entry.send(NotLeader(leader))
-            await entry.close("this controller leads no longer")
+            await entry.close("this controller no longer leads")
 
     async def serve(self, link: Link, hello: ProxyHello) -> None:
         """Serve one proxy until its link ends."""
@@ -174,9 +174,9 @@
         if not self._admits(hello):
             await self._refuse(link, hello)
             return
-        older = self._links.get(hello.name)
-        if older is not None:
-            await older.close("the proxy connected anew")
+        previous = self._links.get(hello.name)
+        if previous is not None:
+            await previous.close("the proxy reconnected")
         entry = self._links[hello.name] = ProxyLink(link, hello)
         await self._post(ProxyConnected(hello))
         await entry.notify_update()
@@ -190,7 +190,7 @@
                 await self._post(ProxyDisconnected(hello.name))
 
     async def _refuse(self, link: Link, hello: ProxyHello) -> None:
-        """Turn a proxy away whose name another process may still use; the present link stays."""
+        """Refuse a proxy whose name another process may still use; the current link stays."""
         EVENTS.warning("proxy-refused", proxy=hello.name, reason=EARLIER_PROCESS)
         number = ResultCode.PROXY_NAME_TAKEN.value.number
         await link.send(ProxyRefused(number, EARLIER_PROCESS, REFUSED_PAUSE_MS))
@@ -200,7 +200,7 @@
         while True:
             message = await entry.link.receive()
             if self._links.get(entry.name) is not entry:
-                raise LinkClosedError("the proxy connected anew")
+                raise LinkClosedError("the proxy reconnected")
             event = _event_of(entry.name, message, first)
             if isinstance(message, ProxyHeartbeat):
                 first = False
