--- a/limedyke/controller/leading/refusal.py
+++ b/limedyke/controller/leading/refusal.py
@@ -1,4 +1,4 @@
-"""Failures as operators are told them."""
+"""Converts failures to the refusals that operators receive."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 def refused(request_id: str, failure: Failure, leader: str = "", revision: int = 0) -> Refused:
     """Return a failure as the answer to a request.
 
-    :param leader: address of the controller to ask instead, when known
-    :param revision: the revision in force, when it is the reason
+    :param leader: address of the controller to ask instead, if known
+    :param revision: the revision in force, if it is the reason
     """
     return Refused(
         request_id=request_id,
