--- a/limedyke/controller/leading/voter_manager.py
+++ b/limedyke/controller/leading/voter_manager.py
@@ -1,4 +1,4 @@
-"""Keeps the wanted number of voters while this controller leads, without an operator."""
+"""Keeps the wanted number of voters automatically while this controller leads."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class VoterManager:
-    """Carries out what the policy wants, one change at a time.
+    """Executes the changes that the voter policy chooses, one at a time.
 
     :param advertise: where the other controllers reach this one (``ip:port``)
     """
@@ -28,7 +28,7 @@
         self._advertise = advertise
 
     async def run(self) -> None:
-        """Run while this controller leads, until cancelled."""
+        """Check the members periodically while this controller leads, until cancelled."""
         while True:
             if self._replica.leads and self._replica.agreement.membership_settled:
                 await self._step()
@@ -37,7 +37,7 @@
     async def _step(self) -> None:
         change = self._next_change()
         if change is not None:
-            await self._carry_out(change)
+            await self._execute(change)
         await self._record_addresses()
 
     def _next_change(self) -> MembershipChange | None:
@@ -51,7 +51,7 @@
             boot_seconds(),
         )
 
-    async def _carry_out(self, change: MembershipChange) -> None:
+    async def _execute(self, change: MembershipChange) -> None:
         if isinstance(change, AddLearner):
             waiting = self._replica.waiting.find(change.identity.name)
             self._replica.learn_address(waiting.identity.name, waiting.address)
@@ -60,7 +60,7 @@
         EVENTS.info("voter-change", change=change, outcome=outcome)
 
     async def _record_addresses(self) -> None:
-        """Record where members are reached, and forget those that have left."""
+        """Record the addresses of members, and remove those of former members."""
         configuration = self._replica.agreement.configuration
         names = {member.name for member in configuration.voters + configuration.learners}
         own = self._replica.agreement.identity.name
