--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -1,4 +1,4 @@
-"""The process ``limedyke controller``: wires storage, agreement, links and the leader's work."""
+"""The ``limedyke controller`` process: wires storage, agreement, links and leader services."""
 
 from __future__ import annotations
 
@@ -54,8 +54,8 @@
 TRANSFER_LIMIT_S = 3.0
 CALLS_ANSWERED_S = 4.5
 STOP_LIMIT_S = 5.0
-"""The platform kills a process 6 s after it told it to stop; a call may take 3 s, and one that
-came while the leadership was handed over gets what is left."""
+"""The platform kills a process 6 s after it tells it to stop. A call may take 3 s, and a call that
+arrives during the hand-over of the leadership gets the remaining time."""
 MS_PER_S = 1_000
 HELLO_TIMEOUT_S = 3.0
 LEADER_WAIT_S = 1.0
@@ -67,31 +67,31 @@
 
 
 class ControllerEdge(Protocol):
-    """How a controller meets the world beside links: calls from outside, and an authority."""
+    """Connects a controller to external callers and to a promotion authority."""
 
     authority: PromotionAuthority | None
 
     async def run(self, router: CallRouter, learn_peers: LearnPeers) -> None:
         """Serve calls until cancelled.
 
-        :param learn_peers: takes the controllers that changed settings name
+        :param learn_peers: receives the controllers that changed settings name
         """
 
     async def drain(self) -> None:
-        """Take no new calls, and return once those under way are answered."""
+        """Stop accepting calls, and return once the pending ones are answered."""
 
 
 class Controller:
     """One controller process.
 
-    :param settings: checked settings
+    :param settings: validated settings
     :param secrets: holds the cluster key and the operators' keys
     :param log: the open durable log
-    :param edge: takes calls from outside; None where operators' links are all there is
-    :param process_started_at: when this process began, by ``boot_seconds``; given only where a
-        process is started once the one before it has ended, else None
+    :param edge: accepts external calls; None if only operators' links are served
+    :param process_started_at: when this process started, by ``boot_seconds``; given only where a
+        process is started after the previous one has ended, else None
 
-    :ivar log: the open log; another one once its disk has refused a write and works again
+    :ivar log: the open log; replaced by a reopened one after its disk refused a write
     """
 
     def __init__(
@@ -143,12 +143,12 @@
         self._search: MembershipSearch | None = None
 
     async def _leader_lost(self) -> None:
-        """Have the leader looked for, if this controller does not hear it as a member."""
+        """Search for the leader, if this controller is not a member."""
         if self._search is not None:
             await self._search.leader_lost()
 
     def learn_peers(self, peers: tuple[ControllerPeer, ...]) -> None:
-        """Learn of controllers that changed settings name."""
+        """Set the addresses of the controllers that changed settings name."""
         for peer in peers:
             self._network.set_address(peer.name, peer.address)
 
@@ -196,7 +196,7 @@
             self._start_replica(stored)
 
     async def _run_replica(self) -> bool:
-        """Run the replica, and what rests on it; tell whether its disk had refused a write."""
+        """Run the replica and its dependent tasks; tell whether its disk had refused a write."""
         async with curio.TaskGroup(wait=any) as tasks:
             replica = await tasks.spawn(self._replica.run)
             if self._search is not None:
@@ -212,14 +212,14 @@
         return False
 
     async def _reopen_log(self) -> StoredState | None:
-        """Read the log anew, as a new process would; nothing held in memory counts any more.
+        """Load the log from disk again, as a new process would; state in memory is discarded.
 
-        But for one thing: this process knows when it last heard a leader. The vote that it owes
-        that leader's lease is not given sooner.
+        Only the time of the last leader contact is kept, so that this voter grants no vote before
+        that leader's lease has expired.
 
-        :returns: None when what the disk holds can't be used
+        :returns: None if the content of the disk cannot be used
         """
-        heard_at = self._replica.agreement.leader_contact_at
+        contact_at = self._replica.agreement.leader_contact_at
         while True:
             opened = await curio.run_in_thread(reopen_durable_log, self.log)
             if isinstance(opened, Ok):
@@ -230,12 +230,12 @@
             await curio.sleep(DISK_PROBE_INTERVAL_S)
         self.log = opened.ok_value
         EVENTS.warning("log-read-anew", last_index=self.log.last_index, cut=self.log.torn_tail)
-        return self.log.take_stored_state().with_leader_contact(heard_at)
+        return self.log.take_stored_state().with_leader_contact(contact_at)
 
     def _learn_stored_addresses(self, entries: tuple[LogEntry, ...]) -> None:
-        """Learn where the others were last reached: the settings may name other controllers now.
+        """Learn the last known addresses of the others; the settings may name other controllers now.
 
-        Entries that are not known committed serve too: an address is only a place to ask at.
+        Entries that are not known to be committed are used too: an address is only a place to ask.
         """
         for entry in entries:
             if entry.kind == EntryKind.PROPOSAL:
@@ -249,7 +249,7 @@
         return VoterManager(self._replica, policy, settings.advertise)
 
     def _initial_state(self) -> StoredState:
-        """Return what was on the disk when this process began."""
+        """Return the state found on disk when this process started."""
         stored = self.log.take_stored_state()
         if self._process_started_at is None:
             return stored
@@ -375,9 +375,9 @@
         await leader.sessions.serve(link, hello)
 
     async def _wait_for_some_leader(self) -> None:
-        """Wait a moment for a leader to be known, so that proxies need not ask again and again.
+        """Wait briefly for a leader to be known, so that proxies need not retry.
 
-        A controller that is no voter, as its disk is new, learns of a leader later than others.
+        A learner does not wait: with a new disk, it learns of a leader later than the others.
         """
         async with curio.ignore_after(LEADER_WAIT_S):
             while self._takes_part_in_elections():
@@ -399,7 +399,7 @@
                 await link.send(await self._requests.answer(link.peer_name, request))
 
     async def _wait_for_stop(self, stop: StopSignal) -> None:
-        """Hand the leadership over and answer all calls before the process ends."""
+        """Hand over the leadership and answer pending calls before the process ends."""
         await stop.wait()
         EVENTS.info("stopping")
         began_at = time.monotonic()
@@ -420,7 +420,7 @@
         await curio.sleep(LEADERSHIP_CHECK_S)
 
     async def _answer_calls(self) -> None:
-        """Answer the calls under way: a caller that gets no answer has to ask somebody else."""
+        """Answer pending calls, so that their callers need not ask another controller."""
         if self._edge is not None:
             await self._edge.drain()
         await self._call_router.drain()
@@ -435,7 +435,7 @@
 ) -> int:
     """Run a controller process; return its exit status.
 
-    :param edge: see ``Controller``, as for the others
+    The parameters are those of ``Controller``.
     """
     keys = ControllerKeys(settings, secrets)
     if keys.missing():
