--- a/features/steps/agreement_steps.py
+++ b/features/steps/agreement_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the controllers' agreement: simulated faults, mutants, membership, founding."""
+"""Steps for the agreement: simulated faults, mutants, membership, founding."""
 
 from __future__ import annotations
 
@@ -42,10 +42,12 @@
     context.reports = [simulate(seed, options) for seed in range(first, last + 1)]
 
 
-@then("agreement: no rule is broken")
-def step_no_rule_broken(context):
-    broken = [(report.seed, report.violations) for report in context.reports if report.violations]
-    assert not broken, broken[:3]
+@then("agreement: no invariant is violated")
+def step_no_invariant_violated(context):
+    violations = [
+        (report.seed, report.violations) for report in context.reports if report.violations
+    ]
+    assert not violations, violations[:3]
 
 
 @then("agreement: at least {accepted:d} proposals were accepted and {reads:d} reads served")
@@ -63,15 +65,15 @@
     assert len(set(runs[0])) == len(runs[0]), runs
 
 
-@then('agreement: the script "{script}" breaks nothing')
-def step_script_holds(context, script):
+@then('agreement: the script "{script}" passes')
+def step_script_passes(context, script):
     context.script = script
     for seed in SCRIPT_SEEDS:
         broken = run_script(script, seed=seed)
         assert not broken, (seed, broken)
 
 
-@then("agreement: it is broken by the mutant that {mutant}")
+@then("agreement: it fails with the mutant that {mutant}")
 def step_mutant_caught(context, mutant):
     with patched_out(mutant) as machine_class:
         held = [
@@ -80,7 +82,7 @@
     assert not held, f"the mutant that {mutant} was not caught with seeds {held}"
 
 
-@then("agreement: seeds {seeds} hold, and break with the mutant that {mutant}")
+@then("agreement: seeds {seeds} pass, and fail with the mutant that {mutant}")
 def step_seeds_catch_mutant(context, seeds, mutant):
     numbers = [int(seed) for seed in seeds.split()]
     broken = [seed for seed in numbers if simulate(seed).violations]
@@ -98,25 +100,25 @@
 
 
 @then(
-    "agreement: with the contact noted at {noted}, term {term:d} and a process begun at "
-    "{began:g}, it is {bound}"
+    "agreement: with the last contact stored as {stored}, term {term:d} and the process started at "
+    "{started:g}, it is {bound}"
 )
-def step_bound_from(context, noted, term, began, bound):
-    heard_at = None if noted == NONE else float(noted)
-    stored = StoredState(hard_state=HardState(term, None), leader_contact_at=heard_at)
-    found = stored.with_contact_bound(began).leader_contact_at
+def step_bound_from(context, stored, term, started, bound):
+    contact_at = None if stored == NONE else float(stored)
+    state = StoredState(hard_state=HardState(term, None), leader_contact_at=contact_at)
+    found = state.with_contact_bound(started).leader_contact_at
     expected = None if bound == "not bound" else float(bound.removeprefix("bound from "))
     assert found == expected, found
 
 
-def identity(life: str) -> ControllerIdentity:
-    """Return the identity written as a name and the number of its disk, as in "c2"."""
-    return ControllerIdentity(life[0], life)
+def identity(incarnation: str) -> ControllerIdentity:
+    """Return the identity written as a name and its incarnation number, as in "c2"."""
+    return ControllerIdentity(incarnation[0], incarnation)
 
 
 def identities(text: str) -> tuple[ControllerIdentity, ...]:
-    """Return the identities in a text; a dash stands for none."""
-    return () if text == NONE else tuple(identity(life) for life in text.split())
+    """Return the identities in a text; a dash means none."""
+    return () if text == NONE else tuple(identity(incarnation) for incarnation in text.split())
 
 
 @given("agreement: voters {voters}, learners {learners} of which {caught_up} hold all entries")
@@ -143,9 +145,8 @@
 
 
 def describe(configuration: MemberConfiguration) -> str:
-    """Return a configuration in the words of the feature."""
-    lives = [found.incarnation for found in configuration.voters]
-    text = f"voters {' '.join(lives)}"
+    """Return a configuration in the notation of the feature."""
+    text = "voters " + " ".join(found.incarnation for found in configuration.voters)
     if configuration.learners:
         text += " learners " + " ".join(found.incarnation for found in configuration.learners)
     if configuration.previous_voters:
@@ -164,30 +165,30 @@
     assert describe(context.changed.unwrap()) == members, context.changed
 
 
-def hear(founding: Founding, own: ControllerIdentity, heard: str) -> list:
-    """Let a founding controller hear one thing."""
-    words = heard.split()
-    if heard == "nothing":
+def deliver(founding: Founding, own: ControllerIdentity, answer: str) -> list:
+    """Deliver one answer, in the words of the feature, to a founding controller."""
+    words = answer.split()
+    if answer == "nothing":
         return []
-    if heard == "a leader's entries":
+    if answer == "a leader's entries":
         return founding.on_leader_contact()
     if words[0] == "founded":
         others = identities("b1 c1")
-        voters = (own, *others) if heard == "founded with it" else others
+        voters = (own, *others) if answer == "founded with it" else others
         configuration = MemberConfiguration("cluster", voters)
         return founding.handle(identity("b1"), ClusterFounded(configuration))
-    cluster = "cluster" if heard.endswith("of a cluster") else NO_CLUSTER
-    voters = ("c", "d") if heard.endswith("naming other voters") else FOUNDING_VOTERS
+    cluster = "cluster" if answer.endswith("of a cluster") else NO_CLUSTER
+    voters = ("c", "d") if answer.endswith("naming other voters") else FOUNDING_VOTERS
     return founding.handle(identity(f"{words[0]}1"), FoundingAnswer(cluster, voters))
 
 
-@when("agreement: {name} with an empty folder and founding voters a b c hears {answers}")
+@when("agreement: {name} with an empty folder and founding voters a b c receives {answers}")
 def step_founding(context, name, answers):
     own = identity(f"{name}1")
     founding = Founding(own, FOUNDING_VOTERS, "new")
     context.commands = founding.tick(0.0)
-    for heard in answers.split(", "):
-        context.commands += hear(founding, own, heard)
+    for answer in answers.split(", "):
+        context.commands += deliver(founding, own, answer)
     context.commands += founding.tick(10.0)
 
 
