--- a/features/steps/agreement_controllers_steps.py
+++ b/features/steps/agreement_controllers_steps.py
@@ -1,4 +1,4 @@
-"""Steps on three real controller processes: restarts, lost disks, a frozen leader."""
+"""Steps for three real controller processes: restarts, lost disks, a frozen leader."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 def until(what, condition):
-    """Wait until a condition returns something true, and return that."""
+    """Wait until a condition returns a true value, and return that value."""
     deadline = time.monotonic() + PATIENCE_S
     while time.monotonic() < deadline:
         found = condition()
@@ -74,7 +74,7 @@
     context.changes += count
 
 
-@when("agreement controllers: all end by SIGKILL and start again, {count:d} times")
+@when("agreement controllers: all are killed by SIGKILL and restarted, {count:d} times")
 def step_restarts(context, count):
     context.restarts = [restart_all(context.trio, context.changes) for _ in range(count)]
 
@@ -105,7 +105,7 @@
     context.trio.process(context.lost).start()
 
 
-@then("agreement controllers: it is shown as replaced-disk beside the voter of its name")
+@then("agreement controllers: its status is replaced-disk, in addition to the voter of its name")
 def step_replaced_disk(context):
     expected = ["replaced-disk", "voter"]
 
@@ -118,7 +118,7 @@
 
 @when("agreement controllers: both others restart")
 def step_restart_others(context):
-    """Restart one after the other; neither remembers whom it heard before."""
+    """Restart one after the other, so that neither remembers earlier announcements."""
     for name in others(context, context.lost):
         process = context.trio.process(name)
         process.send_signal(signal.SIGTERM)
@@ -128,7 +128,7 @@
 
 
 def try_command(context, *arguments) -> str:
-    """Run a command; a refusal, as while a learner catches up, gives an empty string."""
+    """Run a command; return an empty string if it is refused, as while a learner catches up."""
     try:
         return context.trio.command(*arguments)
     except CommandFailedError as error:
@@ -199,9 +199,9 @@
     context.frozen_changes = count
 
 
-@when("agreement controllers: it goes on with a question waiting, and is asked for {seconds:g} s")
+@when("agreement controllers: it resumes with a request waiting, and is queried for {seconds:g} s")
 def step_thaw(context, seconds):
-    """Keep one link over the freeze, so that a question lies there when it goes on."""
+    """Keep one link open over the freeze, so that a request waits there on resumption."""
     process = context.trio.process(context.frozen)
     names = others(context, context.frozen)
     first = context.changes + 1
@@ -238,9 +238,9 @@
     assert all(served >= revision for served in context.served), context.served
 
 
-@when("agreement controllers: the leader's disk has room for {room:d} more bytes")
-def step_little_room(context, room):
-    """Let no file of the process grow beyond its largest; writes fail as on a full disk."""
+@when("agreement controllers: the leader's disk has space for {room:d} more bytes")
+def step_little_space(context, room):
+    """Limit the file size of the process, so that writes fail as on a full disk."""
     context.full = leader(context)
     process = context.trio.process(context.full)
     folder = context.trio.data(context.full)
@@ -249,7 +249,7 @@
     resource.prlimit(process.pid, resource.RLIMIT_FSIZE, limits)
 
 
-@then("agreement controllers: another one leads, and the full one says that it stopped")
+@then("agreement controllers: another controller leads, and the full one logs that it stopped")
 def step_other_leads(context):
     assert leader(context) != context.full
     log = context.trio.process(context.full).log_tail()
@@ -257,23 +257,21 @@
     assert "role=stopped" in log, log
 
 
-@then("agreement controllers: the full one goes on running for {seconds:d} s")
+@then("agreement controllers: the full one keeps running for {seconds:d} s")
 def step_goes_on(context, seconds):
     time.sleep(seconds)
     assert context.trio.process(context.full).running
 
 
-@when("agreement controllers: the full one has room again")
-def step_room(context):
+@when("agreement controllers: the full one has space again")
+def step_space(context):
     pid = context.trio.process(context.full).pid
     unlimited = (resource.RLIM_INFINITY, resource.RLIM_INFINITY)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, unlimited)
 
 
-@then(
-    "agreement controllers: the full one reads its log anew within {limit:d} s, in the same process"
-)
-def step_reads_anew(context, limit):
+@then("agreement controllers: the full one reopens its log within {limit:d} s, in the same process")
+def step_reopens_log(context, limit):
     process = context.trio.process(context.full)
     context.full_pid = process.pid
     deadline = time.monotonic() + limit
@@ -283,15 +281,15 @@
     assert process.running
 
 
-@then("agreement controllers: the full one has not ended since")
+@then("agreement controllers: the full one has not exited since")
 def step_not_ended(context):
     process = context.trio.process(context.full)
     assert process.running
     assert process.pid == context.full_pid
 
 
-@when("agreement controllers: the full one has room again and restarts")
-def step_room_again(context):
+@when("agreement controllers: the full one has space again and restarts")
+def step_space_again(context):
     process = context.trio.process(context.full)
     process.kill()
     process.start()
@@ -306,12 +304,12 @@
     until(f"{name} follows", caught_up)
 
 
-@then("agreement controllers: it holds all that the leader holds")
+@then("agreement controllers: it has replicated the leader's whole log")
 def step_caught_up(context):
     wait_until_caught_up(context, context.full)
 
 
-@then("agreement controllers: it was brought up by a snapshot and holds all that the leader holds")
+@then("agreement controllers: it received a snapshot and has replicated the leader's whole log")
 def step_caught_up_by_snapshot(context):
     wait_until_caught_up(context, context.lost)
     snapshot = load_snapshot(context.trio.data(context.lost) / "agreement", LocalFileSystem())
@@ -329,7 +327,7 @@
     process.start()
 
 
-@then("agreement controllers: it ends with status {code:d}, naming the file and offset")
+@then("agreement controllers: it exits with status {code:d}, naming the file and offset")
 def step_ends_with_status(context, code):
     process = context.trio.process(context.full)
     assert process.wait(PATIENCE_S) == code, process.exit_code
