--- a/features/steps/durable_log_steps.py
+++ b/features/steps/durable_log_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the durable log: crashes, damage, full and lost disks."""
+"""Steps for the durable log: crashes, damage, full and lost disks."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def reopen(context):
-    """Open the log in a new process, on whichever disk the scenario has."""
+    """Open the log as a new process would, on the disk of the scenario."""
     context.log = context.open().unwrap()
     context.stored = context.log.take_stored_state()
 
@@ -107,8 +107,8 @@
     assert cut.offset > 0 and cut.cut_bytes > 0, cut
 
 
-@then("durable log: it takes a further entry and keeps it over a crash")
-def step_takes_further(context):
+@then("durable log: it accepts a further entry and keeps it after a crash")
+def step_accepts_further(context):
     add_entries(context.log, 1)
     expected = context.log.last_index
     context.disk.crash()
@@ -132,7 +132,7 @@
     assert int(found[2]) > 0 if offset == "> 0" else int(found[2]) == 0, failure
 
 
-@then("durable log: opening it again is refused in the same words")
+@then("durable log: opening it again gives the same error")
 def step_refused_again(context):
     assert str(context.open().unwrap_err()) == context.refusal
 
@@ -143,44 +143,47 @@
     if verdict == "show a violation":
         assert problem, f"{crashes} crashes kept everything"
         return
-    assert verdict == "keep what was answered", verdict
+    assert verdict == "keep acknowledged writes", verdict
     assert not problem, problem
     assert crashes > 500, crashes
 
 
 @when("durable log: a sync fails and then {history}")
 def step_sync_fails(context, history):
-    """Note as ``context.counted`` the entries that were answered as written, or read back."""
+    """Set ``context.reported_durable`` to the last index that was acknowledged or read back."""
     disk = context.disk = SimulatedDisk(random.Random(3))
     log = open_log(disk).unwrap()
     log.append((entry(1),)).unwrap()
     disk.fail_syncs(1)
     assert log.append((entry(2),)).is_err()
-    context.counted = 1
+    context.reported_durable = 1
     match history:
         case "another write is tried":
             if log.append((entry(2, payload=b"second try"),)).is_ok():
-                context.counted = 2
+                context.reported_durable = 2
         case "the process restarts and goes on":
             disk.kill_process()
             log = open_log(disk).unwrap()
             add_entries(log, 1)
-            context.counted = log.last_index
+            context.reported_durable = log.last_index
         case _:
             raise AssertionError(history)
     disk.crash()
 
 
-@then("durable log: all that counted is {outcome}")
-def step_counted(context, outcome):
+@then("durable log: all entries reported as durable are {outcome}")
+def step_reported_durable(context, outcome):
     opened = open_log(context.disk)
     found = opened.unwrap().last_index if opened.is_ok() else 0
     assert outcome in ("kept", "lost"), outcome
-    assert (found >= context.counted) == (outcome == "kept"), (found, context.counted)
+    assert (found >= context.reported_durable) == (outcome == "kept"), (
+        found,
+        context.reported_durable,
+    )
 
 
-@when("durable log: the disk has room for {room:d} more bytes")
-def step_little_room(context, room):
+@when("durable log: the disk has space for {room:d} more bytes")
+def step_little_space(context, room):
     context.disk.capacity_bytes = context.disk._used_bytes() + room
 
 
@@ -196,8 +199,8 @@
     assert saved.unwrap_err().code is ResultCode.DISK_FULL, saved
 
 
-@when("durable log: the disk has room again and the process restarts")
-def step_room_again(context):
+@when("durable log: the disk has space again and the process restarts")
+def step_space_again(context):
     context.disk.capacity_bytes = None
     context.disk.kill_process()
 
@@ -213,7 +216,7 @@
     "durable log: an entry of {size:d} bytes is written while files may grow by {room:d} bytes only"
 )
 def step_write_with_file_limit(context, size, room):
-    """Limit the files of this process for the time of the write only: it has others open."""
+    """Limit this process's file size only during the write, as it has other files open."""
     largest = max(path.stat().st_size for path in context.path.iterdir())
     limits = resource.getrlimit(resource.RLIMIT_FSIZE)
     refused_entry = entry(context.log.last_index + 1, payload=bytes(size))
@@ -274,7 +277,7 @@
     assert opened.unwrap_err().code is ResultCode.SETTINGS_INVALID, opened
 
 
-@then("durable log: its incarnation stays over a restart")
+@then("durable log: its incarnation is the same after a restart")
 def step_same_incarnation(context):
     context.identity = ControllerIdentity(IDENTITY.name, "fresh")
     reopen(context)
@@ -294,8 +297,8 @@
     assert (context.stored.entries, context.stored.snapshot.index) == ((), 0)
 
 
-@when("durable log: a leader was heard at {time:g}, and {event}")
-def step_leader_heard(context, time, event):
+@when("durable log: a leader contact is noted at {time:g}, and {event}")
+def step_leader_contact(context, time, event):
     context.log.save_leader_contact(time).unwrap()
     change_note(context.log, context.disk, time, event)
 
