--- a/features/durable_log.feature
+++ b/features/durable_log.feature
@@ -1,30 +1,30 @@
 Feature: The controllers' durable log
 
-  What was answered as written is there after any crash; what was not is there as a whole or
-  not at all; what cannot be read back is refused with its file and offset, never guessed.
+  An acknowledged write survives any crash. An unacknowledged write is there completely or not at all.
+  A log that cannot be read back is refused with its file and offset, and is never repaired by guessing.
 
   Scenario Outline: A torn tail is cut and reported: <damage>
     Given durable log: a log of 6 batches on a simulated disk
     When durable log: the newest segment is damaged by <damage>
     Then durable log: it opens with <entries> entries
     And durable log: the cut tail is <reported>
-    And durable log: it takes a further entry and keeps it over a crash
+    And durable log: it accepts a further entry and keeps it after a crash
 
     Examples:
-      | damage                        | entries | reported                       |
-      | nothing                       | 6       | not reported                   |
-      | half a frame appended         | 6       | reported with file and offset  |
-      | 30 zero bytes appended        | 6       | reported with file and offset  |
-      | 30 random bytes appended      | 6       | reported with file and offset  |
-      | its last byte lost            | 5       | reported with file and offset  |
-      | its last byte changed         | 5       | reported with file and offset  |
-      | its last frame's marker lost  | 5       | reported with file and offset  |
-
-  Scenario Outline: What is corrupt in the middle is refused: <damage>
+      | damage                       | entries | reported                      |
+      | nothing                      | 6       | not reported                  |
+      | half a frame appended        | 6       | reported with file and offset |
+      | 30 zero bytes appended       | 6       | reported with file and offset |
+      | 30 random bytes appended     | 6       | reported with file and offset |
+      | its last byte lost           | 5       | reported with file and offset |
+      | its last byte changed        | 5       | reported with file and offset |
+      | its last frame's marker lost | 5       | reported with file and offset |
+
+  Scenario Outline: Corruption before the tail is refused: <damage>
     Given durable log: a log of 3 segments and a snapshot on a simulated disk
     When durable log: the log is damaged by <damage>
     Then durable log: opening it is refused as corrupt, naming <file> and an offset <offset>
-    And durable log: opening it again is refused in the same words
+    And durable log: opening it again gives the same error
 
     Examples:
       | damage                                | file     | offset |
@@ -39,10 +39,10 @@
       | a byte of the manifest                | manifest | 0      |
       | the manifest lost                     | manifest | 0      |
 
-  Scenario: A crash at every step keeps what was answered, and loses power again while opening
-    Then durable log: crashes at every disk operation of seeds 1 to 8 keep what was answered
+  Scenario: A power loss at every disk operation, and again while opening, keeps acknowledged writes
+    Then durable log: crashes at every disk operation of seeds 1 to 8 keep acknowledged writes
 
-  Scenario Outline: Without <safeguard> a crash loses what was answered
+  Scenario Outline: Without <safeguard> a crash loses acknowledged writes
     Given durable log: <safeguard> is patched out
     Then durable log: crashes at every disk operation of seeds 1 to 8 show a violation
 
@@ -56,23 +56,23 @@
   Scenario Outline: A failed sync, then <history>, with <safeguard> patched out: <outcome>
     Given durable log: <safeguard> is patched out
     When durable log: a sync fails and then <history>
-    Then durable log: all that counted is <outcome>
+    Then durable log: all entries reported as durable are <outcome>
 
     Examples:
-      | safeguard                              | history                          | outcome |
-      | none                                   | another write is tried           | kept    |
-      | refusal after a failed write           | another write is tried           | lost    |
-      | none                                   | the process restarts and goes on | kept    |
-      | rewrite of the newest segment at open  | the process restarts and goes on | lost    |
+      | safeguard                             | history                          | outcome |
+      | none                                  | another write is tried           | kept    |
+      | refusal after a failed write          | another write is tried           | lost    |
+      | none                                  | the process restarts and goes on | kept    |
+      | rewrite of the newest segment at open | the process restarts and goes on | lost    |
 
-  Scenario Outline: A full disk takes nothing and damages nothing: <room> bytes left
+  Scenario Outline: A full disk refuses writes and damages nothing: <room> bytes left
     Given durable log: a log of 6 batches on a simulated disk
-    When durable log: the disk has room for <room> more bytes
+    When durable log: the disk has space for <room> more bytes
     Then durable log: an entry of 200 bytes is refused as DISK_FULL
     And durable log: an entry of 1 bytes is refused as DISK_FULL
-    When durable log: the disk has room again and the process restarts
+    When durable log: the disk has space again and the process restarts
     Then durable log: it opens with 6 entries
-    And durable log: it takes a further entry and keeps it over a crash
+    And durable log: it accepts a further entry and keeps it after a crash
 
     Examples:
       | room |
@@ -82,9 +82,9 @@
 
   Scenario: A full disk while a snapshot is saved leaves the old snapshot
     Given durable log: a log of 3 segments and a snapshot on a simulated disk
-    When durable log: the disk has room for 50 more bytes
+    When durable log: the disk has space for 50 more bytes
     Then durable log: saving a larger snapshot is refused as DISK_FULL
-    When durable log: the disk has room again and the process restarts
+    When durable log: the disk has space again and the process restarts
     Then durable log: it still has its first snapshot and all entries
 
   Scenario: A full disk of the operating system
@@ -101,17 +101,17 @@
     Then durable log: the folder holds less than 120000 bytes in at most 4 segments
     And durable log: it opens with the entries after the last snapshot
 
-  Scenario: A lost disk is a new identity, and a folder has one owner
+  Scenario: A lost disk means a new identity, and a folder has one owner
     Given durable log: a log in a folder of the operating system
     Then durable log: a second process is refused the folder
     And durable log: another controller's name is refused the folder
-    And durable log: its incarnation stays over a restart
+    And durable log: its incarnation is the same after a restart
     When durable log: the folder is lost
     Then durable log: the log is empty and its incarnation is new
 
-  Scenario Outline: When a leader was last heard is known only while it was surely kept: <event>
+  Scenario Outline: The last leader contact is used only if the unsynced note surely survived: <event>
     Given durable log: a log of 6 batches on a simulated disk
-    When durable log: a leader was heard at 12.5, and <event>
+    When durable log: a leader contact is noted at 12.5, and <event>
     Then durable log: the next process knows <time>
 
     Examples:
@@ -125,7 +125,7 @@
       | the folder is another incarnation's       | nothing |
       | the system does not say since when it ran | nothing |
 
-  Scenario: When a leader was last heard, on the operating system
+  Scenario: The last leader contact, in a folder of the operating system
     Given durable log: a log in a folder of the operating system
-    When durable log: a leader was heard at 12.5, and the process ends
+    When durable log: a leader contact is noted at 12.5, and the process ends
     Then durable log: the next process knows 12.5
