--- a/features/steps/controller_full_disk_steps.py
+++ b/features/steps/controller_full_disk_steps.py
@@ -1,4 +1,4 @@
-"""Steps on controllers whose disks refuse writes for a while."""
+"""Steps for controllers whose disks refuse writes for a while."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def run(context, function, *arguments):
-    """Run a coroutine in the kernel of the scenario."""
+    """Run a coroutine in the scenario's kernel."""
     return context.kernel.run(function, *arguments)
 
 
@@ -43,7 +43,7 @@
     _begin(context, 3, keeps_unsynced=False)
 
 
-@given("full disk: one controller alone")
+@given("full disk: a single controller")
 def step_alone(context):
     _begin(context, 1)
 
@@ -61,15 +61,13 @@
     run(context, change_all)
 
 
-@when(
-    "full disk: the disk of {which} refuses writes for {seconds:g} s, and changes go on meanwhile"
-)
+@when("full disk: the disk of {which} refuses writes for {seconds:g} s while changes continue")
 def step_refuses(context, which, seconds):
     world = context.world
     context.full = world.leader() if which == "the leader" else world.follower()
     disk = world.disks[context.full]
     context.openings = disk.openings
-    context.heard_at = world.replica(context.full).agreement.leader_contact_at
+    context.contact_at = world.replica(context.full).agreement.leader_contact_at
 
     async def refuse() -> None:
         disk.refuse()
@@ -77,7 +75,7 @@
         end = time.monotonic() + seconds
         while not replica.storage_failure or time.monotonic() < end:
             await world.change(0.2)
-        disk.take_again()
+        disk.accept_again()
 
     run(context, refuse)
 
@@ -87,18 +85,23 @@
     world = context.world
     context.full = world.leader()
     context.openings = world.disks[context.full].openings
-    context.former = world.replica(context.full)
+    context.old_replica = world.replica(context.full)
     world.disks[context.full].refuse()
     world.proposed += 1
     context.refused = world.proposed
     began_at = time.monotonic()
     context.answer = run(
-        context, curio.ignore_after, ANSWER_LIMIT_S, world.propose, context.former, context.refused
+        context,
+        curio.ignore_after,
+        ANSWER_LIMIT_S,
+        world.propose,
+        context.old_replica,
+        context.refused,
     )
     context.took_s = time.monotonic() - began_at
 
 
-@then("full disk: that change was told to have an unknown outcome, within {limit:g} s")
+@then("full disk: that change is answered with an unknown outcome, within {limit:g} s")
 def step_unknown(context, limit):
     assert isinstance(context.answer, Err), context.answer
     code = context.answer.err_value.code
@@ -106,16 +109,16 @@
     assert context.took_s < limit, context.took_s
 
 
-@when("full disk: the disk of the leader takes writes again")
+@when("full disk: the disk of the leader accepts writes again")
 def step_takes(context):
-    context.world.disks[context.full].take_again()
+    context.world.disks[context.full].accept_again()
 
 
-@when("full disk: the disk of the leader takes writes again, and reading takes {seconds:g} s")
+@when("full disk: the disk of the leader accepts writes again, and reading takes {seconds:g} s")
 def step_takes_slowly(context, seconds):
     disk = context.world.disks[context.full]
     disk.reading_s = seconds / 2
-    disk.take_again()
+    disk.accept_again()
     run(context, context.world.until, lambda: disk.openings > context.openings, 3.0)
     disk.reading_s = 0.0
 
@@ -128,31 +131,31 @@
         curio.ignore_after,
         limit,
         context.world.propose,
-        context.former,
+        context.old_replica,
         context.world.proposed,
     )
     assert isinstance(answer, Err), answer
     assert answer.err_value.code is ResultCode.NOT_LEADER, answer
 
 
-@then("full disk: no controller has ended")
-def step_none_ended(context):
+@then("full disk: no controller has exited")
+def step_none_exited(context):
     run(context, curio.sleep, 0.5)
     assert not context.world.statuses, context.world.statuses
 
 
-@when("full disk: it takes part again")
-def step_part_again(context):
-    step_part(context, 3.0)
+@when("full disk: it participates again")
+def step_participates_again(context):
+    step_participates(context, 3.0)
 
 
-@then("full disk: it takes part again within {limit:g} s")
-def step_part(context, limit):
+@then("full disk: it participates again within {limit:g} s")
+def step_participates(context, limit):
     world = context.world
 
     def is_back() -> bool:
         opened = world.disks[context.full].openings > context.openings
-        return opened and world.takes_part(context.full)
+        return opened and world.participates(context.full)
 
     assert run(context, world.until, is_back, limit), world.statuses
     assert not world.statuses, world.statuses
@@ -164,35 +167,37 @@
     wanted = set(world.acknowledged)
 
     def hold() -> bool:
-        return all(world.held(name) >= wanted for name in world.disks)
+        return all(world.applied_changes(name) >= wanted for name in world.disks)
 
-    assert run(context, world.until, hold, 3.0), {n: wanted - world.held(n) for n in world.disks}
+    assert run(context, world.until, hold, 3.0), {
+        n: wanted - world.applied_changes(n) for n in world.disks
+    }
 
 
 @then("full disk: it holds the {count:d} changes, and not the one that its disk refused")
 def step_holds_synced(context, count):
     world = context.world
     wanted = set(range(1, count + 1))
-    assert run(context, world.until, lambda: world.held(context.full) >= wanted, 3.0)
-    assert context.refused not in world.held(context.full)
+    assert run(context, world.until, lambda: world.applied_changes(context.full) >= wanted, 3.0)
+    assert context.refused not in world.applied_changes(context.full)
 
 
-@then("full disk: it knows when it last heard a leader before")
-def step_heard(context):
+@then("full disk: it knows the time of its last leader contact")
+def step_leader_contact(context):
     stored = context.world.controllers[context.full].started_from[-1]
     assert stored.leader_contact_at is not None
-    assert stored.leader_contact_at >= context.heard_at, (
+    assert stored.leader_contact_at >= context.contact_at, (
         stored.leader_contact_at,
-        context.heard_at,
+        context.contact_at,
     )
 
 
-@when("full disk: a sync of the leader's disk hangs, and its note of the leader fails once")
+@when("full disk: a sync of the leader's disk hangs, and saving the leader contact fails once")
 def step_hangs(context):
     world = context.world
     context.full = world.leader()
     context.openings = world.disks[context.full].openings
-    world.disks[context.full].goes_on.clear()
+    world.disks[context.full].not_hanging.clear()
     replica = world.replica(context.full)
 
     async def fail() -> None:
@@ -206,19 +211,19 @@
     run(context, fail)
 
 
-@then("full disk: its log is not opened again within {seconds:g} s")
+@then("full disk: its log is not reopened within {seconds:g} s")
 def step_not_opened(context, seconds):
     disk = context.world.disks[context.full]
     opened = run(context, context.world.until, lambda: disk.openings > context.openings, seconds)
     assert not opened
 
 
-@when("full disk: the sync goes on")
-def step_goes_on(context):
-    context.world.disks[context.full].goes_on.set()
+@when("full disk: the sync continues")
+def step_continues(context):
+    context.world.disks[context.full].not_hanging.set()
 
 
-@when("full disk: the agreement breaks one of its rules")
+@when("full disk: an invariant of the agreement is violated")
 def step_breaks(context):
     context.full = context.world.leader()
 
@@ -228,7 +233,7 @@
     context.world.replica(context.full).agreement.handle_batch = break_rule
 
 
-@then("full disk: the controller ends with {status:d} within {limit:g} s")
+@then("full disk: the controller exits with {status:d} within {limit:g} s")
 def step_ends(context, status, limit):
     world = context.world
     assert run(context, world.until, lambda: context.full in world.statuses, limit)
