--- a/features/support/refusing_disks.py
+++ b/features/support/refusing_disks.py
@@ -29,11 +29,11 @@
 FOLDER = Path("/simulated/agreement")
 SEED = 11
 ANSWER = encode(NotLeader(""))
-"""Some message: what is recorded does not matter."""
+"""Any message: the recorded content does not matter."""
 POLL_S = 0.01
 ELECTION_TIMEOUT_MS = 400
 START_LIMIT_S = 5.0
-TAKING_PART = (Role.LEADER, Role.FOLLOWER)
+PARTICIPATING_ROLES = (Role.LEADER, Role.FOLLOWER)
 
 
 class _HangingFile:
@@ -48,8 +48,8 @@
         self._file.write(data)
 
     def sync(self) -> None:
-        """Sync once the disk hangs no more."""
-        self._disk.goes_on.wait()
+        """Sync once the disk no longer hangs."""
+        self._disk.not_hanging.wait()
         self._file.sync()
 
     def close(self) -> None:
@@ -60,8 +60,9 @@
 class RefusingDisk(SimulatedDisk):
     """A disk that can be made to refuse writes, to hang, and to read slowly.
 
-    :param keeps_unsynced: whether it is known what it keeps of unsynced writes
-    :ivar openings: how often the folder was locked, which each opening of the log does
+    :param keeps_unsynced: whether it is known which unsynced writes the disk keeps
+    :ivar openings: how often the folder was locked, once for each opening of the log
+    :ivar not_hanging: cleared while syncs hang
     """
 
     def __init__(self, keeps_unsynced: bool) -> None:
@@ -70,36 +71,36 @@
         self.openings = 0
         self.reading_s = 0.0
         self.failing_notes = 0
-        self.goes_on = threading.Event()
-        self.goes_on.set()
+        self.not_hanging = threading.Event()
+        self.not_hanging.set()
 
     def refuse(self) -> None:
-        """Take nothing from now on."""
+        """Refuse all writes from now on."""
         self.capacity_bytes = 0
 
-    def take_again(self) -> None:
-        """Take writes again."""
+    def accept_again(self) -> None:
+        """Accept writes again."""
         self.capacity_bytes = None
 
     def create(self, path: Path) -> _HangingFile:
-        """Open an empty file whose syncs hang with the disk; a probe never hangs."""
+        """Open an empty file whose syncs hang with the disk; the disk probe never hangs."""
         file = super().create(path)
         return file if "probe" in path.name else _HangingFile(file, self)
 
     def overwrite(self, path: Path, data: bytes) -> None:
-        """Write in place; fail as often as told."""
+        """Overwrite in place; fail while ``failing_notes`` is positive."""
         if self.failing_notes:
             self.failing_notes -= 1
             raise OSError(28, "no space")
         super().overwrite(path, data)
 
     def read(self, path: Path) -> bytes | None:
-        """Return the whole file, after a while."""
+        """Return the whole file, after ``reading_s`` seconds."""
         time.sleep(self.reading_s)
         return super().read(path)
 
     def life(self) -> str:
-        """Name the time for which unsynced writes are kept, where that is known."""
+        """Identify the period in which unsynced writes survive, if that is known."""
         return super().life() if self._keeps_unsynced else ""
 
     def lock(self, folder: Path) -> None:
@@ -109,9 +110,9 @@
 
 
 class _ObservedController(Controller):
-    """A controller that keeps from what its replicas were started.
+    """A controller that records the stored states that its replicas started from.
 
-    :ivar started_from: what was found on the disk for each, the first at the start of the process
+    :ivar started_from: the stored state of each replica; the first is that of the process start
     """
 
     def __init__(self, *arguments, **options) -> None:
@@ -124,10 +125,10 @@
 
 
 class RefusingDisks:
-    """Some controllers on such disks; coroutines run in the kernel of the test.
+    """Controllers on refusing disks; coroutines run in the kernel of the test.
 
-    :ivar acknowledged: numbers of the changes that were acknowledged
-    :ivar statuses: what the controllers that ended returned
+    :ivar acknowledged: numbers of the acknowledged changes
+    :ivar statuses: exit statuses of the controllers that ended
     """
 
     def __init__(self, count: int, keeps_unsynced: bool = True) -> None:
@@ -141,7 +142,7 @@
         self._tasks: list[curio.Task] = []
 
     async def start(self) -> None:
-        """Start all, and return once one leads."""
+        """Start all controllers, and return once one leads."""
         for name in self.disks:
             identity = ControllerIdentity(name, f"{name}-first")
             log = open_durable_log(FOLDER, identity, self.disks[name]).unwrap()
@@ -153,9 +154,9 @@
         await self.until(lambda: self.leader() is not None, START_LIMIT_S)
 
     async def stop(self) -> None:
-        """End all."""
+        """Stop all controllers."""
         for disk in self.disks.values():
-            disk.goes_on.set()
+            disk.not_hanging.set()
         for task in self._tasks:
             await task.cancel()
 
@@ -169,7 +170,7 @@
         return True
 
     def replica(self, name: str) -> Replica | None:
-        """Return the present replica of a controller."""
+        """Return the current replica of a controller."""
         return self.controllers[name]._replica
 
     def leader(self) -> str | None:
@@ -184,13 +185,13 @@
         """Return the name of a controller that does not lead."""
         return next(name for name in self.controllers if name != self.leader())
 
-    def takes_part(self, name: str) -> bool:
-        """Tell whether a controller follows or leads on a log that is well."""
+    def participates(self, name: str) -> bool:
+        """Tell whether a controller follows or leads with a working log."""
         replica = self.replica(name)
         return (
             replica is not None
             and not replica.storage_failure
-            and replica.agreement.role in TAKING_PART
+            and replica.agreement.role in PARTICIPATING_ROLES
             and replica.agreement.leader is not None
         )
 
@@ -211,8 +212,8 @@
         """Propose a change at one replica."""
         return await replica.propose(RecordAnswer(change_name(number), "anna", ANSWER))
 
-    def held(self, name: str) -> set[int]:
-        """Return the numbers of the changes that a controller has applied, by its log."""
+    def applied_changes(self, name: str) -> set[int]:
+        """Return the numbers of the changes that a controller has applied, from its log."""
         replica = self.replica(name)
         log = replica.agreement._state.log
         applied = log.entries_between(log.base_index + 1, replica.state.applied_index)
@@ -242,5 +243,5 @@
 
 
 def change_name(number: int) -> str:
-    """Return the request id of a change; none is part of another."""
+    """Return the request id of a change; no id is contained in another."""
     return f"change-{number:04d}."
