--- a/features/steps/controller_links_steps.py
+++ b/features/steps/controller_links_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the links between controllers."""
+"""Steps for the links between controllers."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 HANGS_S = 60.0
 SENDS_FOR_S = 2.0
 PAUSE_S = 0.02
-DIALLED_WITHIN_S, LOOK_S = 2.0, 0.001
+DIALLED_WITHIN_S, POLL_S = 2.0, 0.001
 
 
 class Peer:
-    """A controller's network on loopback, and when it first received something."""
+    """A controller's network on loopback, and the time of its first received message."""
 
     def __init__(self, name):
         self.identity = ControllerIdentity(name, f"{name}1")
@@ -42,7 +42,7 @@
         self.received_at = self.received_at or time.monotonic()
 
     async def start(self):
-        """Keep links, and take those of others."""
+        """Keep links to peers, and accept theirs."""
         await curio.spawn(self.network.run, daemon=True)
         await curio.spawn(
             serve_links,
@@ -55,13 +55,13 @@
 
 
 class _SilentSocket:
-    """A connection that has gone silent: what is sent vanishes, and nothing comes."""
+    """A silent connection: sent data is dropped, and nothing arrives."""
 
     def __init__(self, sock):
         self._sock = sock
 
     async def sendall(self, data):
-        """Take what is sent."""
+        """Drop the data."""
 
     async def recv(self, _size):
         """Receive nothing."""
@@ -73,7 +73,7 @@
 
 
 def _keep_links(context):
-    """Keep the links that controllers dial."""
+    """Record the links that controllers dial."""
     context.dialled = []
     dial = peer_network.dial
 
@@ -115,7 +115,7 @@
     context.kernel.run(context.b.start)
 
 
-@when("controller links: a learns of b and sends to it")
+@when("controller links: a learns the address of b and sends to it")
 def step_learns(context):
     context.a.network.set_address("b", context.b.address)
     step_sends(context)
@@ -150,10 +150,10 @@
 
 
 async def _wait_for_link(context):
-    """Wait until b has dialled a; a process's first greeting takes up to 70 ms of its own."""
+    """Wait until b has dialled a; a process's first handshake alone takes up to 70 ms."""
     async with curio.timeout_after(DIALLED_WITHIN_S):
         while not context.dialled:
-            await curio.sleep(LOOK_S)
+            await curio.sleep(POLL_S)
 
 
 @when("controller links: a sends to b again and again")
@@ -168,8 +168,8 @@
     context.kernel.run(curio.ignore_after, SENDS_FOR_S, send_until_received)
 
 
-@then("controller links: b has it within {limit:d} ms")
-def step_has_it(context, limit):
+@then("controller links: b receives it within {limit:d} ms")
+def step_receives_it(context, limit):
     def is_there():
         return context.b.received_at is not None
 
@@ -181,14 +181,14 @@
     assert took_ms < limit, took_ms
 
 
-async def _never_ask(_keepalive):
+async def _never_probe(_keepalive):
     await curio.sleep(HANGS_S)
 
 
 @given('controller links: the safeguard "keepalive" is {state:w}')
 def step_safeguard(context, state):
     if state == "off":
-        patch = mock.patch.object(Keepalive, "run", _never_ask)
+        patch = mock.patch.object(Keepalive, "run", _never_probe)
         patch.start()
         context.add_cleanup(patch.stop)
 
@@ -206,8 +206,8 @@
     context.kernel.run(curio.sleep, milliseconds / 1_000)
 
 
-@then("controller links: b has it within {limit:d} ms is {verdict:w}")
-def step_has_it_is(context, limit, verdict):
+@then("controller links: b receives it within {limit:d} ms is {verdict:w}")
+def step_receives_it_is(context, limit, verdict):
     received_at = context.b.received_at
     in_time = received_at is not None and (received_at - context.sent_at) * 1_000 < limit
     assert in_time is (verdict == "true"), received_at
