--- a/features/controller_links.feature
+++ b/features/controller_links.feature
@@ -1,40 +1,40 @@
 Feature: Links between controllers come up soon after restarts
   Elections after a restart of all controllers wait for these links.
 
-  Scenario: controller links: a controller learned of after the start is dialled at once
+  Scenario: controller links: a controller that becomes known after the start is dialled at once
     Given controller links: controllers a and b that run without knowing each other
-    When controller links: a learns of b and sends to it
-    Then controller links: b has it within 250 ms
+    When controller links: a learns the address of b and sends to it
+    Then controller links: b receives it within 250 ms
 
-  Scenario: controller links: one that dials is dialled back, though an attempt to it hangs
+  Scenario: controller links: a peer that dials is dialled back although an attempt to reach it hangs
     Given controller links: controllers a and b that run without knowing each other
     When controller links: an attempt of a to reach b hangs, and then b sends to a
     And controller links: a sends to b
-    Then controller links: b has it within 250 ms
+    Then controller links: b receives it within 250 ms
 
-  Scenario: controller links: peers that start a moment apart find each other soon
+  Scenario: controller links: peers that start a moment apart connect soon
     Given controller links: controllers a and b, of which b starts 60 ms later
     When controller links: a sends to b again and again
-    Then controller links: b has it within 250 ms
+    Then controller links: b receives it within 250 ms
 
   Scenario Outline: controller links: a link that goes silent is replaced, <why>: <verdict>
     Given controller links: controllers a and b that run without knowing each other
     And controller links: the safeguard "keepalive" is <safeguard>
-    When controller links: a learns of b and sends to it
-    Then controller links: b has it within 250 ms
+    When controller links: a learns the address of b and sends to it
+    Then controller links: b receives it within 250 ms
     When controller links: the link from a to b goes silent, and is <used> for <rest> ms
     And controller links: a sends to b again and again
-    Then controller links: b has it within <limit> ms is <verdict>
+    Then controller links: b receives it within <limit> ms is <verdict>
 
     Examples:
-      | why                      | safeguard | used    | rest | limit | verdict |
-      | messages are on it       | on        | used    | 0    | 1800  | true    |
-      | it was idle meanwhile    | on        | idle    | 1700 | 250   | true    |
-      | nobody asks for a sign   | off       | used    | 0    | 1800  | false   |
-      | nobody asks for a sign   | off       | idle    | 1700 | 250   | false   |
+      | why                     | safeguard | used | rest | limit | verdict |
+      | messages are being sent | on        | used | 0    | 1800  | true    |
+      | it was idle meanwhile   | on        | idle | 1700 | 250   | true    |
+      | no probes are sent      | off       | used | 0    | 1800  | false   |
+      | no probes are sent      | off       | idle | 1700 | 250   | false   |
 
-  Scenario: controller links: a link on which signs come stays
+  Scenario: controller links: a link whose probes are answered stays open
     Given controller links: controllers a and b that run without knowing each other
-    When controller links: a learns of b and sends to it
+    When controller links: a learns the address of b and sends to it
     And controller links: 2500 ms pass
     Then controller links: a has dialled b once
