--- a/features/steps/waiting_controllers_steps.py
+++ b/features/steps/waiting_controllers_steps.py
@@ -1,4 +1,4 @@
-"""Steps on controllers that are no members of their cluster."""
+"""Steps for controllers that are not members of their cluster."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     run(context, _wait_for_all, context, is_read, seconds)
 
 
-@then("waiting controllers: each takes a member's announcement")
+@then("waiting controllers: each accepts a member's announcement")
 def step_announce(context):
     member = next(iter(context.deployment.group.members.values()))
     body = {
@@ -65,14 +65,14 @@
     }
     call = HttpCall("PUT", f"/instances/{member.identity}", json.dumps(body).encode())
 
-    async def is_taken(ip):
+    async def is_accepted(ip):
         return await call_http(f"{ip}:{CONTROL_PORT}", call, CALL_TIMEOUT_S) == 200
 
-    run(context, _wait_for_all, context, is_taken, 1.0)
+    run(context, _wait_for_all, context, is_accepted, 1.0)
 
 
 def links_from(ip: str) -> int:
-    """Return how many links a machine keeps open to controllers' internal addresses."""
+    """Return how many links a machine has open to controllers' internal addresses."""
     own = struct.unpack("=I", socket.inet_aton(ip))[0]
     count = 0
     for line in Path("/proc/net/tcp").read_text().splitlines()[1:]:
@@ -83,7 +83,10 @@
     return count
 
 
-@then("waiting controllers: {learners:d} of them learn, and others keep at most {most:d} link each")
+@then(
+    "waiting controllers: {learners:d} of them are learners, and the others keep at most "
+    "{most:d} link each"
+)
 def step_links(context, learners, most):
     async def settled():
         deadline = time.monotonic() + SETTLE_S
