--- a/features/steps/leader_losses_steps.py
+++ b/features/steps/leader_losses_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what is said of a lost leadership, and of the calls of a leader."""
+"""Steps for the reports on lost leaderships, and for the call counts of a leader."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 @then(
-    "leader losses: it says that b and c were silent for {least:g} to {most:g} s, "
+    "leader losses: it reports that b and c were silent for {least:g} to {most:g} s, "
     "and {behind:d} entries behind"
 )
 def step_silent(context, least, most, behind):
@@ -58,14 +58,14 @@
     assert rounds.unsynced == 0, rounds
 
 
-@then("leader losses: it says that rounds were sent after the last one that was confirmed")
+@then("leader losses: it reports that rounds were sent after the last one that was confirmed")
 def step_rounds(context):
     rounds = context.leader.step_downs[-1].rounds
     assert rounds.sent > rounds.confirmed > 0, rounds
     assert rounds.led_s > rounds.confirmed_s, rounds
 
 
-@given("leader losses: the counts of a leader")
+@given("leader losses: the call counts of a leader")
 def step_counts(context):
     context.registry = CollectorRegistry()
     context.now = 0.0
