--- a/features/steps/voter_policy_steps.py
+++ b/features/steps/voter_policy_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the policy by which the leader keeps its voters."""
+"""Steps for the policy that chooses automatic voter changes."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 NOW = 100.0
 
 
-def lives(text: str) -> tuple[ControllerIdentity, ...]:
-    """Return identities written as a name and the number of its disk; a dash stands for none."""
+def identities(text: str) -> tuple[ControllerIdentity, ...]:
+    """Return identities written as a name and an incarnation number; a dash means none."""
     return () if text == "-" else tuple(ControllerIdentity(t[0], t) for t in text.split())
 
 
@@ -21,22 +21,24 @@
     context.policy = VoterPolicy(wanted, limit)
 
 
-@given('voter policy: voters "{voters}", learners "{learners}", of which "{caught_up}" hold all')
+@given(
+    'voter policy: voters "{voters}", learners "{learners}", of which "{caught_up}" hold all entries'
+)
 def step_members(context, voters, learners, caught_up):
-    context.configuration = MemberConfiguration("cluster", lives(voters), lives(learners))
-    context.caught_up = lives(caught_up)
+    context.configuration = MemberConfiguration("cluster", identities(voters), identities(learners))
+    context.caught_up = identities(caught_up)
 
 
 @given('voter policy: "{silent}" silent for {seconds:g} s')
 def step_silent(context, silent, seconds):
     members = context.configuration.voters + context.configuration.learners
     context.last_response_at = dict.fromkeys(members[1:], NOW)
-    context.last_response_at.update(dict.fromkeys(lives(silent), NOW - seconds))
+    context.last_response_at.update(dict.fromkeys(identities(silent), NOW - seconds))
 
 
 @when('voter policy: "{waiting}" have announced themselves')
 def step_waiting(context, waiting):
-    found = [WaitingController(life, "127.0.0.1:1", NOW) for life in lives(waiting)]
+    found = [WaitingController(identity, "127.0.0.1:1", NOW) for identity in identities(waiting)]
     context.change = context.policy.next_change(
         context.configuration, context.caught_up, context.last_response_at, found, NOW
     )
