--- a/limedyke/core/agreement/leader.py
+++ b/limedyke/core/agreement/leader.py
@@ -184,7 +184,7 @@
             self.lease.confirm()
 
     def continue_work(self) -> StepDownReason | None:
-        """Send new entries, commit, answer proposals; return why the leadership ends, if it does."""
+        """Send new entries, commit, answer proposals; return why the leadership ends, if so."""
         self.replication.replicate()
         self._commit()
         self._answer_applied()
