--- a/limedyke/controller/call_router.py
+++ b/limedyke/controller/call_router.py
@@ -108,7 +108,7 @@
         self._forwarded = UnderWay()
 
     def set_answer_deadline(self, deadline: float) -> None:
-        """Answer each call by a time of the monotonic clock, because the process ends soon after."""
+        """Answer each call by this time of the monotonic clock; the process ends soon after."""
         self._answer_deadline = deadline
 
     async def drain(self) -> None:
