--- a/limedyke/controller/replica.py
+++ b/limedyke/controller/replica.py
@@ -316,9 +316,10 @@
         return kept + self.agreement.handle(failed, now)
 
     async def _announce_when_due(self, now: float) -> None:
-        """Announce a waiting controller to all declared controllers, which forget it when they restart.
+        """Announce a waiting controller to all declared controllers.
 
-        Where controllers find each other automatically, ``MembershipSearch`` does this.
+        The announcement is repeated, because a controller that restarts forgets it. Where
+        controllers find each other automatically, ``MembershipSearch`` does this.
         """
         if self._advertise or self.is_member or now < self._next_announcement_at:
             return
