--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -233,9 +233,10 @@
         return self.log.take_stored_state().with_leader_contact(contact_at)
 
     def _learn_stored_addresses(self, entries: tuple[LogEntry, ...]) -> None:
-        """Learn the last known addresses of the others; the settings may name other controllers now.
+        """Learn the last known addresses of the others from the stored entries.
 
-        Entries that are not known to be committed are used too: an address is only a place to ask.
+        The settings may name other controllers now. Entries that are not known to be committed are
+        used too: an address is only a place to ask.
         """
         for entry in entries:
             if entry.kind == EntryKind.PROPOSAL:
