--- a/features/steps/agreement_steps.py
+++ b/features/steps/agreement_steps.py
@@ -146,7 +146,8 @@
 
 def describe(configuration: MemberConfiguration) -> str:
     """Return a configuration in the notation of the feature."""
-    text = "voters " + " ".join(found.incarnation for found in configuration.voters)
+    incarnations = [found.incarnation for found in configuration.voters]
+    text = f"voters {' '.join(incarnations)}"
     if configuration.learners:
         text += " learners " + " ".join(found.incarnation for found in configuration.learners)
     if configuration.previous_voters:
--- a/features/steps/voter_policy_steps.py
+++ b/features/steps/voter_policy_steps.py
@@ -22,7 +22,7 @@
 
 
 @given(
-    'voter policy: voters "{voters}", learners "{learners}", of which "{caught_up}" hold all entries'
+    'voter policy: voters "{voters}", learners "{learners}", of which "{caught_up}" are caught up'
 )
 def step_members(context, voters, learners, caught_up):
     context.configuration = MemberConfiguration("cluster", identities(voters), identities(learners))
--- a/features/voter_policy.feature
+++ b/features/voter_policy.feature
@@ -3,7 +3,7 @@
 
   Scenario Outline: voter policy: <why>
     Given voter policy: 5 voters are wanted, a voter silent for 3 s is replaced
-    And voter policy: voters "<voters>", learners "<learners>", of which "<caught_up>" hold all entries
+    And voter policy: voters "<voters>", learners "<learners>", of which "<caught_up>" are caught up
     And voter policy: "<silent>" silent for 4 s
     When voter policy: "<waiting>" have announced themselves
     Then voter policy: the next change is to <change>
