--- a/features/steps/leader_losses_steps.py
+++ b/features/steps/leader_losses_steps.py
@@ -22,7 +22,7 @@
 @given("leader losses: voters a b c of which a leads")
 def step_cluster(context):
     context.cluster = ScriptedCluster()
-    context.leader = context.cluster.lead("a")
+    context.leader = context.cluster.make_leader("a")
 
 
 @given("leader losses: {count:d} changes are accepted")
--- a/features/support/agreement_election_scripts.py
+++ b/features/support/agreement_election_scripts.py
@@ -15,7 +15,7 @@
 
 def late_candidate(cluster: ScriptedCluster) -> None:
     """One without the accepted proposal stands for election at one that has it."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     behind = cluster.machines["b"]
     cluster.cut(behind)
     accept(cluster, leader)
@@ -28,19 +28,19 @@
 
 def old_term_entries(cluster: ScriptedCluster) -> None:
     """An entry of an old term reaches a majority, but no entry of the leader's own term."""
-    first, third = cluster.lead("a"), cluster.machines["c"]
+    first, third = cluster.make_leader("a"), cluster.machines["c"]
     cluster.cut(first)
     cluster.start_proposal(first)
     cluster.run(0.01)
     first.power_loss()
     cluster.machines["b"].agreement._state.election_deadline += LONG_S
-    cluster.holds = lambda sender, to, message: sender is third and _has_entries(message)
+    cluster.should_hold = lambda sender, to, message: sender is third and _has_entries(message)
     require(cluster.run_until(lambda: is_leading(third), 8.0), "c does not lead")
     cluster.run(0.02)
     third.power_loss()
     cluster.held.clear()
     cluster.heal()
-    cluster.holds = lambda sender, to, message: (
+    cluster.should_hold = lambda sender, to, message: (
         sender is first
         and _has_own_entries(message)
         and to.is_up
@@ -69,7 +69,7 @@
 
     The leader stays down: with it, no voter would have to know when its lease ends.
     """
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     for machine in cluster.machines.values():
         machine.kill_process()
     cluster.run(RESTART_S)
@@ -77,26 +77,26 @@
         machine.start()
     timing = cluster.world.options.timing
     bound_s = timing.election_timeout_minimum_s - RESTART_S
-    patience_s = bound_s + timing.pre_vote_retry_minimum_s + RESTART_MARGIN_S
-    require(cluster.run_until(cluster.leader, patience_s), "no leader in time")
+    timeout_s = bound_s + timing.pre_vote_retry_minimum_s + RESTART_MARGIN_S
+    require(cluster.run_until(cluster.leader, timeout_s), "no leader in time")
 
 
 def all_lose_power(cluster: ScriptedCluster) -> None:
     """All machines lose power and start again: the last leader leads without a wait for leases."""
-    cluster.lead("a")
+    cluster.make_leader("a")
     for machine in cluster.machines.values():
         machine.power_loss()
     cluster.run(RESTART_S)
     for machine in cluster.machines.values():
         machine.start()
     timing = cluster.world.options.timing
-    patience_s = timing.election_timeout_minimum_s / 2
-    require(cluster.run_until(cluster.leader, patience_s), "no leader in time")
+    timeout_s = timing.election_timeout_minimum_s / 2
+    require(cluster.run_until(cluster.leader, timeout_s), "no leader in time")
 
 
 def pending_proposal(cluster: ScriptedCluster) -> None:
     """A leader is cut off right after its followers took a proposal, and steps down."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     number = cluster.start_proposal(leader)
     cluster.run(0.0021)
     cluster.cut(leader)
@@ -107,7 +107,7 @@
 
 def diverged_follower(cluster: ScriptedCluster) -> None:
     """A new leader needs a follower that is behind, and then one with entries of its own."""
-    old, behind, new = cluster.lead("a"), cluster.machines["b"], cluster.machines["c"]
+    old, behind, new = cluster.make_leader("a"), cluster.machines["b"], cluster.machines["c"]
     cluster.cut(behind)
     for _ in range(6):
         accept(cluster, old)
--- a/features/support/agreement_lease_scripts.py
+++ b/features/support/agreement_lease_scripts.py
@@ -28,8 +28,8 @@
 
 def late_answers(cluster: ScriptedCluster) -> None:
     """Answers to heartbeats arrive late, and then the leader is cut off."""
-    leader = cluster.lead("a")
-    cluster.holds = lambda sender, to, message: (
+    leader = cluster.make_leader("a")
+    cluster.should_hold = lambda sender, to, message: (
         to is leader and isinstance(message, AppendEntriesResponse)
     )
     cluster.cut_one_way(leader, *cluster.others(leader))
@@ -47,7 +47,7 @@
 
 def cut_off_candidate(cluster: ScriptedCluster) -> None:
     """One that lost sight of the leader stands for election at one that still hears it."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     hearing, blind = cluster.machines["b"], cluster.machines["c"]
     cluster.cut(leader, blind)
     cluster.run_until(lambda: _stands_within(blind, 0.02))
@@ -65,7 +65,7 @@
 
 def restarted_voter(cluster: ScriptedCluster) -> None:
     """The only voter that confirms the lease restarts while the other stands for election."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     hearing, blind = cluster.machines["b"], cluster.machines["c"]
     cluster.cut(leader, blind)
     cluster.run_until(lambda: _stands_within(blind, 0.05) and _heard_within(hearing, 0.01))
@@ -83,7 +83,7 @@
     """
     blind = cluster.first_leader()
     hearing, successor = cluster.others(blind)
-    leader = cluster.lead(successor.name)
+    leader = cluster.make_leader(successor.name)
     cluster.cut(leader, blind)
     blind.agreement._state.election_deadline += LONG_S
     cluster.run(cluster.world.options.timing.election_timeout_minimum_s)
@@ -104,7 +104,7 @@
 
 def cut_off_leader_reads(cluster: ScriptedCluster) -> None:
     """A leader is silently cut off, and read at until it steps down."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     accept(cluster, leader)
     cluster.cut(leader)
     read_stale(cluster, leader)
@@ -115,10 +115,10 @@
 
     It does not know yet that what it holds is committed, and has not applied it.
     """
-    old, behind, new = cluster.lead("a"), cluster.machines["b"], cluster.machines["c"]
+    old, behind, new = cluster.make_leader("a"), cluster.machines["b"], cluster.machines["c"]
     base_index = old.agreement.last_index
     cluster.cut(behind)
-    cluster.holds = lambda sender, to, message: (
+    cluster.should_hold = lambda sender, to, message: (
         isinstance(message, AppendEntriesRequest) and message.commit_index > base_index
     )
     accept(cluster, old)
@@ -136,10 +136,10 @@
 
 def late_message_of_old_term(cluster: ScriptedCluster) -> None:
     """A heartbeat of an old term arrives when its sender leads again, in a newer term."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     other = cluster.machines["b"]
     cluster.run(CUT_OFF_ROUNDS * cluster.world.options.timing.heartbeat_interval_s)
-    cluster.holds = lambda sender, to, message: (
+    cluster.should_hold = lambda sender, to, message: (
         sender is leader and to is other and isinstance(message, AppendEntriesRequest)
     )
     cluster.run(0.25)
@@ -147,7 +147,7 @@
     cluster.release_held()
     leader.handle(LeadershipTransferRequested())
     cluster.run_until(lambda: not is_leading(leader))
-    cluster.lead("a")
+    cluster.make_leader("a")
     cluster._deliver(*late)
     cluster.run(0.01)
     cluster.cut(leader)
@@ -156,7 +156,7 @@
 
 def handing_over(cluster: ScriptedCluster) -> None:
     """A leader hands over, and hears nothing any more of its successor's candidacy."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     for other in cluster.others(leader):
         cluster.cut_one_way(other, leader)
     leader.handle(LeadershipTransferRequested())
@@ -167,7 +167,7 @@
 
 def silent_cut(cluster: ScriptedCluster) -> None:
     """A leader is cut off without notice: it neither accepts nor serves, and says so."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     cluster.cut(leader)
     number = cluster.start_proposal(leader)
     cluster.run(cluster.world.options.timing.election_timeout_maximum_s * 1.5)
--- a/features/support/agreement_member_scripts.py
+++ b/features/support/agreement_member_scripts.py
@@ -22,7 +22,7 @@
 
 def stranger(cluster: ScriptedCluster) -> None:
     """An old incarnation comes back after its repair and asks for votes in a high term."""
-    cluster.lead("a")
+    cluster.make_leader("a")
     old = cluster.machines["c"].identity
     cluster.machines["c"].lose_disk()
     cluster.machines["c"].start()
@@ -49,7 +49,7 @@
 
 def two_changes(cluster: ScriptedCluster) -> None:
     """A cut-off leader is asked to remove one voter after the other."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     first, second = cluster.others(leader)
     cluster.cut(leader)
     cluster.change_members(leader, RemoveMember(first.identity))
@@ -62,7 +62,7 @@
 
 def early_promotion(cluster: ScriptedCluster) -> None:
     """A learner that hears nothing is to be promoted: it is refused, and the others go on."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     lost = cluster.machines["c"]
     old = lost.identity
     for _ in range(10):
@@ -80,7 +80,7 @@
 
 def learner_counts(cluster: ScriptedCluster) -> None:
     """A leader is left with a learner only."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     lost = cluster.machines["c"]
     lost.lose_disk()
     lost.start()
@@ -96,7 +96,7 @@
 
 def snapshot_to_learner(cluster: ScriptedCluster) -> None:
     """A replaced machine is so far behind that it gets a snapshot, in parts."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     for _ in range(40):
         accept(cluster, leader)
     lost = cluster.machines["b"]
--- a/features/support/agreement_storage_scripts.py
+++ b/features/support/agreement_storage_scripts.py
@@ -16,7 +16,7 @@
 
 def unsynced_entries(cluster: ScriptedCluster) -> None:
     """All lose power right after a proposal is accepted, on slow disks."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     for machine in cluster.machines.values():
         machine._disk_busy_until = cluster.world.now + 0.1
     accept(cluster, leader)
@@ -26,7 +26,7 @@
 
 def unsynced_disk(cluster: ScriptedCluster) -> None:
     """All lose power some time after proposals are accepted."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     for _ in range(5):
         accept(cluster, leader)
     for machine in cluster.machines.values():
@@ -37,7 +37,7 @@
 
 def lost_disk(cluster: ScriptedCluster) -> None:
     """One holder of an accepted proposal loses its disk, and meets one that has not got it."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     behind, lost = cluster.machines["b"], cluster.machines["c"]
     cluster.cut(behind)
     accept(cluster, leader)
@@ -51,7 +51,7 @@
 
 def second_machine(cluster: ScriptedCluster) -> None:
     """A machine loses its disk, is repaired, and at once a second one is lost."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     behind, first = cluster.machines["b"], cluster.machines["c"]
     cluster.cut(behind)
     accept(cluster, leader)
@@ -72,7 +72,7 @@
 
 def power_and_disk_lost_after_repair(cluster: ScriptedCluster) -> None:
     """Long after one machine's repair all lose power at once, and the leader its disk."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     repaired = cluster.machines["c"]
     repaired.lose_disk()
     repaired.start()
@@ -91,7 +91,7 @@
 
 def two_lost_disks(cluster: ScriptedCluster) -> None:
     """Two of three disks are lost at once: the last holder must not go on alone."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     accept(cluster, leader)
     for machine in cluster.others(leader):
         machine.lose_disk()
@@ -112,7 +112,7 @@
 
 
 def _failing_disk(cluster: ScriptedCluster, fail: Callable[[SimulatedDisk], None]) -> None:
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     accept(cluster, leader)
     fail(leader.disk)
     answer = cluster.propose(leader, 3.0)
--- a/features/support/agreement_world.py
+++ b/features/support/agreement_world.py
@@ -31,7 +31,7 @@
 NAMES = ("a", "b", "c")
 STEP_S = 0.001
 DELAY_S = 0.001
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 
 Answer = ProposalAccepted | ProposalRefused | ReadReady | ReadRefused
 Held = tuple[ControllerIdentity, ControllerIdentity, AgreementMessage]
@@ -76,7 +76,7 @@
         self.world = World(seed, replace(options, timing=timing))
         self.world._base_delay_s = DELAY_S
         self.world.deliver = self._deliver
-        self.holds: Callable[[Machine, Machine, AgreementMessage], bool] = lambda *_: False
+        self.should_hold: Callable[[Machine, Machine, AgreementMessage], bool] = lambda *_: False
         self.held: list[Held] = []
         self._numbers = itertools.count()
         self._clock_rates = clock_rates or {}
@@ -95,14 +95,14 @@
         self, sender: ControllerIdentity, to: ControllerIdentity, message: AgreementMessage
     ) -> None:
         machine = self.machines[to.name]
-        if self.holds(self.machines[sender.name], machine, message):
+        if self.should_hold(self.machines[sender.name], machine, message):
             self.held.append((sender, to, message))
         elif machine.identity == to:
             machine.receive(sender, message)
 
     def release_held(self) -> None:
         """Deliver what was held back."""
-        self.holds = lambda *_: False
+        self.should_hold = lambda *_: False
         held, self.held = self.held, []
         for sender, to, message in held:
             self._deliver(sender, to, message)
@@ -116,9 +116,9 @@
         """Let time pass."""
         self.world.run_until(self.world.now + seconds)
 
-    def run_until(self, condition: Callable[[], object], patience_s: float = PATIENCE_S) -> bool:
+    def run_until(self, condition: Callable[[], object], timeout_s: float = TIMEOUT_S) -> bool:
         """Let time pass until a condition holds; tell whether it came true."""
-        end = self.world.now + patience_s
+        end = self.world.now + timeout_s
         while not condition():
             if self.world.now >= end:
                 return False
@@ -138,7 +138,7 @@
         """Tell whether a machine leads and serves reads."""
         return machine.is_up and isinstance(self.read(machine), ReadReady)
 
-    def lead(self, name: str) -> Machine:
+    def make_leader(self, name: str) -> Machine:
         """Hand the leadership over until a machine has it, and serves."""
         machine = self.machines[name]
         for _ in range(30):
@@ -174,10 +174,10 @@
         machine.handle(Proposed(number, number.encode()))
         return number
 
-    def propose(self, machine: Machine, patience_s: float = PATIENCE_S) -> Answer | None:
+    def propose(self, machine: Machine, timeout_s: float = TIMEOUT_S) -> Answer | None:
         """Propose and return the answer, or None when there is none in time."""
         number = self.start_proposal(machine)
-        self.run_until(lambda: number in machine.answers, patience_s)
+        self.run_until(lambda: number in machine.answers, timeout_s)
         return machine.answers.get(number)
 
     def read(self, machine: Machine) -> Answer:
