--- a/features/steps/leader_losses_steps.py
+++ b/features/steps/leader_losses_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 from prometheus_client import CollectorRegistry
 
-from features.support.agreement_script_tools import accept
+from features.support.agreement_script_tools import propose_accepted
 from features.support.agreement_world import ScriptedCluster
 from limedyke.controller.leading.call_counts import KINDS, CallCounts
 from limedyke.controller.metrics import ControllerMetrics
@@ -28,7 +28,7 @@
 @given("leader losses: {count:d} changes are accepted")
 def step_accepted(context, count):
     for _ in range(count):
-        accept(context.cluster, context.leader)
+        propose_accepted(context.cluster, context.leader)
 
 
 @when("leader losses: a is cut off from the others, and proposes {count:d} more")
--- a/features/support/agreement_election_scripts.py
+++ b/features/support/agreement_election_scripts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from features.support.agreement_script_tools import accept, require
+from features.support.agreement_script_tools import propose_accepted, require
 from features.support.agreement_world import ScriptedCluster, is_leading
 from limedyke.messages.agreement import (
     AppendEntriesRequest,
@@ -18,7 +18,7 @@
     leader = cluster.make_leader("a")
     behind = cluster.machines["b"]
     cluster.cut(behind)
-    accept(cluster, leader)
+    propose_accepted(cluster, leader)
     cluster.machines["c"].agreement._state.election_deadline += LONG_S
     leader.power_loss()
     cluster.heal()
@@ -110,15 +110,15 @@
     old, behind, new = cluster.make_leader("a"), cluster.machines["b"], cluster.machines["c"]
     cluster.cut(behind)
     for _ in range(6):
-        accept(cluster, old)
+        propose_accepted(cluster, old)
     cluster.cut(old)
     cluster.heal()
     cluster.cut(old)
     for _ in range(6):
         cluster.start_proposal(old)
     require(cluster.run_until(lambda: is_leading(new)), "c does not lead")
-    accept(cluster, new)
+    propose_accepted(cluster, new)
     cluster.heal()
-    accept(cluster, new)
+    propose_accepted(cluster, new)
     followed = cluster.run_until(lambda: old.applied.index == new.applied.index, 4.0)
     require(followed, f"a stays at {old.applied.index}")
--- a/features/support/agreement_lease_scripts.py
+++ b/features/support/agreement_lease_scripts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from features.support.agreement_script_tools import accept, read_stale, require
+from features.support.agreement_script_tools import propose_accepted, read_at_old_leader, require
 from features.support.agreement_world import ScriptedCluster, is_leading
 from limedyke.core.agreement.commands import (
     ReadReady,
@@ -42,7 +42,7 @@
     cluster.machines["c"].agreement._state.election_deadline += LONG_S
     cluster.release_held()
     cluster.cut(leader)
-    read_stale(cluster, leader)
+    read_at_old_leader(cluster, leader)
 
 
 def cut_off_candidate(cluster: ScriptedCluster) -> None:
@@ -52,7 +52,7 @@
     cluster.cut(leader, blind)
     cluster.run_until(lambda: _stands_within(blind, 0.02))
     cluster.cut(leader, hearing)
-    read_stale(cluster, leader)
+    read_at_old_leader(cluster, leader)
 
 
 def _stands_within(machine, seconds: float) -> bool:
@@ -73,7 +73,7 @@
     cluster.cut(leader, hearing)
     hearing.kill_process()
     hearing.start()
-    read_stale(cluster, leader)
+    read_at_old_leader(cluster, leader)
 
 
 def former_leader_asks(cluster: ScriptedCluster, restarts: bool = False) -> None:
@@ -94,7 +94,7 @@
     if restarts:
         hearing.kill_process()
         hearing.start()
-    read_stale(cluster, leader)
+    read_at_old_leader(cluster, leader)
 
 
 def former_leader_asks_after_restart(cluster: ScriptedCluster) -> None:
@@ -105,9 +105,9 @@
 def cut_off_leader_reads(cluster: ScriptedCluster) -> None:
     """A leader is silently cut off, and read at until it steps down."""
     leader = cluster.make_leader("a")
-    accept(cluster, leader)
+    propose_accepted(cluster, leader)
     cluster.cut(leader)
-    read_stale(cluster, leader)
+    read_at_old_leader(cluster, leader)
 
 
 def new_leader_reads(cluster: ScriptedCluster) -> None:
@@ -121,7 +121,7 @@
     cluster.should_hold = lambda sender, to, message: (
         isinstance(message, AppendEntriesRequest) and message.commit_index > base_index
     )
-    accept(cluster, old)
+    propose_accepted(cluster, old)
     old.power_loss()
     cluster.held.clear()
     cluster.heal()
@@ -151,7 +151,7 @@
     cluster._deliver(*late)
     cluster.run(0.01)
     cluster.cut(leader)
-    read_stale(cluster, leader)
+    read_at_old_leader(cluster, leader)
 
 
 def handing_over(cluster: ScriptedCluster) -> None:
@@ -162,7 +162,7 @@
     leader.handle(LeadershipTransferRequested())
     cluster.run(0.0025)
     cluster.cut(leader)
-    read_stale(cluster, leader)
+    read_at_old_leader(cluster, leader)
 
 
 def silent_cut(cluster: ScriptedCluster) -> None:
--- a/features/support/agreement_member_scripts.py
+++ b/features/support/agreement_member_scripts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from features.support.agreement_script_tools import accept, require
+from features.support.agreement_script_tools import propose_accepted, require
 from features.support.agreement_world import ScriptedCluster, is_leading
 from limedyke.core.agreement.commands import (
     ProposalAccepted,
@@ -66,7 +66,7 @@
     lost = cluster.machines["c"]
     old = lost.identity
     for _ in range(10):
-        accept(cluster, leader)
+        propose_accepted(cluster, leader)
     lost.lose_disk()
     number = cluster.change_members(leader, AddLearner(lost.identity))
     require(cluster.run_until(lambda: number in leader.answers, 3.0), "no learner")
@@ -75,7 +75,7 @@
     cluster.run_until(lambda: number in leader.answers, 2.0)
     answer = leader.answers.get(number)
     require(isinstance(answer, ProposalRefused), f"a deaf learner became a voter: {answer}")
-    accept(cluster, leader)
+    propose_accepted(cluster, leader)
 
 
 def learner_counts(cluster: ScriptedCluster) -> None:
@@ -98,7 +98,7 @@
     """A replaced machine is so far behind that it gets a snapshot, in parts."""
     leader = cluster.make_leader("a")
     for _ in range(40):
-        accept(cluster, leader)
+        propose_accepted(cluster, leader)
     lost = cluster.machines["b"]
     lost.lose_disk()
     lost.start()
--- a/features/support/agreement_script_tools.py
+++ b/features/support/agreement_script_tools.py
@@ -17,13 +17,13 @@
         raise ScriptFailureError(what)
 
 
-def accept(cluster: ScriptedCluster, machine: Machine) -> None:
+def propose_accepted(cluster: ScriptedCluster, machine: Machine) -> None:
     """Have a proposal accepted by a leader; the script fails unless it is."""
     answer = cluster.propose(machine, 2.0)
     require(isinstance(answer, ProposalAccepted), f"{machine.name} answered {answer}")
 
 
-def read_stale(cluster: ScriptedCluster, old: Machine, seconds: float = 2.0) -> None:
+def read_at_old_leader(cluster: ScriptedCluster, old: Machine, seconds: float = 2.0) -> None:
     """Let the others commit as soon as they can, and read at the old leader all the while."""
     new = []
 
--- a/features/support/agreement_storage_scripts.py
+++ b/features/support/agreement_storage_scripts.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from features.support.agreement_script_tools import accept, require
+from features.support.agreement_script_tools import propose_accepted, require
 from features.support.agreement_world import ScriptedCluster, is_leading
 from limedyke.core.agreement.commands import (
     ProposalRefused,
@@ -19,7 +19,7 @@
     leader = cluster.make_leader("a")
     for machine in cluster.machines.values():
         machine._disk_busy_until = cluster.world.now + 0.1
-    accept(cluster, leader)
+    propose_accepted(cluster, leader)
     for machine in cluster.machines.values():
         machine.power_loss()
 
@@ -28,7 +28,7 @@
     """All lose power some time after proposals are accepted."""
     leader = cluster.make_leader("a")
     for _ in range(5):
-        accept(cluster, leader)
+        propose_accepted(cluster, leader)
     for machine in cluster.machines.values():
         machine.power_loss()
     for machine in cluster.machines.values():
@@ -40,7 +40,7 @@
     leader = cluster.make_leader("a")
     behind, lost = cluster.machines["b"], cluster.machines["c"]
     cluster.cut(behind)
-    accept(cluster, leader)
+    propose_accepted(cluster, leader)
     lost.lose_disk()
     cluster.heal()
     leader.power_loss()
@@ -54,14 +54,14 @@
     leader = cluster.make_leader("a")
     behind, first = cluster.machines["b"], cluster.machines["c"]
     cluster.cut(behind)
-    accept(cluster, leader)
+    propose_accepted(cluster, leader)
     cluster.heal()
     first.lose_disk()
     first.start()
     require(cluster.repair("c"), "c was not repaired")
     behind_since = behind.applied.index
     cluster.cut(behind)
-    accept(cluster, leader)
+    propose_accepted(cluster, leader)
     leader.lose_disk()
     cluster.heal()
     require(behind.applied.index == behind_since, "b must be behind")
@@ -77,7 +77,7 @@
     repaired.lose_disk()
     repaired.start()
     cluster.repair("c")
-    accept(cluster, leader)
+    propose_accepted(cluster, leader)
     cluster.run(1.0)
     for machine in cluster.machines.values():
         machine.power_loss()
@@ -92,7 +92,7 @@
 def two_lost_disks(cluster: ScriptedCluster) -> None:
     """Two of three disks are lost at once: the last holder must not go on alone."""
     leader = cluster.make_leader("a")
-    accept(cluster, leader)
+    propose_accepted(cluster, leader)
     for machine in cluster.others(leader):
         machine.lose_disk()
         machine.start()
@@ -113,7 +113,7 @@
 
 def _failing_disk(cluster: ScriptedCluster, fail: Callable[[SimulatedDisk], None]) -> None:
     leader = cluster.make_leader("a")
-    accept(cluster, leader)
+    propose_accepted(cluster, leader)
     fail(leader.disk)
     answer = cluster.propose(leader, 3.0)
     require(isinstance(answer, ProposalRefused), f"answered {answer}")
@@ -122,7 +122,7 @@
     require(leader.agreement.role is Role.STOPPED, f"a is a {leader.agreement.role}")
     require(cluster.run_until(lambda: cluster.leader() not in (None, leader), 4.0), "no leader")
     cluster.run(0.2)
-    accept(cluster, cluster.leader())
+    propose_accepted(cluster, cluster.leader())
     leader.disk.capacity_bytes = None
     leader.kill_process()
     leader.start()
