--- a/features/support/agreement_member_scripts.py
+++ b/features/support/agreement_member_scripts.py
@@ -20,17 +20,17 @@
 )
 
 
-def stranger(cluster: ScriptedCluster) -> None:
+def old_incarnation_votes(cluster: ScriptedCluster) -> None:
     """An old incarnation comes back after its repair and asks for votes in a high term."""
     cluster.make_leader("a")
     old = cluster.machines["c"].identity
     cluster.machines["c"].lose_disk()
     cluster.machines["c"].start()
     require(cluster.repair("c"), "c was not repaired")
-    from_old_disk(cluster, old)
+    deliver_old_incarnation_messages(cluster, old)
 
 
-def from_old_disk(cluster: ScriptedCluster, old) -> None:
+def deliver_old_incarnation_messages(cluster: ScriptedCluster, old) -> None:
     """Send what an old incarnation may send; the term must stay."""
     machine = cluster.machines["b"]
     term = machine.agreement.term
--- a/features/support/agreement_scripts.py
+++ b/features/support/agreement_scripts.py
@@ -24,7 +24,7 @@
     "accepted, then power lost everywhere": storage.unsynced_entries,
     "accepted some time ago, then power lost everywhere": storage.unsynced_disk,
     "one of two holders loses its disk": storage.lost_disk,
-    "an old incarnation asks for votes": members.stranger,
+    "an old incarnation asks for votes": members.old_incarnation_votes,
     "one that is behind stands for election": election.late_candidate,
     "an entry of an old term reaches a majority": election.old_term_entries,
     "late answers, then cut off": lease.late_answers,
