--- a/features/support/agreement_lease_scripts.py
+++ b/features/support/agreement_lease_scripts.py
@@ -48,10 +48,10 @@
 def cut_off_candidate(cluster: ScriptedCluster) -> None:
     """One that lost sight of the leader stands for election at one that still hears it."""
     leader = cluster.make_leader("a")
-    hearing, blind = cluster.machines["b"], cluster.machines["c"]
-    cluster.cut(leader, blind)
-    cluster.run_until(lambda: _stands_within(blind, 0.02))
-    cluster.cut(leader, hearing)
+    connected, isolated = cluster.machines["b"], cluster.machines["c"]
+    cluster.cut(leader, isolated)
+    cluster.run_until(lambda: _stands_within(isolated, 0.02))
+    cluster.cut(leader, connected)
     read_at_old_leader(cluster, leader)
 
 
@@ -59,41 +59,41 @@
     return machine.agreement._state.election_deadline - machine.local_now < seconds
 
 
-def _heard_within(machine, seconds: float) -> bool:
+def _contacted_within(machine, seconds: float) -> bool:
     return machine.local_now - machine.agreement._state.leader_contact_at < seconds
 
 
 def restarted_voter(cluster: ScriptedCluster) -> None:
     """The only voter that confirms the lease restarts while the other stands for election."""
     leader = cluster.make_leader("a")
-    hearing, blind = cluster.machines["b"], cluster.machines["c"]
-    cluster.cut(leader, blind)
-    cluster.run_until(lambda: _stands_within(blind, 0.05) and _heard_within(hearing, 0.01))
+    connected, isolated = cluster.machines["b"], cluster.machines["c"]
+    cluster.cut(leader, isolated)
+    cluster.run_until(lambda: _stands_within(isolated, 0.05) and _contacted_within(connected, 0.01))
     cluster.run(0.003)
-    cluster.cut(leader, hearing)
-    hearing.kill_process()
-    hearing.start()
+    cluster.cut(leader, connected)
+    connected.kill_process()
+    connected.start()
     read_at_old_leader(cluster, leader)
 
 
 def former_leader_asks(cluster: ScriptedCluster, restarts: bool = False) -> None:
-    """The first leader, blind now, asks the only voter that confirms the lease of its successor.
+    """The first leader, isolated now, asks the only voter that confirms the lease of its successor.
 
     :param restarts: that voter restarts first
     """
-    blind = cluster.first_leader()
-    hearing, successor = cluster.others(blind)
+    isolated = cluster.first_leader()
+    connected, successor = cluster.others(isolated)
     leader = cluster.make_leader(successor.name)
-    cluster.cut(leader, blind)
-    blind.agreement._state.election_deadline += LONG_S
+    cluster.cut(leader, isolated)
+    isolated.agreement._state.election_deadline += LONG_S
     cluster.run(cluster.world.options.timing.election_timeout_minimum_s)
-    cluster.run_until(lambda: _heard_within(hearing, 0.01))
+    cluster.run_until(lambda: _contacted_within(connected, 0.01))
     cluster.run(0.003)
-    cluster.cut(leader, hearing)
-    blind.agreement._state.election_deadline = blind.local_now
+    cluster.cut(leader, connected)
+    isolated.agreement._state.election_deadline = isolated.local_now
     if restarts:
-        hearing.kill_process()
-        hearing.start()
+        connected.kill_process()
+        connected.start()
     read_at_old_leader(cluster, leader)
 
 
