--- a/features/support/agreement_world.py
+++ b/features/support/agreement_world.py
@@ -37,10 +37,10 @@
 Held = tuple[ControllerIdentity, ControllerIdentity, AgreementMessage]
 
 
-def answering(machine_class: type[Machine]) -> type[Machine]:
+def recording_answers(machine_class: type[Machine]) -> type[Machine]:
     """Return the machine class with its answers and step-downs kept."""
 
-    class AnsweringMachine(machine_class):
+    class RecordingMachine(machine_class):
         def __init__(self, world: World, name: str) -> None:
             self.answers: dict[str, Answer] = {}
             self.step_downs: list[SteppedDown] = []
@@ -53,7 +53,7 @@
                 self.step_downs.append(command)
             super()._observe(command)
 
-    return AnsweringMachine
+    return RecordingMachine
 
 
 class ScriptedCluster:
@@ -80,7 +80,7 @@
         self.held: list[Held] = []
         self._numbers = itertools.count()
         self._clock_rates = clock_rates or {}
-        machines = {name: answering(machine_class)(self.world, name) for name in NAMES}
+        machines = {name: recording_answers(machine_class)(self.world, name) for name in NAMES}
         self.machines: dict[str, Machine] = machines
         self._found()
 
