--- a/features/mutants/agreement_safeguards.py
+++ b/features/mutants/agreement_safeguards.py
@@ -14,7 +14,7 @@
     crash_at_every_step,
     entry,
     open_log,
-    without,
+    patched_without,
 )
 from limedyke_lab.simulated_disk import SimulatedDisk
 
@@ -119,7 +119,7 @@
             f"durable log without {name}",
             name,
             "durable_log.feature",
-            partial(_judge, notices, partial(without, name)),
+            partial(_judge, notices, partial(patched_without, name)),
         )
         for name, notices in _DURABLE_LOG_CHECKS.items()
     ),
--- a/features/steps/durable_log_steps.py
+++ b/features/steps/durable_log_steps.py
@@ -23,7 +23,7 @@
     crash_at_every_step,
     entry,
     open_log,
-    without,
+    patched_without,
 )
 from limedyke.core.agreement.records import Snapshot
 from limedyke.messages.agreement import ControllerIdentity
@@ -78,7 +78,7 @@
 
 @given("durable log: {safeguard} is patched out")
 def step_patch_out(context, safeguard):
-    patches = without(safeguard)
+    patches = patched_without(safeguard)
     patches.__enter__()
     context.add_cleanup(lambda: patches.__exit__(None, None, None))
 
--- a/features/support/durable_log_damage.py
+++ b/features/support/durable_log_damage.py
@@ -116,7 +116,7 @@
     return files
 
 
-def note_of(time, identity=IDENTITY):
+def saved_contact(time, identity=IDENTITY):
     """Return a file with a note written on a disk that has not lost its power."""
     disk = SimulatedDisk(random.Random(1))
     LeaderContact(FOLDER, disk, identity).save(time)
@@ -141,7 +141,7 @@
         case "the power is lost":
             disk.crash()
             # Let the whole note survive: it must not count all the same.
-            disk._names[path] = note_of(time)
+            disk._names[path] = saved_contact(time)
         case "a byte of the note is changed":
             disk.kill_process()
             disk.damage(path, 20)
@@ -153,7 +153,7 @@
             disk.remove(path)
         case "the folder is another incarnation's":
             disk.kill_process()
-            disk._names[path] = note_of(time, ControllerIdentity("a", "other"))
+            disk._names[path] = saved_contact(time, ControllerIdentity("a", "other"))
         case "the system does not say since when it ran":
             disk.kill_process()
             disk.life = lambda: ""
--- a/features/support/durable_log_world.py
+++ b/features/support/durable_log_world.py
@@ -221,7 +221,7 @@
 
 
 @contextmanager
-def without(safeguard: str) -> Iterator[None]:
+def patched_without(safeguard: str) -> Iterator[None]:
     """Run with one safeguard of the log patched out; "none" patches nothing."""
     with ExitStack() as stack:
         for owner, attribute, replacement in MUTANTS.get(safeguard, ()):
