--- a/features/support/agreement_mutants.py
+++ b/features/support/agreement_mutants.py
@@ -54,7 +54,7 @@
         self._confirmed_at = self._state.now
 
 
-def _start_without_silence(self: AgreementState, *arguments) -> None:
+def _init_without_lease_wait(self: AgreementState, *arguments) -> None:
     _STATE_INIT(self, *arguments)
     self.leader_contact_at = float("-inf")
 
@@ -69,7 +69,7 @@
     self._first_index = first_index
 
 
-def _stop_saying_did_not_run(self: Leader) -> None:
+def _stop_reporting_not_run(self: Leader) -> None:
     with mock.patch(
         "limedyke.core.agreement.leader.Failure",
         lambda code, detail: Failure(ResultCode.NOT_LEADER, detail),
@@ -102,19 +102,19 @@
     """Drop what would set the synced index."""
 
 
-def _forget_leader_contact(self: AgreementState, *arguments) -> None:
+def _init_ignoring_stored_contact(self: AgreementState, *arguments) -> None:
     _STATE_INIT(self, *arguments)
     self.leader_contact_at = self.now
     self.reset_first_election_deadline()
 
 
-def _note_only_once(self: DurableLog, heard_at: float) -> Result[None, Failure]:
+def _save_first_contact_only(self: DurableLog, heard_at: float) -> Result[None, Failure]:
     if self._leader_contact.read() is None:
-        return _NOTE(self, heard_at)
+        return _SAVE_CONTACT(self, heard_at)
     return Ok(None)
 
 
-def _hand_over_and_lead_on(self: Leader) -> None:
+def _transfer_keeping_lease(self: Leader) -> None:
     with mock.patch.object(LeaderLease, "revoke", lambda lease: None):
         _CONTINUE_TRANSFER(self)
 
@@ -131,12 +131,12 @@
     return self._leads() or self._state.heard_leader_recently()
 
 
-def _vouch_for_the_first_only(self: AgreementState, leader: ControllerIdentity) -> None:
+def _acknowledge_first_leader_only(self: AgreementState, leader: ControllerIdentity) -> None:
     if self.vouched_for is None:
         _VOUCH_FOR(self, leader)
 
 
-def _note_the_first_only(self: AgreementState, leader: ControllerIdentity) -> None:
+def _store_first_leader_only(self: AgreementState, leader: ControllerIdentity) -> None:
     if self.vouched_for is None:
         _VOUCH_FOR(self, leader)
     self.vouched_for = leader
@@ -149,7 +149,7 @@
 _CONFIRM = LeaderLease.confirm
 _VOUCH_FOR = AgreementState.vouch_for
 _CONTINUE_TRANSFER = Leader._continue_transfer
-_NOTE = DurableLog.save_leader_contact
+_SAVE_CONTACT = DurableLog.save_leader_contact
 _READ = Leader.read
 _STATE_INIT = AgreementState.__init__
 _LEADER_STOP = Leader.stop
@@ -184,22 +184,22 @@
         ((AgreementState, "heard_leader_recently", lambda self: False),)
     ),
     "gives votes right after a restart": Mutant(
-        ((AgreementState, "__init__", _start_without_silence),)
+        ((AgreementState, "__init__", _init_without_lease_wait),)
     ),
     "notes only its first contact with a leader": Mutant(
-        ((DurableLog, "save_leader_contact", _note_only_once),)
+        ((DurableLog, "save_leader_contact", _save_first_contact_only),)
     ),
     "forgets at a restart when it heard a leader": Mutant(
-        ((AgreementState, "__init__", _forget_leader_contact),)
+        ((AgreementState, "__init__", _init_ignoring_stored_contact),)
     ),
     "waits for the lease of a leader that asks for votes itself": Mutant(
         ((Election, "_bound_by_other_lease", _bound_by_any_lease),)
     ),
     "takes the first leader it vouched for as the last": Mutant(
-        ((AgreementState, "vouch_for", _vouch_for_the_first_only),)
+        ((AgreementState, "vouch_for", _acknowledge_first_leader_only),)
     ),
     "notes only the first leader on disk": Mutant(
-        ((AgreementState, "vouch_for", _note_the_first_only),)
+        ((AgreementState, "vouch_for", _store_first_leader_only),)
     ),
     "reads without the lease": Mutant(((Leader, "read", _read_without_checks),)),
     "reads before an entry of its own term is applied": Mutant(
@@ -220,9 +220,9 @@
             (Agreement, "_on_leader_message", _on_leader_message_echoing),
         )
     ),
-    "says did not run for what was pending": Mutant(((Leader, "stop", _stop_saying_did_not_run),)),
+    "says did not run for what was pending": Mutant(((Leader, "stop", _stop_reporting_not_run),)),
     "leads on under its lease after handing over": Mutant(
-        ((Leader, "_continue_transfer", _hand_over_and_lead_on),)
+        ((Leader, "_continue_transfer", _transfer_keeping_lease),)
     ),
     "changes members while a change is uncommitted": Mutant(
         ((Leader, "_membership_refusal", lambda self: None),)
