--- a/limedyke/controller/leading/leader_service.py
+++ b/limedyke/controller/leading/leader_service.py
@@ -71,7 +71,7 @@
         self._replica = replica
         self._authority = authority
         self.started_at = boot_seconds()
-        self._meter = LeaderMetrics(metrics or ControllerMetrics(CollectorRegistry()))
+        self._metrics = LeaderMetrics(metrics or ControllerMetrics(CollectorRegistry()))
         self._timing = timing
         self._events: Mailbox[LeaderEvent] = Mailbox()
         self.update_cache = UpdateCache(replica.state, replica.updates)
@@ -108,7 +108,7 @@
                 primary=primary.primary or "none",
                 switching_over=primary.switching_over,
             )
-        self._meter.state_changed(update, boot_seconds())
+        self._metrics.state_changed(update, boot_seconds())
         await self._events.put(UpdateApplied(update, changed_homes))
         await self._update_pending.set()
 
@@ -122,14 +122,14 @@
                 next_time = now + DECISION_INTERVAL_S
             for start in range(0, len(events), EVENT_BATCH_SIZE):
                 for event in events[start : start + EVENT_BATCH_SIZE]:
-                    self._meter.heard(event)
+                    self._metrics.heard(event)
                     self.decisions.handle(event, now)
                 for command in self.decisions.take_commands():
                     await self._execute(command)
                 await curio.sleep(0)
 
     async def _execute(self, command: LeaderCommand) -> None:
-        self._meter.decided(command)
+        self._metrics.decided(command)
         match command:
             case AnswerHeartbeat():
                 await self._answer_heartbeat(command)
