--- a/features/support/agreement_election_scripts.py
+++ b/features/support/agreement_election_scripts.py
@@ -1,4 +1,4 @@
-"""Scripts of faults around elections: terms, entries of old terms, restarts."""
+"""Fault scripts for elections: terms, entries of old terms, restarts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def late_candidate(cluster: ScriptedCluster) -> None:
-    """One without the accepted proposal stands for election at one that has it."""
+    """A controller without the accepted proposal asks for the vote of one that has it."""
     leader = cluster.make_leader("a")
     behind = cluster.machines["b"]
     cluster.cut(behind)
@@ -27,7 +27,7 @@
 
 
 def old_term_entries(cluster: ScriptedCluster) -> None:
-    """An entry of an old term reaches a majority, but no entry of the leader's own term."""
+    """An entry of an old term reaches a majority, but no entry of the leader's own term does."""
     first, third = cluster.make_leader("a"), cluster.machines["c"]
     cluster.cut(first)
     cluster.start_proposal(first)
@@ -65,9 +65,10 @@
 
 
 def all_processes_restart(cluster: ScriptedCluster) -> None:
-    """All processes end and start again a little later; the machines keep their power.
+    """All processes end and restart a little later; the machines keep their power.
 
-    The leader stays down: with it, no voter would have to know when its lease ends.
+    The former leader stays down: it could stand at once, so that no voter would have to know when
+    the lease ends.
     """
     leader = cluster.make_leader("a")
     for machine in cluster.machines.values():
@@ -82,7 +83,7 @@
 
 
 def all_lose_power(cluster: ScriptedCluster) -> None:
-    """All machines lose power and start again: the last leader leads without a wait for leases."""
+    """All machines lose power and restart; the last leader leads without waiting for a lease."""
     cluster.make_leader("a")
     for machine in cluster.machines.values():
         machine.power_loss()
@@ -95,7 +96,7 @@
 
 
 def pending_proposal(cluster: ScriptedCluster) -> None:
-    """A leader is cut off right after its followers took a proposal, and steps down."""
+    """A leader is cut off right after its followers received a proposal, and steps down."""
     leader = cluster.make_leader("a")
     number = cluster.start_proposal(leader)
     cluster.run(0.0021)
@@ -106,7 +107,7 @@
 
 
 def diverged_follower(cluster: ScriptedCluster) -> None:
-    """A new leader needs a follower that is behind, and then one with entries of its own."""
+    """A new leader needs a follower that is behind, and then one with conflicting entries."""
     old, behind, new = cluster.make_leader("a"), cluster.machines["b"], cluster.machines["c"]
     cluster.cut(behind)
     for _ in range(6):
