--- a/features/support/agreement_lease_scripts.py
+++ b/features/support/agreement_lease_scripts.py
@@ -1,4 +1,4 @@
-"""Scripts of faults aimed at reads and the lease: cut-off leaders, late messages, clocks."""
+"""Fault scripts for reads and the lease: cut-off leaders, late messages, clocks."""
 
 from __future__ import annotations
 
@@ -19,15 +19,16 @@
 
 CUT_OFF_ROUNDS = 30
 LONGEST_DELAY_S = 0.002
-"""A message takes up to twice the delay of the scripts: the other voter is free by then."""
+"""A message takes up to twice the scripts' delay; after that the other voter may vote."""
 LONGEST_ROUND_S = 0.165
-"""Spans a heartbeat round: an interval of 0.1 s, found due at a tick of 0.04 to 0.06 s."""
+"""Longer than a heartbeat round: an interval of 0.1 s that is checked at ticks of 0.04 to 0.06
+s."""
 LONG_S = 1e6
-"""Keeps a machine from standing for election, as a timeout that another one runs out before."""
+"""Added to an election deadline to keep a machine from standing for election."""
 
 
 def late_answers(cluster: ScriptedCluster) -> None:
-    """Answers to heartbeats arrive late, and then the leader is cut off."""
+    """Responses to heartbeats arrive late, and then the leader is cut off."""
     leader = cluster.make_leader("a")
     cluster.should_hold = lambda sender, to, message: (
         to is leader and isinstance(message, AppendEntriesResponse)
@@ -46,7 +47,7 @@
 
 
 def cut_off_candidate(cluster: ScriptedCluster) -> None:
-    """One that lost sight of the leader stands for election at one that still hears it."""
+    """A voter without contact to the leader asks for the vote of one that has contact."""
     leader = cluster.make_leader("a")
     connected, isolated = cluster.machines["b"], cluster.machines["c"]
     cluster.cut(leader, isolated)
@@ -77,9 +78,9 @@
 
 
 def former_leader_asks(cluster: ScriptedCluster, restarts: bool = False) -> None:
-    """The first leader, isolated now, asks the only voter that confirms the lease of its successor.
+    """An isolated former leader asks the only voter that confirms the current leader's lease.
 
-    :param restarts: that voter restarts first
+    :param restarts: whether that voter restarts first
     """
     isolated = cluster.first_leader()
     connected, successor = cluster.others(isolated)
@@ -98,12 +99,12 @@
 
 
 def former_leader_asks_after_restart(cluster: ScriptedCluster) -> None:
-    """The same, the voter having restarted: it must know whom it vouched for last."""
+    """The same after the voter restarted: it must know which leader it acknowledged last."""
     former_leader_asks(cluster, restarts=True)
 
 
 def cut_off_leader_reads(cluster: ScriptedCluster) -> None:
-    """A leader is silently cut off, and read at until it steps down."""
+    """A leader is cut off without notice, and reads are sent to it until it steps down."""
     leader = cluster.make_leader("a")
     propose_accepted(cluster, leader)
     cluster.cut(leader)
@@ -111,9 +112,9 @@
 
 
 def new_leader_reads(cluster: ScriptedCluster) -> None:
-    """A new leader gets its lease from a follower that is behind, and is read at.
+    """A new leader gets its lease from a follower that is behind, and receives reads.
 
-    It does not know yet that what it holds is committed, and has not applied it.
+    It does not know yet that its entries are committed, and has not applied them.
     """
     old, behind, new = cluster.make_leader("a"), cluster.machines["b"], cluster.machines["c"]
     base_index = old.agreement.last_index
@@ -130,7 +131,7 @@
 
 
 def drifting_clocks(cluster: ScriptedCluster) -> None:
-    """A leader with a slow clock is cut off from followers with fast ones."""
+    """A leader with a slow clock is cut off from followers with fast clocks."""
     cut_off_leader_reads(cluster)
 
 
@@ -155,7 +156,7 @@
 
 
 def handing_over(cluster: ScriptedCluster) -> None:
-    """A leader hands over, and hears nothing any more of its successor's candidacy."""
+    """A leader hands over, and receives nothing about its successor's candidacy."""
     leader = cluster.make_leader("a")
     for other in cluster.others(leader):
         cluster.cut_one_way(other, leader)
@@ -166,12 +167,12 @@
 
 
 def silent_cut(cluster: ScriptedCluster) -> None:
-    """A leader is cut off without notice: it neither accepts nor serves, and says so."""
+    """A leader is cut off without notice: it must step down and refuse proposals and reads."""
     leader = cluster.make_leader("a")
     cluster.cut(leader)
     number = cluster.start_proposal(leader)
     cluster.run(cluster.world.options.timing.election_timeout_maximum_s * 1.5)
-    require(not is_leading(leader), "it still believes that it leads")
+    require(not is_leading(leader), "it still claims to lead")
     reasons = [stepped_down.reason for stepped_down in leader.step_downs]
     require(reasons[-1:] == [StepDownReason.NO_QUORUM], f"step-downs {reasons}")
     refusal = leader.answers.get(number)
@@ -180,4 +181,4 @@
     require(not isinstance(cluster.read(leader), ReadReady), "it serves reads")
     stamp = leader.agreement.quorum_stamp
     cluster.run(1.0)
-    require(leader.agreement.quorum_stamp == stamp, "its stamp goes on")
+    require(leader.agreement.quorum_stamp == stamp, "its quorum stamp still advances")
