--- a/features/support/agreement_member_scripts.py
+++ b/features/support/agreement_member_scripts.py
@@ -1,4 +1,4 @@
-"""Scripts of faults around membership changes: old incarnations, learners, replacements."""
+"""Fault scripts for membership changes: old incarnations, learners, replacements."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def old_incarnation_votes(cluster: ScriptedCluster) -> None:
-    """An old incarnation comes back after its repair and asks for votes in a high term."""
+    """An old incarnation returns after its machine was repaired, and asks for votes."""
     cluster.make_leader("a")
     old = cluster.machines["c"].identity
     cluster.machines["c"].lose_disk()
@@ -31,7 +31,7 @@
 
 
 def deliver_old_incarnation_messages(cluster: ScriptedCluster, old) -> None:
-    """Send what an old incarnation may send; the term must stay."""
+    """Deliver messages of an old incarnation; the term must not change."""
     machine = cluster.machines["b"]
     term = machine.agreement.term
     cluster.machines["a"].power_loss()
@@ -42,7 +42,7 @@
 
 
 def old_incarnation_messages(term: int) -> list:
-    """Return what an old incarnation may send in a high term."""
+    """Return messages that an old incarnation may send in a high term."""
     from_candidate = [VoteRequest(term, 10**6, term, False), PreVoteResponse(term, term, True)]
     return [*from_candidate, VoteResponse(term, True)]
 
@@ -61,7 +61,7 @@
 
 
 def early_promotion(cluster: ScriptedCluster) -> None:
-    """A learner that hears nothing is to be promoted: it is refused, and the others go on."""
+    """The promotion of an unreachable learner is refused, and the others continue."""
     leader = cluster.make_leader("a")
     lost = cluster.machines["c"]
     old = lost.identity
@@ -74,12 +74,12 @@
     number = cluster.change_members(leader, PromoteLearner(lost.identity, replaces=old))
     cluster.run_until(lambda: number in leader.answers, 2.0)
     answer = leader.answers.get(number)
-    require(isinstance(answer, ProposalRefused), f"a deaf learner became a voter: {answer}")
+    require(isinstance(answer, ProposalRefused), f"an unreachable learner became a voter: {answer}")
     propose_accepted(cluster, leader)
 
 
 def learner_counts(cluster: ScriptedCluster) -> None:
-    """A leader is left with a learner only."""
+    """A leader keeps contact only with a learner."""
     leader = cluster.make_leader("a")
     lost = cluster.machines["c"]
     lost.lose_disk()
@@ -95,7 +95,7 @@
 
 
 def snapshot_to_learner(cluster: ScriptedCluster) -> None:
-    """A replaced machine is so far behind that it gets a snapshot, in parts."""
+    """A replaced machine is so far behind that it gets a snapshot in several chunks."""
     leader = cluster.make_leader("a")
     for _ in range(40):
         propose_accepted(cluster, leader)
