--- a/features/support/agreement_mutants.py
+++ b/features/support/agreement_mutants.py
@@ -1,4 +1,4 @@
-"""The agreement core with one safeguard patched out at a time, for tests of the checkers."""
+"""Mutants of the agreement core, each without one safeguard, to test the checkers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class MachineUnderOldName(Machine):
-    """A machine that comes back from a lost disk as the founding voter it was."""
+    """A machine that reuses its founding identity after it lost its disk."""
 
     _genesis = None
 
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Mutant:
-    """Patches of (owner, attribute, replacement), and the machine to run them on."""
+    """Patches as (owner, attribute, replacement), and the machine class to run them on."""
 
     patches: tuple[tuple[type, str, object], ...] = ()
     machine_class: type[Machine] = Machine
@@ -99,7 +99,7 @@
 
 
 def _ignore(self: AgreementState, value: int) -> None:
-    """Drop what would set the synced index."""
+    """Ignore the assignment of the patched attribute."""
 
 
 def _init_ignoring_stored_contact(self: AgreementState, *arguments) -> None:
@@ -255,7 +255,7 @@
 
 @contextmanager
 def patched_out(name: str) -> Callable:
-    """Run with one safeguard patched out; gives the machine class to use."""
+    """Run with one safeguard patched out; yields the machine class to use."""
     mutant = MUTANTS[name]
     with ExitStack() as stack:
         for owner, attribute, replacement in mutant.patches:
