--- a/features/support/agreement_script_tools.py
+++ b/features/support/agreement_script_tools.py
@@ -1,4 +1,4 @@
-"""What scripts of faults against the agreement have in common."""
+"""Helpers shared by the fault scripts for the agreement."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ScriptFailureError(Exception):
-    """The controllers did what they must not, or did not do what they must."""
+    """The controllers did not behave as the script requires."""
 
 
 def require(condition: object, what: str) -> None:
@@ -18,13 +18,13 @@
 
 
 def propose_accepted(cluster: ScriptedCluster, machine: Machine) -> None:
-    """Have a proposal accepted by a leader; the script fails unless it is."""
+    """Propose at a leader; the script fails unless the proposal is accepted."""
     answer = cluster.propose(machine, 2.0)
     require(isinstance(answer, ProposalAccepted), f"{machine.name} answered {answer}")
 
 
 def read_at_old_leader(cluster: ScriptedCluster, old: Machine, seconds: float = 2.0) -> None:
-    """Let the others commit as soon as they can, and read at the old leader all the while."""
+    """Let the others commit as soon as they can, while reads are sent to the old leader."""
     new = []
 
     def step() -> bool:
