--- a/features/support/agreement_scripts.py
+++ b/features/support/agreement_scripts.py
@@ -1,7 +1,7 @@
-"""Scripts of faults, each aimed at one safeguard of the agreement.
+"""Fault scripts, each aimed at one safeguard of the agreement.
 
-Each takes a cluster and returns nothing; what went wrong is in the cluster's violations, or
-in a ``ScriptFailureError`` of the script.
+A script takes a cluster and returns nothing. A failure shows in the cluster's violations or as a
+``ScriptFailureError``.
 """
 
 from __future__ import annotations
@@ -54,10 +54,10 @@
 }
 ENDING_WITHOUT_LEADER = (storage.two_lost_disks,)
 SCRIPT_SEEDS = range(1, 13)
-"""Seeds of the random timeouts under each of which a script holds, and catches its mutant."""
+"""Seeds of the random timeouts; under each a script passes, and fails with its mutant."""
 CLOCK_DRIFT = 0.1
 EARLIEST_ELECTION = {"election_timeout_maximum_s": 0.501}
-"""A millisecond over the shortest timeout: followers stand as soon as they may."""
+"""A millisecond over the minimum timeout, so that followers stand as soon as they may."""
 CLOCKS: dict[Script, tuple[dict[str, object], dict[str, float]]] = {
     lease.drifting_clocks: (
         {"clock_drift_bound": CLOCK_DRIFT, **EARLIEST_ELECTION},
@@ -69,7 +69,7 @@
 
 
 def run_script(name: str, machine_class: type[Machine] = Machine, seed: int = 1) -> list[str]:
-    """Run a script on a new cluster; return the rules broken, or what it found wrong."""
+    """Run a script on a new cluster; return the violated invariants or the script's failure."""
     script = SCRIPTS[name]
     timing_changes, clock_rates = CLOCKS.get(script, ({}, {}))
     try:
