--- a/features/support/agreement_storage_scripts.py
+++ b/features/support/agreement_storage_scripts.py
@@ -1,4 +1,4 @@
-"""Scripts of faults on disks: power lost, disks lost, full or failing."""
+"""Fault scripts for disks: lost power, lost disks, full or failing disks."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def unsynced_entries(cluster: ScriptedCluster) -> None:
-    """All lose power right after a proposal is accepted, on slow disks."""
+    """All machines lose power right after a proposal is accepted, on slow disks."""
     leader = cluster.make_leader("a")
     for machine in cluster.machines.values():
         machine._disk_busy_until = cluster.world.now + 0.1
@@ -25,7 +25,7 @@
 
 
 def unsynced_disk(cluster: ScriptedCluster) -> None:
-    """All lose power some time after proposals are accepted."""
+    """All machines lose power some time after proposals are accepted."""
     leader = cluster.make_leader("a")
     for _ in range(5):
         propose_accepted(cluster, leader)
@@ -36,7 +36,7 @@
 
 
 def lost_disk(cluster: ScriptedCluster) -> None:
-    """One holder of an accepted proposal loses its disk, and meets one that has not got it."""
+    """A holder of an accepted proposal loses its disk, and meets a controller without the proposal."""
     leader = cluster.make_leader("a")
     behind, lost = cluster.machines["b"], cluster.machines["c"]
     cluster.cut(behind)
@@ -50,7 +50,7 @@
 
 
 def second_machine(cluster: ScriptedCluster) -> None:
-    """A machine loses its disk, is repaired, and at once a second one is lost."""
+    """A machine loses its disk and is repaired, and right after that a second one is lost."""
     leader = cluster.make_leader("a")
     behind, first = cluster.machines["b"], cluster.machines["c"]
     cluster.cut(behind)
@@ -71,7 +71,7 @@
 
 
 def power_and_disk_lost_after_repair(cluster: ScriptedCluster) -> None:
-    """Long after one machine's repair all lose power at once, and the leader its disk."""
+    """Long after a repair, all machines lose power at once, and the leader also its disk."""
     leader = cluster.make_leader("a")
     repaired = cluster.machines["c"]
     repaired.lose_disk()
@@ -90,7 +90,7 @@
 
 
 def two_lost_disks(cluster: ScriptedCluster) -> None:
-    """Two of three disks are lost at once: the last holder must not go on alone."""
+    """Two of three disks are lost at once: the last holder must not continue alone."""
     leader = cluster.make_leader("a")
     propose_accepted(cluster, leader)
     for machine in cluster.others(leader):
@@ -102,12 +102,12 @@
 
 
 def full_disk(cluster: ScriptedCluster) -> None:
-    """The leader's disk is full: it accepts nothing, says so and the others go on."""
+    """The leader's disk is full: it refuses proposals and steps down, and the others continue."""
     _failing_disk(cluster, lambda disk: setattr(disk, "capacity_bytes", disk._used_bytes() + 10))
 
 
 def failing_sync(cluster: ScriptedCluster) -> None:
-    """A sync of the leader's disk fails once."""
+    """One sync of the leader's disk fails."""
     _failing_disk(cluster, lambda disk: disk.fail_syncs(1))
 
 
