--- a/features/support/agreement_world.py
+++ b/features/support/agreement_world.py
@@ -1,4 +1,4 @@
-"""Simulated controllers under a script: no random faults, chosen leaders, held messages."""
+"""Scripted simulation of controllers: no random faults, chosen leaders, held messages."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def recording_answers(machine_class: type[Machine]) -> type[Machine]:
-    """Return the machine class with its answers and step-downs kept."""
+    """Return the machine class with its answers and step-downs recorded."""
 
     class RecordingMachine(machine_class):
         def __init__(self, world: World, name: str) -> None:
@@ -59,9 +59,9 @@
 class ScriptedCluster:
     """Three controllers on virtual time; messages take 0.5 to 2 ms unless held or cut.
 
-    :param options: changes of the simulation's options
-    :param clock_rates: rates of the machines' clocks by name, 1.0 for those not named
-    :param seed: of the machines' random timeouts
+    :param timing_changes: changes of the simulation's timing
+    :param clock_rates: rates of the machines' clocks by name; 1.0 for those not named
+    :param seed: seed of the machines' random timeouts
     """
 
     def __init__(
@@ -101,7 +101,7 @@
             machine.receive(sender, message)
 
     def release_held(self) -> None:
-        """Deliver what was held back."""
+        """Deliver the held messages, and hold no more."""
         self.should_hold = lambda *_: False
         held, self.held = self.held, []
         for sender, to, message in held:
@@ -109,15 +109,15 @@
 
     @property
     def violations(self) -> list[str]:
-        """The rules broken so far."""
+        """The invariants violated so far."""
         return [violation.rule for violation in self.world.checkers.violations]
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the virtual time."""
         self.world.run_until(self.world.now + seconds)
 
     def run_until(self, condition: Callable[[], object], timeout_s: float = TIMEOUT_S) -> bool:
-        """Let time pass until a condition holds; tell whether it came true."""
+        """Advance the time until a condition holds; tell whether it did in time."""
         end = self.world.now + timeout_s
         while not condition():
             if self.world.now >= end:
@@ -130,7 +130,7 @@
         return current_leader(self.machines)
 
     def first_leader(self) -> Machine:
-        """Return the first machine that leads, once it serves."""
+        """Return the first leader, once it serves reads."""
         assert self.run_until(lambda: self.leader() and self.serves(self.leader()))
         return self.leader()
 
@@ -139,7 +139,7 @@
         return machine.is_up and isinstance(self.read(machine), ReadReady)
 
     def make_leader(self, name: str) -> Machine:
-        """Hand the leadership over until a machine has it, and serves."""
+        """Transfer the leadership until the named machine leads and serves reads."""
         machine = self.machines[name]
         for _ in range(30):
             assert self.run_until(lambda: self.leader() and self.serves(self.leader()))
@@ -151,20 +151,20 @@
         raise AssertionError(f"{name} never leads")
 
     def others(self, machine: Machine) -> list[Machine]:
-        """Return the machines beside one."""
+        """Return the other machines."""
         return [other for other in self.machines.values() if other is not machine]
 
     def cut(self, first: Machine, *others: Machine) -> None:
-        """Cut the links of a machine with others, both ways."""
+        """Cut the links between a machine and others, or all others, in both directions."""
         for other in others or self.others(first):
             self.world.cuts |= {(first.name, other.name), (other.name, first.name)}
 
     def cut_one_way(self, sender: Machine, *recipients: Machine) -> None:
-        """Let what a machine sends to others no longer arrive."""
+        """Drop what a machine sends to others."""
         self.world.cuts |= {(sender.name, recipient.name) for recipient in recipients}
 
     def heal(self) -> None:
-        """End all cuts."""
+        """Restore all links."""
         self.world.cuts.clear()
 
     def start_proposal(self, machine: Machine) -> str:
@@ -175,13 +175,13 @@
         return number
 
     def propose(self, machine: Machine, timeout_s: float = TIMEOUT_S) -> Answer | None:
-        """Propose and return the answer, or None when there is none in time."""
+        """Propose and return the answer, or None if there is none in time."""
         number = self.start_proposal(machine)
         self.run_until(lambda: number in machine.answers, timeout_s)
         return machine.answers.get(number)
 
     def read(self, machine: Machine) -> Answer:
-        """Read at a machine; the answer comes at once."""
+        """Read at a machine and return its immediate answer."""
         number = f"read{next(self._numbers)}"
         machine.handle(ReadRequested(number))
         return machine.answers[number]
@@ -193,7 +193,7 @@
         return number
 
     def repair(self, name: str) -> bool:
-        """Make a machine's present incarnation a voter, learner first; tell whether it did."""
+        """Make a machine's current incarnation a voter, via learner; tell whether that succeeded."""
         machine = self.machines[name]
 
         def is_repaired() -> bool:
@@ -210,7 +210,7 @@
         return self.run_until(is_repaired)
 
     def finish(self) -> list[str]:
-        """End all faults, let the controllers recover, and return the rules broken."""
+        """End all faults, let the controllers recover, and return the violated invariants."""
         self.heal()
         self.release_held()
         for machine in self.machines.values():
@@ -227,5 +227,5 @@
 
 
 def is_leading(machine: Machine) -> bool:
-    """Tell whether a machine believes that it leads."""
+    """Tell whether a machine considers itself the leader."""
     return machine.is_up and machine.agreement.role is Role.LEADER
