--- a/features/support/controller_lab.py
+++ b/features/support/controller_lab.py
@@ -1,4 +1,4 @@
-"""Real controllers, proxies and operators' commands as processes, for tests of control."""
+"""Real controllers, proxies and operators' commands as processes, for tests of the control plane."""
 
 from __future__ import annotations
 
@@ -44,9 +44,9 @@
 
 
 class ControllerLab:
-    """Three controllers on loopback ports, and the files of two operators.
+    """Three controllers on loopback ports, and the settings of two operators.
 
-    :param folder: data, settings and logs
+    :param folder: folder for data, settings and logs
     """
 
     def __init__(self, folder: Path) -> None:
@@ -68,7 +68,7 @@
         self.wait_for_leader()
 
     def start_controller(self, name: str, **overrides: object) -> None:
-        """Start a controller, also again; its data folder stays."""
+        """Start or restart a controller; its data folder is kept."""
         peers = [{"name": n, "address": a} for n, a in self.addresses.items() if n != name]
         self.status_addresses[name] = free_address()
         settings = {
@@ -113,7 +113,7 @@
         return self._write(f"operator-{file}.yaml", settings)
 
     def run(self, *arguments: str, operator: str = "anna") -> subprocess.CompletedProcess:
-        """Run an operator's command to its end."""
+        """Run an operator's command and wait for its end."""
         return self.begin(*arguments, operator=operator).finish()
 
     def begin(self, *arguments: str, operator: str = "anna") -> RunningCommand:
@@ -122,7 +122,7 @@
         return RunningCommand([sys.executable, "-m", "limedyke.cli", *arguments, settings])
 
     def json(self, *arguments: str, operator: str = "anna") -> dict:
-        """Run an operator's command that has to succeed; return its JSON answer."""
+        """Run an operator's command that must succeed; return its JSON answer."""
         done = self.run(*arguments, "--output=json", operator=operator)
         assert done.returncode == 0, (arguments, done.returncode, done.stdout, done.stderr)
         return json.loads(done.stdout)
@@ -140,16 +140,16 @@
         wait_for(lambda: self.run("status").returncode == 0, "a leading controller")
 
     def kill(self, name: str) -> None:
-        """End a process as a crash does."""
+        """Kill a process."""
         self.processes[name].kill()
 
     def freeze(self, names: list[str]) -> None:
-        """Stop processes without ending them."""
+        """Suspend processes."""
         for name in names:
             self.processes[name].send_signal(signal.SIGSTOP)
 
     def thaw(self, names: list[str]) -> None:
-        """Let frozen processes go on."""
+        """Resume suspended processes."""
         for name in names:
             self.processes[name].send_signal(signal.SIGCONT)
 
@@ -180,7 +180,7 @@
 
 
 class RunningCommand:
-    """An operator's command under way."""
+    """An operator's command that is running."""
 
     def __init__(self, command: list[str]) -> None:
         self._process = subprocess.Popen(
