--- a/features/support/durable_log_damage.py
+++ b/features/support/durable_log_damage.py
@@ -1,4 +1,4 @@
-"""Damage to a durable log's files, as crashes and broken disks leave it."""
+"""Damage to a durable log's files, as crashes and faulty disks cause it."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def half_frame():
-    """Return what a write that was cut short leaves."""
+    """Return what an interrupted write leaves."""
     frame = encode_frame(IDENTITY.incarnation.encode(), 8, b"unfinished batch")
     return frame[: len(frame) // 2]
 
@@ -65,13 +65,13 @@
 
 
 def damage_middle(disk, path):
-    """Change a byte of the second frame: the header before it and a frame after it are whole."""
+    """Change a byte of the second frame; the frames before and after it stay valid."""
     second = disk.read(path).index(FRAME_MARKER, 1)
     disk.damage(path, second + 25)
 
 
 def replace_by_other_log(disk, path):
-    """Put in place a segment of the same name that another life of the folder wrote."""
+    """Replace a segment by one of the same name from a log of another incarnation."""
     other = SimulatedDisk(random.Random(1))
     identity = ControllerIdentity(IDENTITY.name, "earlier")
     log = open_durable_log(FOLDER, identity, other, segment_bytes=SMALL_SEGMENT_BYTES).unwrap()
@@ -84,7 +84,7 @@
     """Kill the process and damage a log of three segments and a snapshot.
 
     :param damage: the damage in the words of the feature
-    :returns: the log's files by the words of the feature
+    :returns: the log's files by their names in the feature
     """
     disk.kill_process()
     oldest, second, newest = segment_paths(disk)
@@ -117,18 +117,18 @@
 
 
 def saved_contact(time, identity=IDENTITY):
-    """Return a file with a note written on a disk that has not lost its power."""
+    """Return a leader-contact file written on a disk that did not lose power."""
     disk = SimulatedDisk(random.Random(1))
     LeaderContact(FOLDER, disk, identity).save(time)
     return disk._names[FOLDER / LEADER_CONTACT_NAME]
 
 
 def change_note(log, disk, time, event):
-    """Let something happen to the note of when a leader was last heard, and end the process.
+    """Change the saved leader contact, or end the process, as the feature says.
 
     :param disk: the simulated disk; None for a folder of the operating system
-    :param time: what the note says, in seconds
-    :param event: what happens, in the words of the feature
+    :param time: the saved time in seconds
+    :param event: the event in the words of the feature
     """
     path = FOLDER / LEADER_CONTACT_NAME
     match event:
@@ -140,7 +140,7 @@
             log.close()
         case "the power is lost":
             disk.crash()
-            # Let the whole note survive: it must not count all the same.
+            # Even if the whole file survives the power loss, it must be ignored.
             disk._names[path] = saved_contact(time)
         case "a byte of the note is changed":
             disk.kill_process()
