--- a/features/support/durable_log_world.py
+++ b/features/support/durable_log_world.py
@@ -1,4 +1,4 @@
-"""A durable log on a simulated disk, and a model of what it must hold after a crash."""
+"""A durable log on a simulated disk, and a model of its allowed content after a crash."""
 
 from __future__ import annotations
 
@@ -38,19 +38,19 @@
 
 @dataclass(frozen=True)
 class Operation:
-    """A write, and the state it leads to when all of it counts."""
+    """A write, and the state after it if it completes."""
 
     run: Callable[[DurableLog], Result[None, Failure]]
     after: StoredState
 
 
 def last_index(state: StoredState) -> int:
-    """Return the last entry of a state."""
+    """Return the index of the last entry of a state."""
     return state.snapshot.index + len(state.entries)
 
 
 def draw_operation(rng: random.Random, state: StoredState) -> Operation:
-    """Draw a write that is allowed in a state."""
+    """Choose a random write that is allowed in a state."""
     draws = (_append, _append, _append, _vote, _truncate, _save_snapshot, _install_snapshot)
     return rng.choice(draws)(rng, state)
 
@@ -89,7 +89,7 @@
 
 
 def _install_snapshot(rng: random.Random, state: StoredState) -> Operation:
-    """Install a snapshot beside the log, of a higher term than any entry in it."""
+    """Install a snapshot that conflicts with the log: its term is higher than that of any entry."""
     index = state.snapshot.index + rng.randint(1, len(state.entries) + 3)
     term = state.hard_state.term + 1
     snapshot = Snapshot(index, term, data=bytes(rng.randint(0, 80)))
@@ -103,9 +103,9 @@
 
 
 class CrashRun:
-    """One history of writes that ends in a power loss at a given disk operation.
+    """One sequence of writes that ends in a power loss at a given disk operation.
 
-    :param seed: decides the writes and what of the unsynced data survives
+    :param seed: decides the writes, and which unsynced data survives
     """
 
     def __init__(self, seed: int) -> None:
@@ -114,7 +114,7 @@
         self._allowed = [StoredState()]
 
     def run(self, power_loss_at: int) -> tuple[bool, str]:
-        """Return whether the power was lost before all writes ended, and what is wrong."""
+        """Return whether power was lost before all writes ended, and the problem found, if any."""
         self._disk.lose_power_after(power_loss_at)
         try:
             self._write_all()
@@ -135,7 +135,7 @@
             self._allowed = [state]
 
     def _reopen(self) -> str:
-        """Lose the power again while the log is opened, then compare what it holds."""
+        """Reopen the log, losing power again meanwhile, and compare its content with the model."""
         for _ in range(POWER_LOSSES_AT_REOPEN):
             self._disk.lose_power_after(self._rng.randint(0, 8))
             try:
@@ -161,7 +161,7 @@
 
 
 def crash_at_every_step(seeds: range) -> tuple[int, str]:
-    """Crash each history at every disk operation; return how many, and the first problem."""
+    """Crash each sequence at every disk operation; return their number and the first problem."""
     crashes = 0
     for seed in seeds:
         was_lost = True
