--- a/features/mutants/agreement_safeguards.py
+++ b/features/mutants/agreement_safeguards.py
@@ -1,4 +1,4 @@
-"""Mutants of the controllers' agreement and of their durable log."""
+"""Mutants of the controllers' agreement and of the durable log."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class NoticedWithSafeguardError(Exception):
-    """The check notices something although the safeguard is in place."""
+    """The check fails although the safeguard is in place."""
 
 
 def _judge(notices: Callable[[], bool], patches: Callable[[], object]) -> bool:
@@ -62,7 +62,7 @@
 
 
 def _script_mutant(name: str) -> bool:
-    """Tell whether the mutant breaks its script under each of the seeds."""
+    """Tell whether the mutant fails its script under each of the seeds."""
     script = SCRIPTS[name]
     for seed in SCRIPT_SEEDS:
         broken = run_script(script, seed=seed)
@@ -77,7 +77,7 @@
 
 
 def _failed_sync_loses(goes_on_in_new_process: bool) -> bool:
-    """Fail a sync, go on, lose the power; tell whether anything that counted is gone."""
+    """Fail a sync, continue, lose power; tell whether an acknowledged entry is lost."""
     disk = SimulatedDisk(random.Random(3))
     log = open_log(disk).unwrap()
     log.append((entry(1),)).unwrap()
