--- a/features/support/agreement_storage_scripts.py
+++ b/features/support/agreement_storage_scripts.py
@@ -36,7 +36,7 @@
 
 
 def lost_disk(cluster: ScriptedCluster) -> None:
-    """A holder of an accepted proposal loses its disk, and meets a controller without the proposal."""
+    """A holder of an accepted proposal loses its disk, and meets one without the proposal."""
     leader = cluster.make_leader("a")
     behind, lost = cluster.machines["b"], cluster.machines["c"]
     cluster.cut(behind)
