--- a/features/support/agreement_world.py
+++ b/features/support/agreement_world.py
@@ -193,7 +193,7 @@
         return number
 
     def repair(self, name: str) -> bool:
-        """Make a machine's current incarnation a voter, via learner; tell whether that succeeded."""
+        """Make a machine's current incarnation a voter, learner first; tell whether it became one."""
         machine = self.machines[name]
 
         def is_repaired() -> bool:
