--- a/features/support/controller_lab.py
+++ b/features/support/controller_lab.py
@@ -1,4 +1,4 @@
-"""Real controllers, proxies and operators' commands as processes, for tests of the control plane."""
+"""Real controllers, proxies and operators' commands as processes, for control-plane tests."""
 
 from __future__ import annotations
 
