--- a/features/support/agreement_mutants.py
+++ b/features/support/agreement_mutants.py
@@ -133,12 +133,12 @@
 
 def _acknowledge_first_leader_only(self: AgreementState, leader: ControllerIdentity) -> None:
     if self.vouched_for is None:
-        _VOUCH_FOR(self, leader)
+        _ACKNOWLEDGE_LEADER(self, leader)
 
 
 def _store_first_leader_only(self: AgreementState, leader: ControllerIdentity) -> None:
     if self.vouched_for is None:
-        _VOUCH_FOR(self, leader)
+        _ACKNOWLEDGE_LEADER(self, leader)
     self.vouched_for = leader
 
 
@@ -147,7 +147,7 @@
 
 
 _CONFIRM = LeaderLease.confirm
-_VOUCH_FOR = AgreementState.vouch_for
+_ACKNOWLEDGE_LEADER = AgreementState.acknowledge_leader
 _CONTINUE_TRANSFER = Leader._continue_transfer
 _SAVE_CONTACT = DurableLog.save_leader_contact
 _READ = Leader.read
@@ -196,10 +196,10 @@
         ((Election, "_bound_by_other_lease", _bound_by_any_lease),)
     ),
     "takes the first leader it vouched for as the last": Mutant(
-        ((AgreementState, "vouch_for", _acknowledge_first_leader_only),)
+        ((AgreementState, "acknowledge_leader", _acknowledge_first_leader_only),)
     ),
     "notes only the first leader on disk": Mutant(
-        ((AgreementState, "vouch_for", _store_first_leader_only),)
+        ((AgreementState, "acknowledge_leader", _store_first_leader_only),)
     ),
     "reads without the lease": Mutant(((Leader, "read", _read_without_checks),)),
     "reads before an entry of its own term is applied": Mutant(
--- a/limedyke/core/agreement/agreement.py
+++ b/limedyke/core/agreement/agreement.py
@@ -203,7 +203,7 @@
             self._answer_old_leader(sender)
             return
         self._become_follower(message.term, sender)
-        state.vouch_for(sender)
+        state.acknowledge_leader(sender)
         state.leader_contact_at = state.now
         state.reset_election_deadline()
         state.quorum_stamp = max(state.quorum_stamp, message.quorum_stamp)
--- a/limedyke/core/agreement/leader.py
+++ b/limedyke/core/agreement/leader.py
@@ -53,7 +53,7 @@
         self.replication.start()
         self.lease.start()
         state.set_role(Role.LEADER, state.identity)
-        state.vouch_for(state.identity)
+        state.acknowledge_leader(state.identity)
         self._first_index = self._append(EntryKind.NOOP, b"")
         self.heartbeat()
 
--- a/limedyke/core/agreement/state.py
+++ b/limedyke/core/agreement/state.py
@@ -235,7 +235,7 @@
         self.vote = vote
         return self._write_hard_state()
 
-    def vouch_for(self, leader: ControllerIdentity) -> None:
+    def acknowledge_leader(self, leader: ControllerIdentity) -> None:
         """Store which leader, possibly itself, this controller acknowledges from now on.
 
         That leader's lease may rest on the acknowledgement until the leader asks for votes itself;
