--- a/features/support/agreement_mutants.py
+++ b/features/support/agreement_mutants.py
@@ -128,7 +128,7 @@
 
 
 def _bound_by_any_lease(self: Election, sender: ControllerIdentity) -> bool:
-    return self._leads() or self._state.heard_leader_recently()
+    return self._leads() or self._state.lease_may_be_valid()
 
 
 def _acknowledge_first_leader_only(self: AgreementState, leader: ControllerIdentity) -> None:
@@ -181,7 +181,7 @@
         ((LeaderLease, "confirm", _confirm_at_receipt),)
     ),
     "gives votes while it hears a leader": Mutant(
-        ((AgreementState, "heard_leader_recently", lambda self: False),)
+        ((AgreementState, "lease_may_be_valid", lambda self: False),)
     ),
     "gives votes right after a restart": Mutant(
         ((AgreementState, "__init__", _init_without_lease_wait),)
--- a/limedyke/core/agreement/election.py
+++ b/limedyke/core/agreement/election.py
@@ -187,7 +187,7 @@
         state = self._state
         if self._leads():
             return True
-        return state.heard_leader_recently() and sender != state.vouched_for
+        return state.lease_may_be_valid() and sender != state.vouched_for
 
     def _is_up_to_date(self, last_index: int, last_term: int) -> bool:
         log = self._state.log
--- a/limedyke/core/agreement/state.py
+++ b/limedyke/core/agreement/state.py
@@ -181,7 +181,7 @@
             self.timing.pre_vote_retry_minimum_s, self.timing.pre_vote_retry_maximum_s
         )
 
-    def heard_leader_recently(self) -> bool:
+    def lease_may_be_valid(self) -> bool:
         """Tell whether a lease that this voter confirmed may still be valid."""
         return self.now < self.leader_contact_at + self.timing.election_timeout_minimum_s
 
