--- a/limedyke/controller/replica.py
+++ b/limedyke/controller/replica.py
@@ -174,7 +174,7 @@
         leader = self.leader_address(self._advertise)
         if self.leads:
             self.non_members[call.identity.name] = call.identity
-            self.waiting.note(call.identity, call.address, boot_seconds())
+            self.waiting.record(call.identity, call.address, boot_seconds())
         retry_after_ms = int(self.waiting.interval_s * MS_PER_S)
         return CallAnswer(leader=leader, members=self._members(), retry_after_ms=retry_after_ms)
 
--- a/limedyke/controller/waiting_controllers.py
+++ b/limedyke/controller/waiting_controllers.py
@@ -40,7 +40,7 @@
         """Interval at which each should announce itself; it grows with their number."""
         return _interval_s(len(self._waiting))
 
-    def note(self, identity: ControllerIdentity, address: str, now: float) -> None:
+    def record(self, identity: ControllerIdentity, address: str, now: float) -> None:
         """Record an announcement, and remove the controllers that stopped announcing themselves.
 
         :param now: seconds of the leader's clock
