--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -121,8 +121,8 @@
         self._network = PeerNetwork(
             log.identity, self._link_identity, self._keys, settings.source_ip, self._receive
         )
-        waits = settings.voters_wanted and settings.join and log.snapshot_index == 0
-        self._network.dials_eagerly = not waits
+        waits_to_join = settings.voters_wanted and settings.join and log.snapshot_index == 0
+        self._network.dials_eagerly = not waits_to_join
         for peer in settings.peers:
             self._network.set_address(peer.name, peer.address)
         self._founding: FoundingPhase | None = None
