--- a/features/support/agreement_world.py
+++ b/features/support/agreement_world.py
@@ -193,7 +193,7 @@
         return number
 
     def repair(self, name: str) -> bool:
-        """Make a machine's current incarnation a voter, learner first; tell whether it became one."""
+        """Make a machine's current incarnation a voter, learner first; tell whether it is one."""
         machine = self.machines[name]
 
         def is_repaired() -> bool:
