--- a/limedyke/core/agreement/timing.py
+++ b/limedyke/core/agreement/timing.py
@@ -62,8 +62,8 @@
     def lease_s(self) -> float:
         """Duration of the leader's lease from the sending of a confirmed heartbeat round.
 
-        A voter waits the minimum election timeout by its own clock, which lasts at least ``timeout
-        / (1 + drift)``; the leader's clock may run slow by ``1 - drift``.
+        A voter waits the minimum election timeout by its own clock, which lasts at least the
+        timeout divided by ``1 + drift``; the leader's clock may run slow by ``1 - drift``.
         """
         drift = self.clock_drift_bound
         return self.election_timeout_minimum_s * (1.0 - drift) / (1.0 + drift)
