--- a/limedyke/storage/agreement_storage.py
+++ b/limedyke/storage/agreement_storage.py
@@ -70,8 +70,8 @@
 
         :returns: a failure, to be passed to the core instead of answering the leader
         """
-        noted = self._log.save_leader_contact(contact_at)
-        return StorageFailed(str(noted.unwrap_err())) if noted.is_err() else None
+        saved = self._log.save_leader_contact(contact_at)
+        return StorageFailed(str(saved.unwrap_err())) if saved.is_err() else None
 
     def disk_is_writable(self) -> bool:
         """Tell whether the disk accepts writes again."""
