--- a/limedyke/storage/log_replay.py
+++ b/limedyke/storage/log_replay.py
@@ -96,7 +96,7 @@
 
     def _append(self, entry: LogEntry) -> None:
         if entry.index != self.last_index + 1:
-            raise ValueError(f"entry {entry.index} follows entry {self.last_index}")
+            raise ValueError(f"entry {entry.index} does not follow entry {self.last_index}")
         self.entries.append(entry)
 
     def _truncate(self, index: int) -> None:
@@ -153,9 +153,9 @@
         if is_first:
             self._take_first_header(header, frame)
         if header.number != number:
-            raise CorruptLogError(path, 0, f"the header says segment {header.number}")
+            raise CorruptLogError(path, 0, f"the header names segment {header.number}")
         if header.base_index != log.last_index:
-            reason = f"it follows entry {header.base_index}, not {log.last_index}"
+            reason = f"the segment follows entry {header.base_index}, not entry {log.last_index}"
             raise CorruptLogError(path, 0, reason)
         self._check_sequence(path, frame)
         log.segments.append(SegmentSummary(number, log.last_index))
@@ -168,7 +168,7 @@
     def _check_sequence(self, path: Path, frame: Frame) -> None:
         expected = self._log.next_sequence
         if frame.sequence != expected:
-            reason = f"frame {frame.sequence} is where frame {expected} should be"
+            reason = f"found frame {frame.sequence}, expected frame {expected}"
             raise CorruptLogError(path, frame.offset, reason)
         self._log.next_sequence = expected + 1
 
