--- a/limedyke/controller/peer_network.py
+++ b/limedyke/controller/peer_network.py
@@ -201,4 +201,4 @@
         while address == outgoing.address:
             for envelope in await outgoing.mailbox.take_all():
                 await link.send(envelope)
-        raise LinkClosedError("the peer has another address")
+        raise LinkClosedError("the address of the peer changed")
