--- a/limedyke/controller/platform_list.py
+++ b/limedyke/controller/platform_list.py
@@ -115,4 +115,4 @@
         elif isinstance(event, h11.EndOfMessage):
             return body
         elif isinstance(event, h11.ConnectionClosed):
-            raise PlatformListError("the connection ended early")
+            raise PlatformListError("the connection closed before the end of the response")
