--- a/limedyke/controller/leading/proxy_sessions.py
+++ b/limedyke/controller/leading/proxy_sessions.py
@@ -63,7 +63,7 @@
     async def send(self, message: object) -> None:
         """Queue a message; a proxy that does not read is disconnected."""
         if len(self._outgoing) >= OUTGOING_LIMIT:
-            await self.close("it does not read")
+            await self.close("the proxy does not read")
             return
         self._outgoing.append(message)
         await self._wakeup.set()
@@ -170,7 +170,9 @@
     async def serve(self, link: Link, hello: ProxyHello) -> None:
         """Serve one proxy until its link ends."""
         if hello.name != link.peer_name:
-            raise LinkClosedError(f"{link.peer_name} says it is {hello.name}")
+            raise LinkClosedError(
+                f"the hello names {hello.name}, the link belongs to {link.peer_name}"
+            )
         if not self._admits(hello):
             await self._refuse(link, hello)
             return
