--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -313,7 +313,7 @@
         while True:
             await curio.sleep(LEADERSHIP_CHECK_S)
             if self._leader_task is not None and self._leader_task.terminated:
-                raise RuntimeError("the leader's work ended by itself")
+                raise RuntimeError("the leader service ended unexpectedly")
             if not self._replica.leads:
                 await self._stop_leading()
             elif self._leader is None:
