--- a/features/steps/leader_losses_steps.py
+++ b/features/steps/leader_losses_steps.py
@@ -10,13 +10,13 @@
 
 from features.support.agreement_script_tools import propose_accepted
 from features.support.agreement_world import ScriptedCluster
-from limedyke.controller.leading.call_counts import KINDS, CallCounts
+from limedyke.controller.leading.call_counts import CALL_KINDS, CallCounts
 from limedyke.controller.metrics import ControllerMetrics
 from limedyke.messages.calls import CallAnswer
 from limedyke.result_codes import ResultCode
 
 CALL_S = 0.02
-KIND_OF_NAME = {name: call for call, name in KINDS.items()}
+KIND_OF_NAME = {name: call for call, name in CALL_KINDS.items()}
 
 
 @given("leader losses: voters a b c of which a leads")
--- a/limedyke/controller/leading/call_counts.py
+++ b/limedyke/controller/leading/call_counts.py
@@ -16,9 +16,9 @@
     WithdrawCall,
 )
 
-LINE_INTERVAL_S = 5.0
+LOG_INTERVAL_S = 5.0
 """Seconds between two log lines about the load of a busy leader."""
-KINDS = {
+CALL_KINDS = {
     DeclareCall: "declare",
     ReadDeclarationCall: "read",
     AnnounceCall: "announce",
@@ -45,15 +45,15 @@
 
         :param began_at: when the call arrived, by the same clock as ``now``
         """
-        kind = KINDS[type(call)]
+        kind = CALL_KINDS[type(call)]
         outcome = f"LD{answer.code}" if answer.code else "ok"
         self._metrics.calls.labels(kind, outcome).inc()
         self._recent_counts[f"{kind}/{outcome}"] += 1
         self._recent_seconds[f"{kind}/{outcome}"] += now - began_at
-        if now >= self._counted_since + LINE_INTERVAL_S:
-            self._write_line(now)
+        if now >= self._counted_since + LOG_INTERVAL_S:
+            self._log_counts(now)
 
-    def _write_line(self, now: float) -> None:
+    def _log_counts(self, now: float) -> None:
         mean_ms = {
             name: 1_000 * self._recent_seconds[name] / n for name, n in self._recent_counts.items()
         }
