--- a/limedyke/controller/call_router.py
+++ b/limedyke/controller/call_router.py
@@ -9,7 +9,7 @@
 import curio
 from result import Err
 
-from limedyke.controller.leading.leader_calls import LeaderCalls, failed
+from limedyke.controller.leading.leader_calls import LeaderCalls, failure_answer
 from limedyke.event_log import EventLog
 from limedyke.link_tasks import until_closed
 from limedyke.messages.calls import Call, CallAnswer, ForwardedAnswer, ForwardedCall
@@ -43,7 +43,7 @@
             await self.link.send(ForwardedCall(number, call))
             return await answers.get()
         except LinkClosedError as error:
-            return _lost(str(error))
+            return _unknown_outcome(str(error))
         finally:
             self._waiting.pop(number, None)
 
@@ -62,7 +62,7 @@
         reason = await until_closed(self._receive)
         self.is_open = False
         for answers in list(self._waiting.values()):
-            await answers.put(_lost(reason))
+            await answers.put(_unknown_outcome(reason))
         await self.link.close()
 
     async def _receive(self) -> None:
@@ -75,8 +75,8 @@
                 await answers.put(message.answer)
 
 
-def _lost(reason: str) -> CallAnswer:
-    return failed(Failure(ResultCode.CONTROL_OUTCOME_UNKNOWN, reason))
+def _unknown_outcome(reason: str) -> CallAnswer:
+    return failure_answer(Failure(ResultCode.CONTROL_OUTCOME_UNKNOWN, reason))
 
 
 class CallRouter:
@@ -120,37 +120,37 @@
         limit_s = min(timeout_s, self._answer_deadline - time.monotonic())
         async with curio.ignore_after(max(0.0, limit_s)):
             return await self._ask(call)
-        return _lost("no answer in time")
+        return _unknown_outcome("no answer in time")
 
     async def ask_leader(self, address: str, call: Call) -> CallAnswer:
         """Ask the controller at an address over the persistent link to the leader."""
         async with curio.ignore_after(CALL_TIMEOUT_S):
             link = await self._leader_link(address)
             if link is None:
-                return _lost("not reached")
+                return _unknown_outcome("not reached")
             return await link.ask(call)
-        return _lost("no answer in time")
+        return _unknown_outcome("no answer in time")
 
     async def ask_at(self, address: str, call: Call) -> CallAnswer:
         """Ask any controller over a link that is opened for this call."""
         async with curio.ignore_after(CALL_TIMEOUT_S):
             return await self._ask_at(address, call)
-        return _lost("no answer in time")
+        return _unknown_outcome("no answer in time")
 
     async def _ask_at(self, address: str, call: Call) -> CallAnswer:
         dialled = await dial(address, self._identity, self._keys, self._source_ip, DIAL_TIMEOUT_S)
         if isinstance(dialled, Err):
-            return _lost(str(dialled.err_value))
+            return _unknown_outcome(str(dialled.err_value))
         link = dialled.ok_value
         try:
             await link.send(ForwardedCall(0, call))
             answered = await link.receive()
         except LinkClosedError as error:
-            return _lost(str(error))
+            return _unknown_outcome(str(error))
         finally:
             await link.close()
         if not isinstance(answered, ForwardedAnswer):
-            return _lost(f"unexpected {type(answered).__name__}")
+            return _unknown_outcome(f"unexpected {type(answered).__name__}")
         return answered.answer
 
     async def serve(self, link: Link) -> None:
@@ -163,7 +163,7 @@
 
     async def _answer_forwarded(self, link: Link, message: ForwardedCall) -> None:
         calls = self._calls()
-        answer = failed(Failure(ResultCode.NOT_LEADER))
+        answer = failure_answer(Failure(ResultCode.NOT_LEADER))
         with self._forwarded:
             if calls is not None:
                 answer = await calls.answer_forwarded(message.call)
@@ -172,7 +172,7 @@
     async def _ask(self, call: Call) -> CallAnswer:
         calls = self._calls()
         if calls is None:
-            return failed(Failure(ResultCode.NOT_LEADER, "No cluster is known yet."))
+            return failure_answer(Failure(ResultCode.NOT_LEADER, "No cluster is known yet."))
         answer = await calls.answer(call)
         if answer.code != ResultCode.NOT_LEADER.value.number:
             return answer
--- a/limedyke/controller/leading/leader_calls.py
+++ b/limedyke/controller/leading/leader_calls.py
@@ -31,7 +31,7 @@
 EVENTS = EventLog("calls")
 
 
-def failed(failure: Failure) -> CallAnswer:
+def failure_answer(failure: Failure) -> CallAnswer:
     """Return a failure as the answer to a call."""
     return CallAnswer(code=failure.code.value.number, detail=str(failure))
 
@@ -77,7 +77,7 @@
         """Execute a call, or answer that this controller does not lead."""
         service = self._leader()
         if service is None or not self._replica.leads:
-            return failed(Failure(ResultCode.NOT_LEADER))
+            return failure_answer(Failure(ResultCode.NOT_LEADER))
         began_at = boot_seconds()
         answer = await self._execute(call, service)
         self._counts.answered(call, answer, began_at, boot_seconds())
@@ -97,13 +97,15 @@
     async def _declare(self, call: DeclareCall, service: LeaderService) -> CallAnswer:
         if not self._has_enough_voters(service):
             detail = "Too few controllers hold the log yet."
-            return failed(Failure(ResultCode.NOT_LEADER, detail, 200))
+            return failure_answer(Failure(ResultCode.NOT_LEADER, detail, 200))
         entry = DeclareVersion(call.version, call.document, call.declaration)
         result = await self._replica.propose(entry)
         if isinstance(result, Err):
-            return failed(result.err_value)
+            return failure_answer(result.err_value)
         if not isinstance(result.ok_value, DeclaredVersion):
-            return failed(Failure(ResultCode.CONTROL_OUTCOME_UNKNOWN, "The leadership was lost."))
+            return failure_answer(
+                Failure(ResultCode.CONTROL_OUTCOME_UNKNOWN, "The leadership was lost.")
+            )
         in_force = result.ok_value.version
         EVENTS.info("declaration", version=call.version, in_force=in_force)
         return CallAnswer(version=in_force, leader=self._advertise)
@@ -119,7 +121,7 @@
     async def _read(self) -> CallAnswer:
         confirmed = await self._replica.confirm_leadership()
         if isinstance(confirmed, Err):
-            return failed(confirmed.err_value)
+            return failure_answer(confirmed.err_value)
         state = self._replica.state
         return CallAnswer(version=state.version, document=state.document, leader=self._advertise)
 
@@ -139,9 +141,11 @@
             return CallAnswer(leader=self._advertise)
         result = await self._replica.propose(entry)
         if isinstance(result, Err):
-            return failed(result.err_value)
+            return failure_answer(result.err_value)
         if result.ok_value is None:
-            return failed(Failure(ResultCode.CONTROL_OUTCOME_UNKNOWN, "The leadership was lost."))
+            return failure_answer(
+                Failure(ResultCode.CONTROL_OUTCOME_UNKNOWN, "The leadership was lost.")
+            )
         members = ",".join(f"{m.identity}:{m.state}" for m in entry.members)
         EVENTS.info("members-recorded", members=members, removed=",".join(entry.removed))
         return CallAnswer(leader=self._advertise)
