--- a/limedyke/controller/leading/leader_calls.py
+++ b/limedyke/controller/leading/leader_calls.py
@@ -126,13 +126,13 @@
         return CallAnswer(version=state.version, document=state.document, leader=self._advertise)
 
     async def _announce(self, call: AnnounceCall, service: LeaderService) -> CallAnswer:
-        book = service.decisions.announcements
-        entry = book.announced(call.member, call.sequence, boot_seconds())
+        announcements = service.decisions.announcements
+        entry = announcements.announced(call.member, call.sequence, boot_seconds())
         return await self._record(entry)
 
     async def _withdraw(self, call: WithdrawCall, service: LeaderService) -> CallAnswer:
-        book = service.decisions.announcements
-        entry = book.withdrawn(call.identity, boot_seconds(), call.started_at_ms)
+        announcements = service.decisions.announcements
+        entry = announcements.withdrawn(call.identity, boot_seconds(), call.started_at_ms)
         return await self._record(entry)
 
     async def _record(self, entry: ControlEntry | None) -> CallAnswer:
