--- a/features/steps/controller_full_disk_steps.py
+++ b/features/steps/controller_full_disk_steps.py
@@ -206,7 +206,7 @@
         world.disks[context.full].failing_notes = 1
         failed = replica._storage.save_leader_contact(time.monotonic())
         assert failed is not None
-        await replica._note_storage_failure(failed)
+        await replica._record_storage_failure(failed)
 
     run(context, fail)
 
--- a/limedyke/controller/replica.py
+++ b/limedyke/controller/replica.py
@@ -201,9 +201,9 @@
             disk = await tasks.spawn(self._wait_for_disk_after_failure)
         if tasks.completed is not disk or disk.exception is not None:
             raise tasks.completed.exception
-        await self._end()
+        await self._shut_down()
 
-    async def _end(self) -> None:
+    async def _shut_down(self) -> None:
         """Stop the agreement, fail pending requests and release the disk."""
         failed = StorageFailed(self.storage_failure)
         for command in self.agreement.handle(failed, boot_seconds()):
@@ -311,7 +311,7 @@
         failed = self._storage.save_leader_contact(contact_at)
         if failed is None:
             return commands
-        await self._note_storage_failure(failed)
+        await self._record_storage_failure(failed)
         kept = [command for command in commands if not isinstance(command, SendMessage)]
         return kept + self.agreement.handle(failed, now)
 
@@ -338,11 +338,11 @@
             self._longest_sync_s = max(self._longest_sync_s, took_s)
             self._metrics.sync_seconds.observe(took_s)
             if isinstance(outcome, StorageFailed):
-                await self._note_storage_failure(outcome)
+                await self._record_storage_failure(outcome)
             if outcome is not None:
                 await self._events.put(outcome)
 
-    async def _note_storage_failure(self, failed: StorageFailed) -> None:
+    async def _record_storage_failure(self, failed: StorageFailed) -> None:
         if not self.storage_failure:
             EVENTS.error("storage-failed", reason=failed.reason)
         self.storage_failure = failed.reason
@@ -367,14 +367,14 @@
                 self._metrics.snapshots.labels("installed").inc()
                 await self._restore(command.snapshot)
             case RoleChanged() | SteppedDown():
-                self._note_role(command)
+                self._report_role(command)
                 await self._on_role()
             case _:
                 if isinstance(command, SaveSnapshot):
                     self._snapshot = command.snapshot
                 await self._writes.put(command)
 
-    def _note_role(self, command: RoleChanged | SteppedDown) -> None:
+    def _report_role(self, command: RoleChanged | SteppedDown) -> None:
         """Count and log a role change."""
         if isinstance(command, SteppedDown):
             self._metrics.step_downs.labels(command.reason).inc()
@@ -417,10 +417,10 @@
             if applied.answer is not None and self.agreement.role is Role.LEADER:
                 self._answers[entry.index] = applied.answer
             if applied.update is not None:
-                await self._pass_on(applied.update)
+                await self._publish_update(applied.update)
         self._learn_addresses()
 
-    async def _pass_on(self, update: ControlUpdate) -> None:
+    async def _publish_update(self, update: ControlUpdate) -> None:
         """Keep an update for proxies that lag, and pass it to those that are connected."""
         self.updates.add(update)
         changed_homes = frozenset(self.homes.apply(update))
