--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -167,7 +167,7 @@
             await tasks.spawn(self._pages.run, self._settings.status_listen)
             if self._edge is not None:
                 await tasks.spawn(self._edge.run, self._call_router, self.learn_peers)
-            work = await tasks.spawn(self._work)
+            work = await tasks.spawn(self._run_replicas)
             waiter = await tasks.spawn(self._wait_for_stop, stop)
         finished = tasks.completed
         if finished is waiter:
@@ -184,7 +184,7 @@
         elif self._founding is not None:
             await self._founding.receive(sender, message)
 
-    async def _work(self) -> None:
+    async def _run_replicas(self) -> None:
         if self.log.snapshot_index == 0 and not self._settings.join:
             self._founding = FoundingPhase(self.log, self._network, self._voter_names)
             await self._founding.run()
