--- a/limedyke/storage/log_replay.py
+++ b/limedyke/storage/log_replay.py
@@ -139,7 +139,7 @@
             if frame is None:
                 self._cut_tail(path, content, offset, is_last)
                 break
-            self._take_frame(path, frame)
+            self._apply_frame(path, frame)
             offset = frame.end
         self._log.active_content = content[:offset]
 
@@ -151,7 +151,7 @@
             raise CorruptLogError(path, 0, str(error)) from error
         is_first = not log.segments
         if is_first:
-            self._take_first_header(header, frame)
+            self._apply_first_header(header, frame)
         if header.number != number:
             raise CorruptLogError(path, 0, f"the header names segment {header.number}")
         if header.base_index != log.last_index:
@@ -160,7 +160,7 @@
         self._check_sequence(path, frame)
         log.segments.append(SegmentSummary(number, log.last_index))
 
-    def _take_first_header(self, header: SegmentHeader, frame: Frame) -> None:
+    def _apply_first_header(self, header: SegmentHeader, frame: Frame) -> None:
         self._log.base_index = header.base_index
         self._log.hard_state = header.hard_state
         self._log.next_sequence = frame.sequence
@@ -172,7 +172,7 @@
             raise CorruptLogError(path, frame.offset, reason)
         self._log.next_sequence = expected + 1
 
-    def _take_frame(self, path: Path, frame: Frame) -> None:
+    def _apply_frame(self, path: Path, frame: Frame) -> None:
         self._check_sequence(path, frame)
         log = self._log
         try:
