--- a/limedyke/controller/leading/proxy_sessions.py
+++ b/limedyke/controller/leading/proxy_sessions.py
@@ -140,32 +140,32 @@
 
     def traffic(self) -> tuple[int, int]:
         """Return the bytes received and sent on the current links."""
-        counters = [entry.link.counters for entry in self._links.values()]
+        counters = [proxy_link.link.counters for proxy_link in self._links.values()]
         received = sum(counter.bytes_in for counter in counters)
         return received, sum(counter.bytes_out for counter in counters)
 
     async def send(self, proxy: str, message: object) -> None:
         """Queue a message for a proxy, if it is connected."""
-        entry = self._links.get(proxy)
-        if entry is not None:
-            await entry.send(message)
+        proxy_link = self._links.get(proxy)
+        if proxy_link is not None:
+            await proxy_link.send(message)
 
     async def notify_update(self) -> None:
         """Schedule sending the newest state to all proxies."""
-        for entry in list(self._links.values()):
-            await entry.notify_update()
+        for proxy_link in list(self._links.values()):
+            await proxy_link.notify_update()
 
     async def disconnect(self, proxy: str, reason: str) -> None:
         """Close a proxy's link."""
-        entry = self._links.get(proxy)
-        if entry is not None:
-            await entry.close(reason)
+        proxy_link = self._links.get(proxy)
+        if proxy_link is not None:
+            await proxy_link.close(reason)
 
     async def close_all(self, leader: str) -> None:
         """Redirect all proxies to another controller and close their links."""
-        for entry in list(self._links.values()):
-            await entry.send(NotLeader(leader))
-            await entry.close("this controller no longer leads")
+        for proxy_link in list(self._links.values()):
+            await proxy_link.send(NotLeader(leader))
+            await proxy_link.close("this controller no longer leads")
 
     async def serve(self, link: Link, hello: ProxyHello) -> None:
         """Serve one proxy until its link ends."""
@@ -179,15 +179,15 @@
         previous = self._links.get(hello.name)
         if previous is not None:
             await previous.close("the proxy reconnected")
-        entry = self._links[hello.name] = ProxyLink(link, hello)
+        proxy_link = self._links[hello.name] = ProxyLink(link, hello)
         await self._post(ProxyConnected(hello))
-        await entry.notify_update()
+        await proxy_link.notify_update()
         try:
             async with curio.TaskGroup(wait=any) as tasks:
-                await tasks.spawn(until_closed, self._read_all, entry)
-                await tasks.spawn(until_closed, entry.write_all, self._next_update)
+                await tasks.spawn(until_closed, self._read_all, proxy_link)
+                await tasks.spawn(until_closed, proxy_link.write_all, self._next_update)
         finally:
-            if self._links.get(hello.name) is entry:
+            if self._links.get(hello.name) is proxy_link:
                 del self._links[hello.name]
                 await self._post(ProxyDisconnected(hello.name))
 
@@ -197,13 +197,13 @@
         number = ResultCode.PROXY_NAME_TAKEN.value.number
         await link.send(ProxyRefused(number, EARLIER_PROCESS, REFUSED_PAUSE_MS))
 
-    async def _read_all(self, entry: ProxyLink) -> None:
+    async def _read_all(self, proxy_link: ProxyLink) -> None:
         first = True
         while True:
-            message = await entry.link.receive()
-            if self._links.get(entry.name) is not entry:
+            message = await proxy_link.link.receive()
+            if self._links.get(proxy_link.name) is not proxy_link:
                 raise LinkClosedError("the proxy reconnected")
-            event = _event_of(entry.name, message, first)
+            event = _event_of(proxy_link.name, message, first)
             if isinstance(message, ProxyHeartbeat):
                 first = False
             await self._post(event)
