--- a/limedyke/core/agreement/state.py
+++ b/limedyke/core/agreement/state.py
@@ -176,7 +176,11 @@
         self.election_deadline = max(bound_until, links_are_up_at) + spread
 
     def schedule_pre_vote_retry(self) -> None:
-        """Draw a new random deadline to repeat a pre-vote, which disturbs no current leader."""
+        """Draw a new random deadline to repeat a pre-vote.
+
+        It is shorter than an election timeout, because a pre-vote does not disturb a current
+        leader.
+        """
         self.election_deadline = self.now + self.rng.uniform(
             self.timing.pre_vote_retry_minimum_s, self.timing.pre_vote_retry_maximum_s
         )
