--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -54,7 +54,7 @@
 TRANSFER_LIMIT_S = 3.0
 CALLS_ANSWERED_S = 4.5
 STOP_LIMIT_S = 5.0
-"""The platform kills a process 6 s after it tells it to stop. A call may take 3 s, and a call that
+"""The platform kills a process 6 s after the stop signal. A call may take 3 s, and a call that
 arrives during the hand-over of the leadership gets the remaining time."""
 MS_PER_S = 1_000
 HELLO_TIMEOUT_S = 3.0
