--- a/features/support/agreement_lease_scripts.py
+++ b/features/support/agreement_lease_scripts.py
@@ -21,8 +21,7 @@
 LONGEST_DELAY_S = 0.002
 """A message takes up to twice the scripts' delay; after that the other voter may vote."""
 LONGEST_ROUND_S = 0.165
-"""Longer than a heartbeat round: an interval of 0.1 s that is checked at ticks of 0.04 to 0.06
-s."""
+"""Longer than a heartbeat round: the interval of 0.1 s is checked at ticks of 0.04 to 0.06 s."""
 LONG_S = 1e6
 """Added to an election deadline to keep a machine from standing for election."""
 
