--- a/features/steps/member_choice_steps.py
+++ b/features/steps/member_choice_steps.py
@@ -177,7 +177,7 @@
         self._end(observed, read, is_answered)
         observed.quality.bad(self.now)
         if is_answered:
-            observed.took_at_least(self.now - read.sent_at)
+            observed.answer_took_at_least(self.now - read.sent_at)
         self.lost.append(self.now)
         self._send(proxy)
 
@@ -310,7 +310,7 @@
 
 @given("choice: a told {ago:d} ms ago that {count:d} are under way there")
 def step_told(context, ago, count):
-    context.observed_members["a"].told_busy(count, NOW - ago / MS_PER_S)
+    context.observed_members["a"].report_busy_slots(count, NOW - ago / MS_PER_S)
 
 
 @given("choice: a turned work away, and answered another read")
--- a/features/steps/statement_decisions_steps.py
+++ b/features/steps/statement_decisions_steps.py
@@ -59,12 +59,12 @@
 
 @given("decisions: an answer of {name:w} was given up after {waited:d} ms")
 def step_given_up_after(context, name, waited):
-    context.observed_members[name].took_at_least(waited / 1_000)
+    context.observed_members[name].answer_took_at_least(waited / 1_000)
 
 
 @given("decisions: {new:w} is new in the zone of {known:w}")
 def step_new_in_zone(context, new, known):
-    context.observed_members[new].resembles(context.observed_members[known])
+    context.observed_members[new].assume_times_of(context.observed_members[known])
 
 
 @then("decisions: its answers take {usual:d} ms as a rule, and {longest:d} ms are explained")
@@ -104,7 +104,7 @@
 
 @given("decisions: {name:w} can't be reached")
 def step_unreachable(context, name):
-    context.observed_members[name].was_silent(NOW)
+    context.observed_members[name].probe_timed_out(NOW)
 
 
 @given("decisions: {name:w} was found behind")
--- a/limedyke/controller/leading/leader_service.py
+++ b/limedyke/controller/leading/leader_service.py
@@ -52,7 +52,7 @@
     :param source_ip: local address to connect to the platform from, or empty
     :param metrics: counts events and decisions; None for metrics that are not exported
     :param authority: promotes members that announce themselves; None if there is none
-    :param other_began_at: when the previous leader began to lead, as far as this controller knows
+    :param last_lead_began_at: when the previous leader began to lead, as far as this controller knows
 
     :ivar started_at: when this controller began to lead
     """
@@ -66,7 +66,7 @@
         source_ip: str = "",
         metrics: ControllerMetrics | None = None,
         authority: PromotionAuthority | None = None,
-        other_began_at: float = float("-inf"),
+        last_lead_began_at: float = float("-inf"),
     ) -> None:
         self._replica = replica
         self._authority = authority
@@ -87,7 +87,7 @@
             Random(),
             boot_seconds(),
             replica.homes,
-            other_began_at,
+            last_lead_began_at,
         )
 
     async def run(self) -> None:
--- a/limedyke/controller/leading/proxy_sessions.py
+++ b/limedyke/controller/leading/proxy_sessions.py
@@ -170,9 +170,7 @@
     async def serve(self, link: Link, hello: ProxyHello) -> None:
         """Serve one proxy until its link ends."""
         if hello.name != link.peer_name:
-            raise LinkClosedError(
-                f"the hello names {hello.name}, the link belongs to {link.peer_name}"
-            )
+            raise LinkClosedError(f"the link of {link.peer_name} carries the hello of {hello.name}")
         if not self._admits(hello):
             await self._refuse(link, hello)
             return
--- a/limedyke/proxy/control/view.py
+++ b/limedyke/proxy/control/view.py
@@ -70,7 +70,7 @@
         self.view: ControlView | None = None
         self._homes = HomeDirectory(count=0)
 
-    def take_snapshot(self, snapshot: ControlSnapshot) -> ControlView:
+    def apply_snapshot(self, snapshot: ControlSnapshot) -> ControlView:
         """Replace everything by a snapshot."""
         declaration = snapshot.declaration
         limits = connection_limits(declaration.groups)
@@ -94,7 +94,7 @@
         )
         return self.view
 
-    def take_update(self, update: ControlUpdate) -> ControlView | None:
+    def apply_update(self, update: ControlUpdate) -> ControlView | None:
         """Apply an update that follows the present view; return None when it does not follow."""
         view = self.view
         if view is None or update.base_index != view.control_index:
--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -10,12 +10,12 @@
 import curio
 
 from limedyke.core.member_caps import holds_common
-from limedyke.core.queueing.return_schedule import ReturnSchedule
+from limedyke.core.queueing.retry_schedule import RetrySchedule
 from limedyke.core.statements.observed_member import ObservedMember
 from limedyke.core.statements.primary_outage import OutageTimes, PrimaryOutage
 from limedyke.core.statements.primary_positions import PrimaryPositions
 from limedyke.core.statements.retry_budget import RetryBudget
-from limedyke.core.statements.routing import ready_in_s, takes_reads
+from limedyke.core.statements.routing import accepts_reads, ready_in_s
 from limedyke.messages.control import ConnectionDemand, GroupPrimary, MemberHealth
 from limedyke.messages.databases import AnnouncedMember
 from limedyke.messages.declaration import Group
@@ -72,7 +72,7 @@
         self.position_is_asked = False
         self.primary_changed = curio.Event()
         self.leased = curio.Event()
-        self._returns = ReturnSchedule()
+        self._returns = RetrySchedule()
         self._make_pool = make_pool
         self._lease_ends_at = lease_ends_at
 
@@ -155,7 +155,7 @@
         held_since = self.positions.held_since(required)
         now = time.monotonic()
         return any(
-            takes_reads(pool.observed)
+            accepts_reads(pool.observed)
             and ready_in_s(pool.observed, required, held_since, now) <= within_s
             for identity, pool in self.pools.items()
             if identity != self.primary
@@ -217,7 +217,7 @@
         self.primary = identity
         self.term = term
         for name, pool in self.pools.items():
-            pool.observed.take_office(name == identity)
+            pool.observed.note_primary_change(name == identity)
         self.positions.clear()
         self.exposed = ""
         self.denied.clear()
