--- a/limedyke/controller/leading/leader_service.py
+++ b/limedyke/controller/leading/leader_service.py
@@ -52,7 +52,8 @@
     :param source_ip: local address to connect to the platform from, or empty
     :param metrics: counts events and decisions; None for metrics that are not exported
     :param authority: promotes members that announce themselves; None if there is none
-    :param last_lead_began_at: when the previous leader began to lead, as far as this controller knows
+    :param last_lead_began_at: when the previous leader began to lead, as far as this controller
+        knows
 
     :ivar started_at: when this controller began to lead
     """
