--- a/features/agreement_controllers.feature
+++ b/features/agreement_controllers.feature
@@ -32,9 +32,9 @@
     When agreement controllers: 20 changes are confirmed
     And agreement controllers: the leader's disk has space for 100 more bytes
     And agreement controllers: 5 changes are confirmed
-    Then agreement controllers: another controller leads, and the full one logs that it stopped
+    Then agreement controllers: another controller leads, and the one with the full disk logs that it stopped
     And agreement controllers: the next change makes revision 26
-    When agreement controllers: the full one has space again and restarts
+    When agreement controllers: the one with the full disk has space again and restarts
     Then agreement controllers: it has replicated the leader's whole log
     When agreement controllers: its log is damaged and it restarts
     Then agreement controllers: it exits with status 1, naming the file and offset
@@ -45,11 +45,11 @@
     When agreement controllers: 20 changes are confirmed
     And agreement controllers: the leader's disk has space for 100 more bytes
     And agreement controllers: 5 changes are confirmed
-    Then agreement controllers: another controller leads, and the full one logs that it stopped
-    And agreement controllers: the full one keeps running for 1 s
+    Then agreement controllers: another controller leads, and the one with the full disk logs that it stopped
+    And agreement controllers: the one with the full disk keeps running for 1 s
     And agreement controllers: the next change makes revision 26
-    When agreement controllers: the full one has space again
-    Then agreement controllers: the full one reopens its log within 2 s, in the same process
+    When agreement controllers: the one with the full disk has space again
+    Then agreement controllers: the one with the full disk reopens its log within 2 s, in the same process
     And agreement controllers: it has replicated the leader's whole log
     And agreement controllers: the next change makes revision 27
-    And agreement controllers: the full one has not exited since
+    And agreement controllers: the one with the full disk has not exited since
--- a/features/steps/agreement_controllers_steps.py
+++ b/features/steps/agreement_controllers_steps.py
@@ -249,7 +249,10 @@
     resource.prlimit(process.pid, resource.RLIMIT_FSIZE, limits)
 
 
-@then("agreement controllers: another controller leads, and the full one logs that it stopped")
+@then(
+    "agreement controllers: another controller leads, and the one with the "
+    "full disk logs that it stopped"
+)
 def step_other_leads(context):
     assert leader(context) != context.full
     log = context.trio.process(context.full).log_tail()
@@ -257,20 +260,23 @@
     assert "role=stopped" in log, log
 
 
-@then("agreement controllers: the full one keeps running for {seconds:d} s")
+@then("agreement controllers: the one with the full disk keeps running for {seconds:d} s")
 def step_goes_on(context, seconds):
     time.sleep(seconds)
     assert context.trio.process(context.full).running
 
 
-@when("agreement controllers: the full one has space again")
+@when("agreement controllers: the one with the full disk has space again")
 def step_space(context):
     pid = context.trio.process(context.full).pid
     unlimited = (resource.RLIM_INFINITY, resource.RLIM_INFINITY)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, unlimited)
 
 
-@then("agreement controllers: the full one reopens its log within {limit:d} s, in the same process")
+@then(
+    "agreement controllers: the one with the full disk reopens its log "
+    "within {limit:d} s, in the same process"
+)
 def step_reopens_log(context, limit):
     process = context.trio.process(context.full)
     context.full_pid = process.pid
@@ -281,14 +287,14 @@
     assert process.running
 
 
-@then("agreement controllers: the full one has not exited since")
+@then("agreement controllers: the one with the full disk has not exited since")
 def step_not_ended(context):
     process = context.trio.process(context.full)
     assert process.running
     assert process.pid == context.full_pid
 
 
-@when("agreement controllers: the full one has space again and restarts")
+@when("agreement controllers: the one with the full disk has space again and restarts")
 def step_space_again(context):
     process = context.trio.process(context.full)
     process.kill()
