--- a/limedyke/controller/peer_network.py
+++ b/limedyke/controller/peer_network.py
@@ -1,4 +1,4 @@
-"""Links between controllers: one outgoing link to each peer, kept up by retries."""
+"""Links between controllers: one outgoing link to each peer, redialled when it fails."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
 
 QUEUE_LIMIT = 1_024
 DIAL_TIMEOUT_S = 1.0
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 0.5
+INITIAL_REDIAL_DELAY_S = 0.05
+MAXIMUM_REDIAL_DELAY_S = 0.5
 PROBE_INTERVAL_S = 1.0
-"""A link that has gone silent is found after so long and the next at the latest: 1.5 s. It costs
-the five controllers of a cluster 40 small messages a second together."""
-PROBE_LIMIT_S = 0.5
+"""A silent link is detected after at most the interval plus the timeout, 1.5 s. The probes cost the
+five controllers of a cluster 40 small messages a second in total."""
+PROBE_TIMEOUT_S = 0.5
 """A round trip over two regions takes 0.18 s, and a loaded machine pauses for 0.1 s."""
 EVENTS = EventLog("peer_network")
 
 PeerMessage = AgreementMessage | FoundingMessage
 
 
-class _Outgoing:
-    """Messages waiting for one peer, the oldest dropped when there are too many."""
+class _OutgoingQueue:
+    """Messages waiting for one peer; the oldest are dropped beyond the limit."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -53,10 +53,11 @@
 
     :param identity: this controller and the incarnation of its data folder
     :param link_identity: proves this process to its peers
-    :param receive: called with each message for this very incarnation
+    :param receive: called with each message addressed to this incarnation
 
-    :ivar dials_ahead: whether peers are dialled as soon as they are known, not only when there is
-        something to send: members do, those that wait to be added may be hundreds
+    :ivar dials_eagerly: whether peers are dialled as soon as they are known, and not only once
+        there is a message for them. Members dial eagerly; controllers that wait to be added do not,
+        as there may be hundreds of them
     """
 
     def __init__(
@@ -72,12 +73,12 @@
         self._keys = keys
         self._source_ip = source_ip
         self._receive = receive
-        self._outgoing: dict[str, _Outgoing] = {}
+        self._outgoing: dict[str, _OutgoingQueue] = {}
         self._unstarted: list[str] = []
         self._has_unstarted = curio.Event()
         self._generator = Random()
         self.cluster = ""
-        self.dials_ahead = True
+        self.dials_eagerly = True
 
     @property
     def addresses(self) -> dict[str, str]:
@@ -85,18 +86,18 @@
         return {name: outgoing.address for name, outgoing in self._outgoing.items()}
 
     def set_address(self, name: str, address: str) -> None:
-        """Learn where a peer is reached."""
+        """Set the address of a peer."""
         if name == self._identity.name:
             return
         known = self._outgoing.get(name)
         if known is not None:
             known.address = address
             return
-        self._outgoing[name] = _Outgoing(address)
+        self._outgoing[name] = _OutgoingQueue(address)
         self._unstarted.append(name)
 
     async def send(self, to: ControllerIdentity, message: PeerMessage) -> None:
-        """Queue a message to a peer; it is lost when the peer can't be reached."""
+        """Queue a message to a peer; it is lost if the peer cannot be reached."""
         outgoing = self._outgoing.get(to.name)
         if outgoing is None:
             return
@@ -112,18 +113,21 @@
                 self._has_unstarted.clear()
                 for name in self._take_wanted():
                     await tasks.spawn(self._keep_link, self._outgoing[name])
-                await curio.ignore_after(LONGEST_PAUSE_S, self._has_unstarted.wait)
+                await curio.ignore_after(MAXIMUM_REDIAL_DELAY_S, self._has_unstarted.wait)
 
     def _take_wanted(self) -> list[str]:
-        """Take out the peers to which a link is to be kept from now on."""
+        """Remove and return the peers to which a link is to be kept from now on."""
         wanted = [
-            name for name in self._unstarted if self.dials_ahead or self._outgoing[name].is_wanted
+            name for name in self._unstarted if self.dials_eagerly or self._outgoing[name].is_wanted
         ]
         self._unstarted = [name for name in self._unstarted if name not in wanted]
         return wanted
 
     async def serve(self, link: Link) -> None:
-        """Receive from a peer that dialled this controller: it is up, and is dialled at once."""
+        """Receive from a peer that dialled this controller.
+
+        The peer is running, so this controller dials it at once.
+        """
         outgoing = self._outgoing.get(link.peer_name)
         if outgoing is not None:
             await outgoing.has_dialled_us.set()
@@ -135,16 +139,19 @@
             if not isinstance(envelope, AgreementEnvelope):
                 raise LinkClosedError(f"unexpected {type(envelope).__name__}")
             if envelope.sender.name != link.peer_name:
-                raise LinkClosedError(f"{link.peer_name} speaks for {envelope.sender}")
+                raise LinkClosedError(f"{link.peer_name} sent an envelope of {envelope.sender}")
             opened = open_envelope(envelope, self._identity, self.cluster)
             if isinstance(opened, Err):
                 EVENTS.debug("peer-message-dropped", reason=opened.err_value)
                 continue
             await self._receive(envelope.sender, opened.ok_value)
 
-    async def _keep_link(self, outgoing: _Outgoing) -> None:
-        """Dial again soon at first: peers that restart together miss each other by little."""
-        backoff = Backoff(FIRST_PAUSE_S, LONGEST_PAUSE_S)
+    async def _keep_link(self, outgoing: _OutgoingQueue) -> None:
+        """Keep a link to a peer, redialling when it fails.
+
+        The first redials are fast: peers that restart together often miss each other by little.
+        """
+        backoff = Backoff(INITIAL_REDIAL_DELAY_S, MAXIMUM_REDIAL_DELAY_S)
         while True:
             outgoing.has_dialled_us.clear()
             link = await self._dial_until_dialled(outgoing)
@@ -152,14 +159,14 @@
                 backoff.succeeded()
                 await self._use_link(link, outgoing)
             outgoing.mailbox.clear()
-            pause_s = backoff.failed(time.monotonic(), self._generator.random())
-            await curio.ignore_after(pause_s, outgoing.has_dialled_us.wait)
+            delay_s = backoff.failed(time.monotonic(), self._generator.random())
+            await curio.ignore_after(delay_s, outgoing.has_dialled_us.wait)
 
-    async def _dial_until_dialled(self, outgoing: _Outgoing) -> Link | None:
-        """Dial a peer; give up when it dials this controller meanwhile.
+    async def _dial_until_dialled(self, outgoing: _OutgoingQueue) -> Link | None:
+        """Dial a peer; abandon the attempt if the peer dials this controller meanwhile.
 
-        An attempt begun while the peer's machine was off hangs until its packet is sent again,
-        a second later.
+        An attempt that began while the peer's machine was off hangs until its packet is
+        retransmitted a second later.
         """
         async with curio.TaskGroup(wait=any) as tasks:
             dialling = await tasks.spawn(
@@ -175,10 +182,10 @@
             return None
         return dialling.result.ok_value if isinstance(dialling.result, Ok) else None
 
-    async def _use_link(self, link: Link, outgoing: _Outgoing) -> None:
+    async def _use_link(self, link: Link, outgoing: _OutgoingQueue) -> None:
         """Send to a peer until the link closes or goes silent, or the peer's address changes."""
         address = outgoing.address
-        keepalive = Keepalive(link, PROBE_INTERVAL_S, PROBE_LIMIT_S)
+        keepalive = Keepalive(link, PROBE_INTERVAL_S, PROBE_TIMEOUT_S)
         try:
             async with curio.TaskGroup(wait=any) as tasks:
                 await tasks.spawn(until_closed, self._send_all, link, outgoing)
@@ -189,9 +196,9 @@
         finally:
             await link.close()
 
-    async def _send_all(self, link: Link, outgoing: _Outgoing) -> None:
+    async def _send_all(self, link: Link, outgoing: _OutgoingQueue) -> None:
         address = outgoing.address
         while address == outgoing.address:
             for envelope in await outgoing.mailbox.take_all():
                 await link.send(envelope)
-        raise LinkClosedError("the peer has another address")
+        raise LinkClosedError("the address of the peer changed")
