--- a/limedyke/core/control/__init__.py
+++ b/limedyke/core/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control state on the replicated log, and the leader's decisions; sans-IO."""
+"""The replicated control state and the decisions of the leading controller, without I/O."""
