--- a/limedyke/core/control/announcements.py
+++ b/limedyke/core/control/announcements.py
@@ -1,11 +1,12 @@
-"""What members said of themselves, as the leader holds it beside the log; sans-IO.
+"""Tracks members' announcements in the leader's memory; performs no I/O.
 
-The log holds what all proxies must know of a member.  When it was heard last, and the number of
-its newest announcement, is kept in the leader's memory: a new leader hears it anew within one
-interval.
+The replicated log holds what all proxies must know about a member.  The time and sequence number
+of its last announcement are kept in memory only: a new leader receives an announcement from every
+member within one announcement interval.
 
-A member may start again under its identity, empty, with numbers that begin anew.  Where members
-tell when they started, incarnations are told apart by that; else by the time between two numbers.
+A member may restart under the same identity with an empty log and with sequence numbers that start
+over.  Incarnations are distinguished by their start time if members report it, otherwise by the
+time between two announcements.
 """
 
 from __future__ import annotations
@@ -19,16 +20,16 @@
 from limedyke.messages.databases import AnnouncedMember, MemberState
 
 LATE_WITHIN_S = 3.0
-"""A lower number so soon after a higher one is a late announcement; afterwards, a restart. Only
-where members do not tell when they started."""
+"""Within this time of a higher sequence number, a lower one is a late announcement; after it, the
+member has restarted. Applies only to members that do not report their start time."""
 WITHDRAWN_KEPT_S = 60.0
-"""For so long nothing more is taken from a member that withdrew and does not tell when it started:
-some seconds of drain, some until it ends, and some for an announcement on its way."""
+"""How long announcements are ignored after a member withdrew, if it does not report its start time.
+Covers the drain, the shutdown and announcements still in transit."""
 
 
 @dataclass(slots=True)
-class _Heard:
-    """When a member was heard, and the number and incarnation of that announcement."""
+class _LastAnnouncement:
+    """Arrival time, sequence number and incarnation of a member's last announcement."""
 
     at: float
     sequence: int
@@ -37,19 +38,19 @@
 
 @dataclass(frozen=True, slots=True)
 class _Withdrawn:
-    """When a member withdrew, and which incarnation; 0 when its start is not known."""
+    """When a member withdrew, and the start time of that incarnation; 0 if unknown."""
 
     at: float
     started_at_ms: int
 
 
 class AnnouncementTracker:
-    """Decides which announcements change the log.
+    """Decides which announcements must be recorded in the log.
 
     :param members: the recorded members by identity, read only
-    :param displaced: those whose address has passed to another one, read only
-    :param now: when this controller began to lead
-    :param ended: incarnations that said that they end, read only
+    :param displaced: members whose address now belongs to another member, read only
+    :param now: when this controller became the leader
+    :param ended: incarnations that have withdrawn, read only
     """
 
     def __init__(
@@ -63,33 +64,35 @@
         self._displaced = displaced
         self._ended = ended if ended is not None else EndedIncarnations()
         self._started_at = now
-        self._heard: dict[str, _Heard] = {}
+        self._last_announcements: dict[str, _LastAnnouncement] = {}
         self._withdrawn: dict[str, _Withdrawn] = {}
 
-    def heard_at(self, identity: str) -> float:
-        """Return when a member was heard; the leader's start when it was not since."""
-        heard = self._heard.get(identity)
-        return heard.at if heard is not None else self._started_at
+    def last_announced_at(self, identity: str) -> float:
+        """Return when a member last announced itself; the leader's start time if it has not yet."""
+        last = self._last_announcements.get(identity)
+        return last.at if last is not None else self._started_at
 
     def announced(self, member: AnnouncedMember, sequence: int, now: float) -> RecordMembers | None:
-        """Take an announcement; return the entry that records it, or None when nothing is new.
+        """Process an announcement; return the entry that records it, or None if nothing changed.
 
-        :param sequence: rises with each announcement of one incarnation of the member
+        :param sequence: increases with each announcement of one incarnation of the member
         """
-        if self._is_foreign(member) or self._is_over(member, sequence, now):
+        if self._is_foreign(member) or self._is_outdated(member, sequence, now):
             return None
-        self._heard[member.identity] = _Heard(now, sequence, member.started_at_ms)
+        self._last_announcements[member.identity] = _LastAnnouncement(
+            now, sequence, member.started_at_ms
+        )
         known = self._members.get(member.identity)
         if known == member:
             return None
-        if known is not None and _takes_drain_back(known, member):
+        if known is not None and _reverts_drain(known, member):
             return None
         return RecordMembers((member,), self._displaced_by(member))
 
     def withdrawn(self, identity: str, now: float, started_at_ms: int = 0) -> RecordMembers | None:
-        """Take a member's word that it ends; None when the log knows that.
+        """Process a member's withdrawal; return the entry that records it, or None if it is recorded.
 
-        :param started_at_ms: of the incarnation that ends; 0 when it does not tell
+        :param started_at_ms: start time of the incarnation that withdraws; 0 if not reported
         """
         known = self._members.get(identity)
         if known is not None and 0 < started_at_ms < known.started_at_ms:
@@ -99,24 +102,27 @@
         for name, withdrawn in list(self._withdrawn.items()):
             if withdrawn.at < now - WITHDRAWN_KEPT_S:
                 del self._withdrawn[name]
-        self._heard.pop(identity, None)
-        is_news = started_at_ms > 0 and not self._ended.has_ended(identity, started_at_ms)
-        if known is None and not is_news:
+        self._last_announcements.pop(identity, None)
+        is_new_end = started_at_ms > 0 and not self._ended.has_ended(identity, started_at_ms)
+        if known is None and not is_new_end:
             return None
         removed = (identity,) if known is not None else ()
         ended = (EndedIncarnation(identity, started_at_ms),) if started_at_ms > 0 else ()
         return RecordMembers((), removed, ended)
 
     def remove_silent(self, limit_s: float, now: float) -> RecordMembers | None:
-        """Return the entry that forgets members not heard for so long, or None."""
-        gone = tuple(name for name in self._members if now - self.heard_at(name) > limit_s)
-        return RecordMembers((), gone) if gone else None
+        """Return the entry that removes members silent for longer than ``limit_s``, or None."""
+        silent = tuple(
+            name for name in self._members if now - self.last_announced_at(name) > limit_s
+        )
+        return RecordMembers((), silent) if silent else None
 
     def _is_foreign(self, member: AnnouncedMember) -> bool:
-        """Tell whether an announcement tells no start where its member would tell it.
+        """Return whether an announcement lacks the start time that its member would report.
 
-        Another writer made it. All members tell their start or none does; while their software is
-        being replaced some do, and one that is not known yet may be of either kind.
+        Such an announcement was made by some other writer. Normally all members report their start
+        time or none does. During a software upgrade only some do, and a member that is not yet
+        recorded may be of either kind.
         """
         if member.started_at_ms > 0:
             return False
@@ -126,8 +132,8 @@
         starts = [other.started_at_ms for other in self._members.values()]
         return bool(starts) and all(starts)
 
-    def _is_over(self, member: AnnouncedMember, sequence: int, now: float) -> bool:
-        """Tell whether an announcement was overtaken by what is known of its member."""
+    def _is_outdated(self, member: AnnouncedMember, sequence: int, now: float) -> bool:
+        """Return whether what is known about its member makes an announcement obsolete."""
         if self._displaced.is_displaced(member):
             return True
         if self._ended.has_ended(member.identity, member.started_at_ms):
@@ -144,15 +150,15 @@
         known = self._members.get(member.identity)
         if known is not None and member.started_at_ms != known.started_at_ms:
             return member.started_at_ms < known.started_at_ms
-        heard = self._heard.get(member.identity)
-        if heard is None or heard.started_at_ms != member.started_at_ms:
+        last = self._last_announcements.get(member.identity)
+        if last is None or last.started_at_ms != member.started_at_ms:
             return False
-        if sequence >= heard.sequence:
+        if sequence >= last.sequence:
             return False
-        return member.started_at_ms > 0 or now - heard.at < LATE_WITHIN_S
+        return member.started_at_ms > 0 or now - last.at < LATE_WITHIN_S
 
     def _displaced_by(self, member: AnnouncedMember) -> tuple[str, ...]:
-        """Return recorded members whose address has passed to this one."""
+        """Return the other recorded members that have the address of this one."""
         return tuple(
             name
             for name, known in self._members.items()
@@ -160,8 +166,8 @@
         )
 
 
-def _takes_drain_back(known: AnnouncedMember, member: AnnouncedMember) -> bool:
-    """Tell whether an incarnation that drains says at the same address that it is ready."""
+def _reverts_drain(known: AnnouncedMember, member: AnnouncedMember) -> bool:
+    """Return whether a draining incarnation announces at the same address that it is ready."""
     if known.state is not MemberState.DRAINING or member.state is not MemberState.READY:
         return False
     is_same = known.started_at_ms == member.started_at_ms
