--- a/limedyke/core/control/answer_store.py
+++ b/limedyke/core/control/answer_store.py
@@ -1,4 +1,4 @@
-"""First answers to operators' requests, so that a request sent again changes nothing."""
+"""Stores the first answer to each operator request, which makes repeated requests idempotent."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class AnswerStore:
-    """Answers by operator and request id, the oldest forgotten."""
+    """Answers by operator and request id; the oldest are evicted first."""
 
     def __init__(self, answers: tuple[RecordedAnswer, ...] = ()) -> None:
         self._answers = OrderedDict(
@@ -19,7 +19,7 @@
         )
 
     def find(self, operator: str, request_id: str) -> RecordedAnswer | None:
-        """Return what was recorded for a request."""
+        """Return the recorded answer to a request, if any."""
         return self._answers.get((operator, request_id))
 
     def keep(self, operator: str, request_id: str, answer: object) -> None:
@@ -27,11 +27,11 @@
         self._put(RecordedAnswer(operator, request_id, "", encode(answer)))
 
     def keep_plan(self, operator: str, request_id: str, plan_id: str) -> None:
-        """Record that a request made a plan; the plan itself holds the answer."""
+        """Record the plan that a request created; the answer is derived from the plan."""
         self._put(RecordedAnswer(operator, request_id, plan_id, b""))
 
     def recorded(self) -> tuple[RecordedAnswer, ...]:
-        """Return everything, the oldest first."""
+        """Return all recorded answers, the oldest first."""
         return tuple(self._answers.values())
 
     def _put(self, recorded: RecordedAnswer) -> None:
@@ -41,5 +41,5 @@
 
 
 def decode_answer(recorded: RecordedAnswer) -> object:
-    """Return a recorded answer as the message it was."""
+    """Decode a recorded answer into its message."""
     return decode(recorded.answer).unwrap()
