--- a/limedyke/core/control/apply_result.py
+++ b/limedyke/core/control/apply_result.py
@@ -1,4 +1,4 @@
-"""What applying one entry of the log gave."""
+"""The result of applying one log entry."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyResult:
-    """What applying one entry gave.
+    """The result of applying one log entry to the control state.
 
-    :param answer: the answer to the operator's request in the entry, if it held one
-    :param update: what changed for the proxies, if anything
+    :param answer: the answer to the request in the entry, if it holds one
+    :param update: the update to send to the proxies, if anything changed for them
     """
 
     answer: object | None = None
