--- a/limedyke/core/control/declaration_change.py
+++ b/limedyke/core/control/declaration_change.py
@@ -1,4 +1,4 @@
-"""The difference between two declarations, and a declaration after a difference."""
+"""Computes the difference between two declarations, and applies it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from limedyke.messages.declaration import Declaration, Group, ProxyIntent, Tenant, TokenKey
 
 PLAN_ID_PREFIX = "p"
-"""Keeps an id from looking like a number, in exponent form too, to a shell or a command line."""
+"""Prevents a shell or command line from parsing an id as a number, such as ``12e4``."""
 PLAN_ID_DIGITS = 16
 
 
@@ -41,7 +41,7 @@
         )
 
     def apply(self, change: DeclarationChange) -> None:
-        """Bring a change into force."""
+        """Apply a change."""
         for name in change.removed_tenants:
             self.tenants.pop(name, None)
         for name in change.removed_groups:
@@ -59,7 +59,7 @@
             self.session_limits = change.session_limits
 
     def with_caps(self, wanted: Declaration) -> Declaration:
-        """Return a declaration that tells no caps of members with those that stand."""
+        """Return ``wanted``, with the present member caps for groups that declare none."""
         groups = tuple(
             dataclasses.replace(group, member_caps=self.groups[group.name].member_caps)
             if group.name in self.groups and not group.member_caps
@@ -104,7 +104,7 @@
 
 
 def is_empty(change: DeclarationChange) -> bool:
-    """Tell whether a change changes nothing."""
+    """Return whether a change has no effect."""
     return change == DeclarationChange()
 
 
