--- a/limedyke/core/control/ended_incarnations.py
+++ b/limedyke/core/control/ended_incarnations.py
@@ -1,4 +1,4 @@
-"""Incarnations of members that said that they end: what they say late counts no more; sans-IO."""
+"""Incarnations of members that have withdrawn; their late announcements are ignored."""
 
 from __future__ import annotations
 
@@ -7,29 +7,30 @@
 from limedyke.messages.control_entries import EndedIncarnation, RecordMembers
 
 MAXIMUM_KEPT = 256
-"""An announcement comes some seconds late; at 260 restarts a day this keeps a day's."""
+"""Announcements arrive at most seconds late; at 260 restarts a day this covers about a day."""
 
 
 class EndedIncarnations:
-    """The newest incarnation of each member that ended, kept in the log for leaders to come.
+    """The newest ended incarnation of each member; replicated, so that a new leader knows it too.
 
-    The one before it, whose start is lower, is over too. A member that is set back by its clock
-    before it starts again is not heard until that clock has passed the start that it told.
+    Incarnations with an earlier start time have ended as well. If a member's clock is set back
+    before it restarts, its announcements are ignored until the clock passes the start time that
+    it reported before.
     """
 
     def __init__(self, ended: Iterable[EndedIncarnation] = ()) -> None:
         self._starts = {item.identity: item.started_at_ms for item in ended}
 
     def recorded(self) -> tuple[EndedIncarnation, ...]:
-        """Return them as they stand in a snapshot, the oldest first."""
+        """Return the ended incarnations for a snapshot, the oldest first."""
         return tuple(EndedIncarnation(*item) for item in self._starts.items())
 
     def has_ended(self, identity: str, started_at_ms: int) -> bool:
-        """Tell whether an incarnation has ended; False where the start is not told."""
+        """Return whether an incarnation has ended; False if its start time is not reported."""
         return 0 < started_at_ms <= self._starts.get(identity, 0)
 
     def apply(self, entry: RecordMembers) -> None:
-        """Follow an entry of the log."""
+        """Apply a log entry."""
         for ended in entry.ended:
             if not self.has_ended(ended.identity, ended.started_at_ms):
                 self._starts.pop(ended.identity, None)
