--- a/limedyke/core/control/events.py
+++ b/limedyke/core/control/events.py
@@ -1,4 +1,4 @@
-"""Events and commands of the leader's decisions."""
+"""Events that the leader's decisions consume, and commands that they produce."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyConnected:
-    """A proxy said hello on a new link; an older link of the same name counts no more."""
+    """A proxy sent its hello on a new link, which replaces an earlier link of the same name."""
 
     hello: ProxyHello
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyDisconnected:
-    """The link of a proxy ended."""
+    """The link to a proxy closed."""
 
     proxy: str
 
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatReceived:
-    """A heartbeat arrived; ``first`` is True for the first one of a link."""
+    """A heartbeat arrived; ``first`` marks the first one on a link."""
 
     proxy: str
     heartbeat: ProxyHeartbeat
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeasesReturned:
-    """A proxy gave back connections."""
+    """A proxy returned leased connections."""
 
     proxy: str
     leases: tuple[ConnectionLease, ...]
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperationsRequested:
-    """A proxy asks for operations of tenants with a limit."""
+    """A proxy requested operations for rate-limited tenants."""
 
     proxy: str
     request: OperationsRequest
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyLeft:
-    """A proxy drains; ``done`` when it holds nothing any more."""
+    """A proxy drains; ``done`` once it holds no lease and no session."""
 
     proxy: str
     done: bool
@@ -92,10 +92,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateApplied:
-    """An entry that changed something for the proxies was applied.
+    """An applied entry changed something for the proxies.
 
-    :param changed_homes: the groups whose home proxies changed, when the caller keeps the
-        directory of home proxies; None leaves that to the leader's decisions
+    :param changed_homes: the groups whose home proxies changed, if the caller maintains the
+        directory of home proxies; None if the leader's decisions maintain it
     """
 
     update: ControlUpdate
@@ -104,18 +104,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformListed:
-    """The platform's list names these proxies as leaving; a hint that may be old."""
+    """The platform lists these proxies as leaving; a hint that may be out of date."""
 
     leaving: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
 class TimePassed:
-    """To be sent several times a second."""
+    """Timer tick, sent several times a second."""
 
 
 class AuthorityOutcome(enum.StrEnum):
-    """What is known of a call to the promotion authority."""
+    """The outcome of a call to the promotion authority."""
 
     PROMOTED = "promoted"
     REFUSED = "refused"
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AuthorityAnswered:
-    """The promotion authority answered a call, or did not in time."""
+    """A call to the promotion authority was answered or timed out."""
 
     group: str
     fence: int
@@ -150,14 +150,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """Put an entry into the log."""
+    """Propose a log entry."""
 
     entry: ControlEntry
 
 
 @dataclass(frozen=True, slots=True)
 class SendToProxy:
-    """Send a message to a connected proxy; it may be lost with the link."""
+    """Send a message to a connected proxy; it is lost if the link breaks."""
 
     proxy: str
     message: object
@@ -173,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DisconnectProxy:
-    """Close a proxy's link, so that it reports anew."""
+    """Close a proxy's link, so that the proxy reconnects and reports its state."""
 
     proxy: str
     reason: str
@@ -181,9 +181,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestPromotion:
-    """Have the promotion authority make a member the primary of its group.
+    """Ask the promotion authority to make a member the primary of its group.
 
-    :param fence: no call under a lower number may be carried out afterwards
+    :param fence: fencing number; the authority must reject later calls with a lower one
     """
 
     group: str
@@ -193,7 +193,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogDecision:
-    """Write to the event log why something is done."""
+    """Write the reason for a decision to the event log."""
 
     group: str
     text: str
