--- a/limedyke/core/control/announcements.py
+++ b/limedyke/core/control/announcements.py
@@ -167,7 +167,7 @@
 
 
 def _reverts_drain(known: AnnouncedMember, member: AnnouncedMember) -> bool:
-    """Return whether a draining incarnation announces at the same address that it is ready."""
+    """Return whether a draining incarnation claims at the same address to be ready."""
     if known.state is not MemberState.DRAINING or member.state is not MemberState.READY:
         return False
     is_same = known.started_at_ms == member.started_at_ms
--- a/limedyke/core/control/primaries/authority_failover.py
+++ b/limedyke/core/control/primaries/authority_failover.py
@@ -18,7 +18,7 @@
     NEVER,
     AuthorityGroupState,
     AuthorityStep,
-    is_of_former,
+    is_from_earlier_incarnation,
 )
 from limedyke.core.control.primaries.primary_evaluator import PrimaryEvaluator
 from limedyke.core.control.proposal_batch import ProposalBatch
@@ -30,7 +30,7 @@
 
 PROPOSAL_RETRY_S = 1.0
 EXCLUDED_FOR_S = 2.0
-TOLD_AFTER_S = 1.0
+STALE_ANNOUNCEMENT_S = 1.0
 """What a member said sooner after a change of primary may be of the time before."""
 FIRST_PRIMARY_WAIT_S = 1.5
 """How long members of a new group may take to tell which of them is the primary."""
@@ -42,7 +42,7 @@
     :param primaries: the replicated primaries by group, read only
     :param members: the recorded members by identity, read only
     :param proxies: the recorded proxies by name, read only
-    :param book: when members were heard
+    :param announcements: when members were heard
     :param membership: when proxies were heard, and what they have confirmed
     :param homes: the home proxies of each group: only they hold connections, and so judge members
     :param now: when this controller began to lead
@@ -53,69 +53,71 @@
         primaries: Mapping[str, GroupPrimary],
         members: Mapping[str, AnnouncedMember],
         proxies: Mapping[str, ProxyRecord],
-        book: AnnouncementTracker,
+        announcements: AnnouncementTracker,
         membership: ProxyMembership,
         homes: HomeDirectory,
         timing: ControlTiming,
         now: float,
     ) -> None:
-        self._judgement = PrimaryEvaluator(members, proxies, book, membership, homes, timing, now)
+        self._evaluator = PrimaryEvaluator(
+            members, proxies, announcements, membership, homes, timing, now
+        )
         self._primaries = primaries
         self._members = members
         self._proxies = proxies
-        self._book = book
+        self._announcements = announcements
         self._membership = membership
         self._timing = timing
-        self._lease_over_s = reissue_after_s(timing.primary_lease_s)
+        self._lease_expiry_s = reissue_after_s(timing.primary_lease_s)
         self._started_at = now
-        self._cares: dict[str, AuthorityGroupState] = {}
+        self._group_states: dict[str, AuthorityGroupState] = {}
         self._proposals = ProposalBatch()
         self._commands: list[RequestPromotion | LogDecision] = []
 
     def step_of(self, group: str) -> AuthorityStep | None:
         """Return where a group stands."""
-        care = self._cares.get(group)
-        return None if care is None else care.step
+        state = self._group_states.get(group)
+        return None if state is None else state.step
 
     def put_group(self, group: str, now: float) -> None:
         """Take a declared group; one whose promotion an earlier leader began goes on."""
-        if group in self._cares:
+        if group in self._group_states:
             return
-        care = self._cares[group] = AuthorityGroupState(seen_at=now)
+        state = self._group_states[group] = AuthorityGroupState(seen_at=now)
         recorded = self._recorded(group)
         if recorded.term > 0 and not recorded.primary:
-            care.enter(AuthorityStep.BACKING_OFF, now)
+            state.enter(AuthorityStep.BACKING_OFF, now)
 
     def remove_group(self, group: str) -> None:
         """Forget a group that is declared no longer."""
-        self._cares.pop(group, None)
+        self._group_states.pop(group, None)
 
     def report(self, proxy: str, report: MemberReport, now: float) -> None:
         """Take what a proxy sees of a member."""
-        care = self._cares.get(report.group)
-        if care is None or is_of_former(report, self._members):
+        state = self._group_states.get(report.group)
+        if state is None or is_from_earlier_incarnation(report, self._members):
             return
-        care.reports.keep(proxy, report)
-        self._look_at(report.group, care, now)
+        state.reports.keep(proxy, report)
+        self._evaluate_group(report.group, state, now)
 
     def proxy_disconnected(self, proxy: str) -> None:
         """Forget what a proxy reported."""
-        for care in self._cares.values():
-            care.reports.forget_proxy(proxy)
+        for state in self._group_states.values():
+            state.reports.forget_proxy(proxy)
 
     def primary_applied(self, primary: GroupPrimary, now: float) -> None:
         """Take a change of a group's primary out of the log."""
-        care = self._cares.get(primary.group)
-        if care is None:
+        state = self._group_states.get(primary.group)
+        if state is None:
             return
         if primary.primary:
-            care.failures = 0
-            care.recorded_at = now
-            care.reports.forget_member(primary.primary)
-            care.enter(AuthorityStep.WATCHED)
+            state.failures = 0
+            state.recorded_at = now
+            state.reports.forget_member(primary.primary)
+            state.enter(AuthorityStep.WATCHED)
             return
-        care.enter(AuthorityStep.FENCING)
-        self._look_at(primary.group, care, now)
+        state.enter(AuthorityStep.FENCING)
+        self._evaluate_group(primary.group, state, now)
 
     def members_applied(
         self, changed: Iterable[AnnouncedMember], removed: Iterable[str], now: float
@@ -125,48 +127,48 @@
         :param removed: identities
         :returns: those groups
         """
-        touched = sorted(self._judgement.members_applied(changed, removed))
+        touched = sorted(self._evaluator.members_applied(changed, removed))
         for group in touched:
-            care = self._cares.get(group)
-            if care is not None:
-                care.reports.forget_former(self._members)
-                self._look_at(group, care, now)
+            state = self._group_states.get(group)
+            if state is not None:
+                state.reports.forget_earlier_incarnations(self._members)
+                self._evaluate_group(group, state, now)
         return touched
 
     def members_of(self, group: str) -> tuple[AnnouncedMember, ...]:
         """Return the announced members of a group."""
-        return tuple(self._judgement.members_of(group))
+        return tuple(self._evaluator.members_of(group))
 
     def authority_answered(
         self, group: str, fence: int, outcome: AuthorityOutcome, now: float
     ) -> None:
         """Take the authority's answer to a call; one to an older call counts no more."""
-        care = self._cares.get(group)
+        state = self._group_states.get(group)
         recorded = self._recorded(group)
         is_awaited = (
-            care is not None and care.step is AuthorityStep.CALLING and recorded.fence == fence
+            state is not None and state.step is AuthorityStep.CALLING and recorded.fence == fence
         )
         if not is_awaited:
             return
         if outcome is AuthorityOutcome.PROMOTED:
             # The member leads some time later, and tells it then; until that moment a read there
             # could miss what the replaced primary acknowledged.
-            care.promoted_at = now
-            care.enter(AuthorityStep.PROMOTING, now + self._timing.promotion_wait_s)
-            self._look_at(group, care, now)
+            state.promoted_at = now
+            state.enter(AuthorityStep.PROMOTING, now + self._timing.promotion_wait_s)
+            self._evaluate_group(group, state, now)
             return
         if outcome is AuthorityOutcome.REFUSED:
-            care.excluded[care.target] = now + EXCLUDED_FOR_S
-        self._back_off(care, now)
+            state.excluded[state.target] = now + EXCLUDED_FOR_S
+        self._back_off(state, now)
 
     def tick(self, now: float) -> None:
         """Look at all groups; to be called several times a second."""
-        for group, care in self._cares.items():
-            is_judged = care.step in (AuthorityStep.WATCHED, AuthorityStep.SUSPECTED)
-            if now >= care.deadline and not is_judged:
-                self._time_out(group, care, now)
+        for group, state in self._group_states.items():
+            is_judged = state.step in (AuthorityStep.WATCHED, AuthorityStep.SUSPECTED)
+            if now >= state.deadline and not is_judged:
+                self._time_out(group, state, now)
             else:
-                self._look_at(group, care, now)
+                self._evaluate_group(group, state, now)
 
     def take_commands(self) -> list[Propose | RequestPromotion | LogDecision]:
         """Return the collected proposals and calls."""
@@ -177,66 +179,68 @@
     def _recorded(self, group: str) -> GroupPrimary:
         return self._primaries.get(group, GroupPrimary(group, 0, ""))
 
-    def _look_at(self, group: str, care: AuthorityGroupState, now: float) -> None:
-        match care.step:
+    def _evaluate_group(self, group: str, state: AuthorityGroupState, now: float) -> None:
+        match state.step:
             case AuthorityStep.WATCHED | AuthorityStep.SUSPECTED:
-                self._judge(group, care, now)
+                self._judge(group, state, now)
             case AuthorityStep.FENCING:
                 if self._is_fenced(group, now):
-                    self._call(group, care, now)
+                    self._call(group, state, now)
             case AuthorityStep.CALLING | AuthorityStep.PROMOTING | AuthorityStep.BACKING_OFF:
-                self._follow_promoted(group, care, now)
+                self._follow_promoted(group, state, now)
 
-    def _judge(self, group: str, care: AuthorityGroupState, now: float) -> None:
+    def _judge(self, group: str, state: AuthorityGroupState, now: float) -> None:
         recorded = self._recorded(group)
         if not recorded.primary:
-            self._find_first_primary(group, care, recorded, now)
+            self._find_first_primary(group, state, recorded, now)
             return
-        if self._follow_other(group, care, recorded, now):
+        if self._follow_exposed_primary(group, state, recorded, now):
             return
-        if self._follow_restart(group, care, recorded, now):
+        if self._follow_restart(group, state, recorded, now):
             return
-        suspicion = self._judgement.suspicion(group, care, recorded.primary, now)
+        suspicion = self._evaluator.suspicion(group, state, recorded.primary, now)
         if suspicion is None:
-            if care.step is AuthorityStep.SUSPECTED:
-                care.enter(AuthorityStep.WATCHED)
+            if state.step is AuthorityStep.SUSPECTED:
+                state.enter(AuthorityStep.WATCHED)
             return
-        is_news = care.step is AuthorityStep.WATCHED
-        if is_news or suspicion.grounds is not care.suspicion.grounds:
-            self._note(group, f"primary {recorded.primary} doubted: {suspicion.text}")
-            care.suspicion = suspicion
-            care.enter(AuthorityStep.SUSPECTED, now + suspicion.hold_s)
-        if now >= care.deadline:
-            self._grant(group, care, now)
+        is_news = state.step is AuthorityStep.WATCHED
+        if is_news or suspicion.reason is not state.suspicion.reason:
+            self._log_decision(group, f"primary {recorded.primary} doubted: {suspicion.text}")
+            state.suspicion = suspicion
+            state.enter(AuthorityStep.SUSPECTED, now + suspicion.hold_s)
+        if now >= state.deadline:
+            self._grant(group, state, now)
 
     def _find_first_primary(
-        self, group: str, care: AuthorityGroupState, recorded: GroupPrimary, now: float
+        self, group: str, state: AuthorityGroupState, recorded: GroupPrimary, now: float
     ) -> None:
         """Record the primary that a new group's members tell; without one, have one promoted."""
-        exposed = [member for member in self._judgement.members_of(group) if member.is_primary]
+        exposed = [member for member in self._evaluator.members_of(group) if member.is_primary]
         if len(exposed) == 1:
-            self._record(group, care, recorded.term + 1, exposed[0].identity, now)
-        elif self._judgement.members_of(group) and now - care.seen_at > FIRST_PRIMARY_WAIT_S:
-            self._grant(group, care, now)
+            self._record(group, state, recorded.term + 1, exposed[0].identity, now)
+        elif self._evaluator.members_of(group) and now - state.seen_at > FIRST_PRIMARY_WAIT_S:
+            self._grant(group, state, now)
 
-    def _follow_other(
-        self, group: str, care: AuthorityGroupState, recorded: GroupPrimary, now: float
+    def _follow_exposed_primary(
+        self, group: str, state: AuthorityGroupState, recorded: GroupPrimary, now: float
     ) -> bool:
         """Follow a promotion carried out late: the primary says it is none, another that it is."""
-        since = care.recorded_at + TOLD_AFTER_S
+        since = state.recorded_at + STALE_ANNOUNCEMENT_S
         members = [
-            m for m in self._judgement.members_of(group) if self._book.heard_at(m.identity) > since
+            m
+            for m in self._evaluator.members_of(group)
+            if self._announcements.last_announced_at(m.identity) > since
         ]
         own = next((m for m in members if m.identity == recorded.primary), None)
         others = [m for m in members if m.is_primary and m.identity != recorded.primary]
         if own is None or own.is_primary or len(others) != 1:
             return False
-        self._note(group, f"{others[0].identity} leads in place of {recorded.primary}")
-        self._grant(group, care, now)
+        self._log_decision(group, f"{others[0].identity} leads in place of {recorded.primary}")
+        self._grant(group, state, now)
         return True
 
     def _follow_restart(
-        self, group: str, care: AuthorityGroupState, recorded: GroupPrimary, now: float
+        self, group: str, state: AuthorityGroupState, recorded: GroupPrimary, now: float
     ) -> bool:
         """Replace a primary that has started again, and holds nothing of its log any more.
 
@@ -247,19 +251,21 @@
             return False
         if recorded.started_at_ms == 0:
             return False
-        self._note(group, f"primary {recorded.primary} has started again")
-        if member.is_primary and not self._judgement.candidates(group, care, recorded.primary, now):
-            self._record(group, care, recorded.term + 1, recorded.primary, now)
+        self._log_decision(group, f"primary {recorded.primary} has started again")
+        if member.is_primary and not self._evaluator.candidates(
+            group, state, recorded.primary, now
+        ):
+            self._record(group, state, recorded.term + 1, recorded.primary, now)
         else:
-            self._grant(group, care, now)
+            self._grant(group, state, now)
         return True
 
-    def _grant(self, group: str, care: AuthorityGroupState, now: float) -> None:
+    def _grant(self, group: str, state: AuthorityGroupState, now: float) -> None:
         """Propose the next term; the group has no primary from then on."""
         recorded = self._recorded(group)
-        care.replaced = recorded.primary or care.replaced
+        state.replaced = recorded.primary or state.replaced
         self._proposals.grant(TermGrant(group, recorded.term, recorded.term + 1))
-        care.enter(AuthorityStep.GRANTING, now + PROPOSAL_RETRY_S)
+        state.enter(AuthorityStep.GRANTING, now + PROPOSAL_RETRY_S)
 
     def _is_fenced(self, group: str, now: float) -> bool:
         """Tell whether no proxy can take the replaced primary for the present one any more."""
@@ -270,60 +276,63 @@
             session = self._membership.session(name)
             heard_at = session.heard_at if session is not None else self._started_at
             has_confirmed = session is not None and session.control_index >= fence
-            if not has_confirmed and now - heard_at < self._lease_over_s:
+            if not has_confirmed and now - heard_at < self._lease_expiry_s:
                 return False
         return True
 
-    def _call(self, group: str, care: AuthorityGroupState, now: float) -> None:
-        able = self._judgement.candidates(group, care, "", now)
-        able = [member for member in able if member.identity != care.replaced] or able
-        if not able:
-            self._back_off(care, now)
+    def _call(self, group: str, state: AuthorityGroupState, now: float) -> None:
+        eligible = self._evaluator.candidates(group, state, "", now)
+        eligible = [member for member in eligible if member.identity != state.replaced] or eligible
+        if not eligible:
+            self._back_off(state, now)
             return
-        care.target = able[0].identity
-        care.target_started_at_ms = able[0].started_at_ms
-        care.promoted_at = NEVER
+        state.target = eligible[0].identity
+        state.target_started_at_ms = eligible[0].started_at_ms
+        state.promoted_at = NEVER
         fence = self._recorded(group).fence
-        self._commands.append(RequestPromotion(group, care.target, fence))
-        care.enter(AuthorityStep.CALLING, now + self._timing.authority_timeout_s)
+        self._commands.append(RequestPromotion(group, state.target, fence))
+        state.enter(AuthorityStep.CALLING, now + self._timing.authority_timeout_s)
 
-    def _follow_promoted(self, group: str, care: AuthorityGroupState, now: float) -> None:
+    def _follow_promoted(self, group: str, state: AuthorityGroupState, now: float) -> None:
         """Record the target of an unanswered call when it says that it leads."""
-        target = self._members.get(care.target)
+        target = self._members.get(state.target)
         if target is None or not target.is_primary:
             return
-        if target.started_at_ms != care.target_started_at_ms:
+        if target.started_at_ms != state.target_started_at_ms:
             return
         # The replaced primary may not know yet that it is none: it counts only when it was itself
         # promoted again, as the only member left, and has said since that it leads.
-        is_replaced = care.target == care.replaced
-        if not is_replaced or self._book.heard_at(care.target) >= care.promoted_at:
-            self._record(group, care, self._recorded(group).term, care.target, now)
+        is_replaced = state.target == state.replaced
+        if (
+            not is_replaced
+            or self._announcements.last_announced_at(state.target) >= state.promoted_at
+        ):
+            self._record(group, state, self._recorded(group).term, state.target, now)
 
     def _record(
-        self, group: str, care: AuthorityGroupState, term: int, primary: str, now: float
+        self, group: str, state: AuthorityGroupState, term: int, primary: str, now: float
     ) -> None:
         expected = self._recorded(group).term
         member = self._members.get(primary)
         started_at_ms = member.started_at_ms if member is not None else 0
         self._proposals.record(PrimaryChange(group, expected, term, primary, started_at_ms))
-        care.enter(AuthorityStep.RECORDING, now + PROPOSAL_RETRY_S)
+        state.enter(AuthorityStep.RECORDING, now + PROPOSAL_RETRY_S)
 
-    def _back_off(self, care: AuthorityGroupState, now: float) -> None:
-        care.failures += 1
-        longest = self._timing.shortest_backoff_s * 2 ** min(care.failures - 1, 4)
-        care.enter(AuthorityStep.BACKING_OFF, now + min(longest, self._timing.longest_backoff_s))
+    def _back_off(self, state: AuthorityGroupState, now: float) -> None:
+        state.failures += 1
+        longest = self._timing.shortest_backoff_s * 2 ** min(state.failures - 1, 4)
+        state.enter(AuthorityStep.BACKING_OFF, now + min(longest, self._timing.longest_backoff_s))
 
-    def _time_out(self, group: str, care: AuthorityGroupState, now: float) -> None:
-        care.deadline = NEVER
+    def _time_out(self, group: str, state: AuthorityGroupState, now: float) -> None:
+        state.deadline = NEVER
         recorded = self._recorded(group)
-        match care.step:
+        match state.step:
             case AuthorityStep.GRANTING | AuthorityStep.RECORDING if recorded.primary:
-                care.enter(AuthorityStep.WATCHED)
+                state.enter(AuthorityStep.WATCHED)
             case AuthorityStep.GRANTING | AuthorityStep.RECORDING | AuthorityStep.BACKING_OFF:
-                self._grant(group, care, now)
+                self._grant(group, state, now)
             case AuthorityStep.CALLING | AuthorityStep.PROMOTING:
-                self._back_off(care, now)
+                self._back_off(state, now)
 
-    def _note(self, group: str, text: str) -> None:
+    def _log_decision(self, group: str, text: str) -> None:
         self._commands.append(LogDecision(group, text))
--- a/limedyke/core/control/primaries/authority_group_state.py
+++ b/limedyke/core/control/primaries/authority_group_state.py
@@ -44,7 +44,7 @@
     :param hold_s: how long it has to last first
     """
 
-    grounds: SuspicionReason
+    reason: SuspicionReason
     text: str
     hold_s: float = 0.0
 
@@ -71,17 +71,17 @@
         """Forget what was reported of a member."""
         self._reports = {key: seen for key, seen in self._reports.items() if key[1] != member}
 
-    def forget_former(self, members: Mapping[str, AnnouncedMember]) -> None:
+    def forget_earlier_incarnations(self, members: Mapping[str, AnnouncedMember]) -> None:
         """Forget what was seen of members that have started again: they hold nothing of it.
 
         Else a replica that came back empty would be promoted for the log that it had.
         """
         for key, report in list(self._reports.items()):
-            if is_of_former(report, members):
+            if is_from_earlier_incarnation(report, members):
                 self.emptied.add(key[1])
                 del self._reports[key]
 
-    def is_seen_by(self, proxy: str, member: str) -> bool:
+    def has_report(self, proxy: str, member: str) -> bool:
         """Tell whether a proxy has reported on a member."""
         return (proxy, member) in self._reports
 
@@ -114,7 +114,9 @@
         return (report for (_, name), report in self._reports.items() if name == member)
 
 
-def is_of_former(report: MemberReport, members: Mapping[str, AnnouncedMember]) -> bool:
+def is_from_earlier_incarnation(
+    report: MemberReport, members: Mapping[str, AnnouncedMember]
+) -> bool:
     """Tell whether a report is of an incarnation before the recorded one."""
     member = members.get(report.member)
     return member is not None and report.started_at_ms < member.started_at_ms
@@ -122,7 +124,7 @@
 
 @dataclass(slots=True)
 class AuthorityGroupState:
-    """The leader's care for one group.
+    """The leader's state for one group.
 
     :param deadline: when the present step is looked at again
     :param suspicion: of the present primary, while there is one
@@ -147,7 +149,7 @@
     seen_at: float = 0.0
     recorded_at: float = float("-inf")
 
-    def took_over_lately(self, now: float, calm_s: float) -> bool:
+    def took_over_recently(self, now: float, calm_s: float) -> bool:
         """Tell whether the present primary replaced another one within ``calm_s``."""
         return bool(self.replaced) and now - self.recorded_at < calm_s
 
--- a/limedyke/core/control/primaries/failover.py
+++ b/limedyke/core/control/primaries/failover.py
@@ -1,4 +1,4 @@
-"""The leader's care for the primaries of all groups: detection, terms, promotion orders.
+"""The leader's state for the primaries of all groups: detection, terms, promotion orders.
 
 A group passes through these steps: *watched* while it has a primary, *doubted* while a
 majority of its home proxies finds the primary gone, *waiting* for a free place among the
@@ -33,9 +33,9 @@
 from limedyke.messages.declaration import Group, PromotionMode
 
 PROPOSAL_RETRY_S = 1.0
-ANSWER_TRAVEL_S = 0.1
+ANSWER_TRANSIT_S = 0.1
 """An order ends at its executor by so much before the leader gives it to another."""
-LONGEST_PATIENCE = 4
+MAXIMUM_TIMEOUT_FACTOR = 4
 """An order after failed ones may take longer, up to so many times: members may be slow."""
 MS_PER_S = 1_000.0
 
@@ -62,116 +62,116 @@
         self._membership = membership
         self._timing = timing
         self._generator = generator
-        self._cares: dict[str, GroupFailoverState] = {}
+        self._group_states: dict[str, GroupFailoverState] = {}
         self._groups_of_proxy: dict[str, set[str]] = {}
         self._deadlines: list[tuple[float, int, str]] = []
         self._deadline_numbers = itertools.count()
         self._waiting: deque[str] = deque()
         self._suspicion = PrimarySuspicion(membership, timing)
-        self._places = PromotionSlots(timing.promotions_at_once, timing.promotions_per_proxy)
+        self._slots = PromotionSlots(timing.promotions_at_once, timing.promotions_per_proxy)
         self._proposals = ProposalBatch()
         self._messages: list[SendToProxy] = []
 
     def step_of(self, group: str) -> Step | None:
         """Return where a group stands."""
-        care = self._cares.get(group)
-        return None if care is None else care.step
+        state = self._group_states.get(group)
+        return None if state is None else state.step
 
     def best_successor(self, group: str, leaving: str) -> str:
         """Return the member that would follow ``leaving`` as the primary, if any is seen."""
-        care = self._cares.get(group)
-        return care.watch.best_successor(leaving) if care else ""
+        state = self._group_states.get(group)
+        return state.reports.best_successor(leaving) if state else ""
 
     def put_group(self, group: Group, homes: tuple[str, ...], now: float) -> None:
         """Take a declared group, or a changed one."""
-        care = self._cares.get(group.name)
-        if care is None:
-            care = self._cares[group.name] = GroupFailoverState(GroupReports(group, ()))
+        state = self._group_states.get(group.name)
+        if state is None:
+            state = self._group_states[group.name] = GroupFailoverState(GroupReports(group, ()))
             if self._recorded(group.name).term > 0:
-                self._resume(group.name, care, now)
-        care.watch.set_group(group)
+                self._resume(group.name, state, now)
+        state.reports.set_group(group)
         self.set_homes(group.name, homes)
         self._evaluate(group.name, now)
 
     def remove_group(self, group: str) -> None:
         """Forget a group."""
-        care = self._cares.pop(group, None)
-        if care is not None:
-            self._release(care)
+        state = self._group_states.pop(group, None)
+        if state is not None:
+            self._release_slot(state)
             for groups in self._groups_of_proxy.values():
                 groups.discard(group)
 
     def set_homes(self, group: str, homes: tuple[str, ...]) -> None:
         """Take the present home proxies of a group."""
-        care = self._cares.get(group)
-        if care is None:
+        state = self._group_states.get(group)
+        if state is None:
             return
-        care.watch.set_homes(homes)
+        state.reports.set_homes(homes)
         for proxy in homes:
             self._groups_of_proxy.setdefault(proxy, set()).add(group)
 
     def report(self, proxy: str, report: MemberReport, now: float) -> None:
         """Take what a home proxy sees of a member."""
-        care = self._cares.get(report.group)
-        if care is None:
+        state = self._group_states.get(report.group)
+        if state is None:
             return
         self._groups_of_proxy.setdefault(proxy, set()).add(report.group)
-        if care.watch.report(proxy, report):
+        if state.reports.report(proxy, report):
             self._evaluate(report.group, now)
 
     def proxy_disconnected(self, proxy: str, now: float) -> None:
         """Forget what a proxy reported; an order it had is given again elsewhere."""
         groups = self._groups_of_proxy.get(proxy, set())
         for group in list(groups):
-            care = self._cares[group]
-            care.watch.forget(proxy)
-            if proxy not in care.watch.homes:
+            state = self._group_states[group]
+            state.reports.forget(proxy)
+            if proxy not in state.reports.homes:
                 groups.discard(group)
-            if care.step is Step.ORDERED and care.executor == proxy:
-                self._fail(group, care, now)
+            if state.step is Step.ORDERED and state.executor == proxy:
+                self._back_off_after_failure(group, state, now)
             else:
                 self._evaluate(group, now)
 
     def writes_paused(self, proxy: str, group: str, term: int, now: float) -> None:
         """Note that a home proxy has no write in flight before a switchover."""
-        care = self._cares.get(group)
-        if care is None or care.step is not Step.PAUSING:
+        state = self._group_states.get(group)
+        if state is None or state.step is not Step.PAUSING:
             return
         if term == self._recorded(group).term:
-            care.paused.add(proxy)
+            state.paused.add(proxy)
             self._evaluate(group, now)
 
     def promotion_answered(
         self, proxy: str, group: str, term: int, primary: str, now: float
     ) -> None:
         """Take a home proxy's answer to an order."""
-        care = self._cares.get(group)
+        state = self._group_states.get(group)
         recorded = self._recorded(group)
-        if care is None or recorded.term != term or recorded.primary:
+        if state is None or recorded.term != term or recorded.primary:
             return
         if primary:
-            self._record(group, care, ExposedPrimary(term, primary), now)
-        elif care.step is Step.ORDERED and care.executor == proxy:
-            self._fail(group, care, now)
+            self._record(group, state, ExposedPrimary(term, primary), now)
+        elif state.step is Step.ORDERED and state.executor == proxy:
+            self._back_off_after_failure(group, state, now)
 
     def primary_applied(self, primary: GroupPrimary, now: float) -> None:
         """Take a change of a group's primary out of the log."""
-        care = self._cares.get(primary.group)
-        if care is None:
+        state = self._group_states.get(primary.group)
+        if state is None:
             return
         if primary.switching_over:
-            self._release(care)
-            care.paused = set()
-            self._enter(primary.group, care, Step.PAUSING, now + self._timing.switchover_pause_s)
+            self._release_slot(state)
+            state.paused = set()
+            self._enter(primary.group, state, Step.PAUSING, now + self._timing.switchover_pause_s)
         elif primary.primary:
-            self._release(care)
-            care.failures = 0
-            if care.executor and not care.planned:
-                care.failed_over(now, self._timing.calm_s)
-            care.watch.forget_member(primary.primary)
-            self._enter(primary.group, care, Step.WATCHED, NEVER)
+            self._release_slot(state)
+            state.failures = 0
+            if state.executor and not state.planned:
+                state.record_failover(now, self._timing.calm_s)
+            state.reports.forget_member(primary.primary)
+            self._enter(primary.group, state, Step.WATCHED, NEVER)
         else:
-            self._order(primary.group, care, now)
+            self._order(primary.group, state, now)
             return
         self._evaluate(primary.group, now)
 
@@ -179,10 +179,10 @@
         """Look again at the groups whose time has come."""
         while self._deadlines and self._deadlines[0][0] <= now:
             _, _, group = heapq.heappop(self._deadlines)
-            care = self._cares.get(group)
-            if care is not None and care.deadline <= now:
-                self._time_out(group, care, now)
-        self._start_waiting(now)
+            state = self._group_states.get(group)
+            if state is not None and state.deadline <= now:
+                self._time_out(group, state, now)
+        self._start_waiting_promotions(now)
 
     def take_commands(self) -> list[Propose | SendToProxy]:
         """Return the collected proposals, in few entries, and messages."""
@@ -193,177 +193,179 @@
     def _recorded(self, group: str) -> GroupPrimary:
         return self._primaries.get(group, GroupPrimary(group, 0, ""))
 
-    def _resume(self, group: str, care: GroupFailoverState, now: float) -> None:
+    def _resume(self, group: str, state: GroupFailoverState, now: float) -> None:
         """Go on where an earlier leader stood; its order may still be carried out."""
         recorded = self._recorded(group)
         if recorded.switching_over:
-            self._enter(group, care, Step.PAUSING, now + self._timing.switchover_pause_s)
+            self._enter(group, state, Step.PAUSING, now + self._timing.switchover_pause_s)
         elif not recorded.primary:
-            self._enter(group, care, Step.ORDERED, now + self._timing.resume_hold_s)
+            self._enter(group, state, Step.ORDERED, now + self._timing.resume_hold_s)
 
-    def _enter(self, group: str, care: GroupFailoverState, step: Step, deadline: float) -> None:
-        care.step = step
-        care.deadline = deadline
+    def _enter(self, group: str, state: GroupFailoverState, step: Step, deadline: float) -> None:
+        state.step = step
+        state.deadline = deadline
         if deadline != NEVER:
             heapq.heappush(self._deadlines, (deadline, next(self._deadline_numbers), group))
 
     def _evaluate(self, group: str, now: float) -> None:
-        care = self._cares[group]
-        if care.step is Step.RECORDING or self._follow_exposed(group, care, now):
+        state = self._group_states[group]
+        if state.step is Step.RECORDING or self._follow_exposed(group, state, now):
             return
         recorded = self._recorded(group)
-        match care.step:
+        match state.step:
             case Step.WATCHED | Step.DOUBTED:
-                self._evaluate_primary(group, care, recorded, now)
+                self._evaluate_primary(group, state, recorded, now)
             case Step.PAUSING:
-                if care.paused.issuperset(self._suspicion.live_homes(care.watch, now)):
-                    self._want_promotion(group, care, now)
+                if state.paused.issuperset(self._suspicion.live_homes(state.reports, now)):
+                    self._start_promotion(group, state, now)
 
-    def _follow_exposed(self, group: str, care: GroupFailoverState, now: float) -> bool:
+    def _follow_exposed(self, group: str, state: GroupFailoverState, now: float) -> bool:
         """Record a primary that the group itself exposes; tell whether there is one."""
         recorded = self._recorded(group)
         if recorded.term > 0 and not recorded.primary:
-            member = care.watch.primary_of_term(recorded.term)
+            member = state.reports.primary_of_term(recorded.term)
             if member:
-                self._record(group, care, ExposedPrimary(recorded.term, member), now)
+                self._record(group, state, ExposedPrimary(recorded.term, member), now)
                 return True
-        exposed = care.watch.majority_primary(above_term=recorded.term)
+        exposed = state.reports.majority_primary(above_term=recorded.term)
         if exposed is None:
             return False
-        self._record(group, care, exposed, now)
+        self._record(group, state, exposed, now)
         return True
 
     def _evaluate_primary(
-        self, group: str, care: GroupFailoverState, recorded: GroupPrimary, now: float
+        self, group: str, state: GroupFailoverState, recorded: GroupPrimary, now: float
     ) -> None:
-        if care.watch.group.promotion is not PromotionMode.CONTROLLERS:
+        if state.reports.group.promotion is not PromotionMode.CONTROLLERS:
             return
-        hold_s = self._suspicion.hold_s(care.watch, recorded, now)
+        hold_s = self._suspicion.hold_s(state.reports, recorded, now)
         if hold_s is None:
-            if care.step is Step.DOUBTED:
-                self._enter(group, care, Step.WATCHED, NEVER)
-            self._move_from_leaving(group, care, recorded)
+            if state.step is Step.DOUBTED:
+                self._enter(group, state, Step.WATCHED, NEVER)
+            self._move_from_leaving(group, state, recorded)
             return
-        hold_s *= care.hold_factor(now, self._timing.calm_s)
-        if care.step is Step.WATCHED:
-            care.doubted_at = now
-        if care.step is Step.WATCHED or care.deadline != care.doubted_at + hold_s:
-            self._enter(group, care, Step.DOUBTED, care.doubted_at + hold_s)
+        hold_s *= state.hold_factor(now, self._timing.calm_s)
+        if state.step is Step.WATCHED:
+            state.doubted_at = now
+        if state.step is Step.WATCHED or state.deadline != state.doubted_at + hold_s:
+            self._enter(group, state, Step.DOUBTED, state.doubted_at + hold_s)
 
     def _move_from_leaving(
-        self, group: str, care: GroupFailoverState, recorded: GroupPrimary
+        self, group: str, state: GroupFailoverState, recorded: GroupPrimary
     ) -> None:
         """Begin a switchover when the primary is declared leaving."""
-        if not recorded.primary or not care.watch.is_leaving(recorded.primary):
+        if not recorded.primary or not state.reports.is_leaving(recorded.primary):
             return
-        target = care.watch.best_successor(recorded.primary)
+        target = state.reports.best_successor(recorded.primary)
         if target:
             entry = BeginSwitchover("", "", group, recorded.term, target)
             self._proposals.begin_switchover(entry)
 
     def _record(
-        self, group: str, care: GroupFailoverState, exposed: ExposedPrimary, now: float
+        self, group: str, state: GroupFailoverState, exposed: ExposedPrimary, now: float
     ) -> None:
         """Propose a primary; no higher term is granted while the proposal is under way."""
         expected = self._recorded(group).term
         change = PrimaryChange(group, expected, exposed.term, exposed.member)
         self._proposals.record(change)
-        self._enter(group, care, Step.RECORDING, now + PROPOSAL_RETRY_S)
+        self._enter(group, state, Step.RECORDING, now + PROPOSAL_RETRY_S)
 
-    def _time_out(self, group: str, care: GroupFailoverState, now: float) -> None:
-        care.deadline = NEVER
-        match care.step:
+    def _time_out(self, group: str, state: GroupFailoverState, now: float) -> None:
+        state.deadline = NEVER
+        match state.step:
             case Step.DOUBTED:
-                if self._suspicion.hold_s(care.watch, self._recorded(group), now) is None:
-                    self._enter(group, care, Step.WATCHED, NEVER)
+                if self._suspicion.hold_s(state.reports, self._recorded(group), now) is None:
+                    self._enter(group, state, Step.WATCHED, NEVER)
                 else:
-                    self._want_promotion(group, care, now)
+                    self._start_promotion(group, state, now)
             case Step.PAUSING | Step.BACKING_OFF:
-                self._want_promotion(group, care, now)
+                self._start_promotion(group, state, now)
             case Step.GRANTING:
-                self._grant(group, care, now)
+                self._grant(group, state, now)
             case Step.RECORDING:
-                self._record_lost(group, care, now)
+                self._recording_timed_out(group, state, now)
             case Step.ORDERED:
-                self._fail(group, care, now)
+                self._back_off_after_failure(group, state, now)
 
-    def _record_lost(self, group: str, care: GroupFailoverState, now: float) -> None:
+    def _recording_timed_out(self, group: str, state: GroupFailoverState, now: float) -> None:
         """Look anew at a group whose proposed primary did not come out of the log."""
         recorded = self._recorded(group)
         if recorded.switching_over:
-            self._enter(group, care, Step.PAUSING, now + self._timing.switchover_pause_s)
+            self._enter(group, state, Step.PAUSING, now + self._timing.switchover_pause_s)
         elif recorded.primary:
-            self._release(care)
-            self._enter(group, care, Step.WATCHED, NEVER)
+            self._release_slot(state)
+            self._enter(group, state, Step.WATCHED, NEVER)
         else:
-            self._fail(group, care, now)
+            self._back_off_after_failure(group, state, now)
         self._evaluate(group, now)
 
-    def _want_promotion(self, group: str, care: GroupFailoverState, now: float) -> None:
+    def _start_promotion(self, group: str, state: GroupFailoverState, now: float) -> None:
         """Begin a promotion, or wait for a place; without a live home proxy try again later."""
-        self._release(care)
-        care.replaced = self._recorded(group).primary or care.replaced
-        live = self._suspicion.live_homes(care.watch, now)
+        self._release_slot(state)
+        state.replaced = self._recorded(group).primary or state.replaced
+        live = self._suspicion.live_homes(state.reports, now)
         if not live:
-            self._fail(group, care, now)
-        elif not self._take_place(care, live):
+            self._back_off_after_failure(group, state, now)
+        elif not self._acquire_slot(state, live):
             self._waiting.append(group)
-            self._enter(group, care, Step.WAITING, NEVER)
+            self._enter(group, state, Step.WAITING, NEVER)
         else:
-            self._grant(group, care, now)
+            self._grant(group, state, now)
 
-    def _take_place(self, care: GroupFailoverState, live: list[str]) -> bool:
+    def _acquire_slot(self, state: GroupFailoverState, live: list[str]) -> bool:
         """Take a place among the promotions under way; False when there is none."""
-        executor = self._places.choose_executor(care, live)
+        executor = self._slots.choose_executor(state, live)
         if not executor:
             return False
-        care.executor = executor
-        care.has_place = True
-        self._places.take(executor)
+        state.executor = executor
+        state.has_slot = True
+        self._slots.take(executor)
         return True
 
-    def _grant(self, group: str, care: GroupFailoverState, now: float) -> None:
+    def _grant(self, group: str, state: GroupFailoverState, now: float) -> None:
         """Propose the next term; its order follows when the term is in the log."""
         recorded = self._recorded(group)
-        term = max(recorded.term, care.watch.highest_term()) + 1
+        term = max(recorded.term, state.reports.highest_term()) + 1
         self._proposals.grant(TermGrant(group, recorded.term, term))
-        self._enter(group, care, Step.GRANTING, now + PROPOSAL_RETRY_S)
+        self._enter(group, state, Step.GRANTING, now + PROPOSAL_RETRY_S)
 
-    def _order(self, group: str, care: GroupFailoverState, now: float) -> None:
+    def _order(self, group: str, state: GroupFailoverState, now: float) -> None:
         """Give the order of the term just recorded to the chosen home proxy."""
-        if not care.has_place or not self._membership.is_live(care.executor, now):
-            self._fail(group, care, now)
+        if not state.has_slot or not self._membership.is_live(state.executor, now):
+            self._back_off_after_failure(group, state, now)
             return
         recorded = self._recorded(group)
         target = self._targets.get(group, "")
-        preferred = target or care.watch.best_successor(care.replaced)
-        care.planned = bool(target)
-        patience_s = self._timing.promotion_timeout_s * min(1 + care.failures, LONGEST_PATIENCE)
-        timeout_ms = int((patience_s - ANSWER_TRAVEL_S) * MS_PER_S)
-        order = PromoteOrder(group, recorded.term, preferred, care.planned, max(1, timeout_ms))
-        self._messages.append(SendToProxy(care.executor, order))
-        self._enter(group, care, Step.ORDERED, now + patience_s)
-
-    def _fail(self, group: str, care: GroupFailoverState, now: float) -> None:
+        preferred = target or state.reports.best_successor(state.replaced)
+        state.planned = bool(target)
+        timeout_s = self._timing.promotion_timeout_s * min(
+            1 + state.failures, MAXIMUM_TIMEOUT_FACTOR
+        )
+        timeout_ms = int((timeout_s - ANSWER_TRANSIT_S) * MS_PER_S)
+        order = PromoteOrder(group, recorded.term, preferred, state.planned, max(1, timeout_ms))
+        self._messages.append(SendToProxy(state.executor, order))
+        self._enter(group, state, Step.ORDERED, now + timeout_s)
+
+    def _back_off_after_failure(self, group: str, state: GroupFailoverState, now: float) -> None:
         """Wait before the next try, longer each time; meanwhile others may promote."""
-        self._release(care)
-        care.failures += 1
-        longest = self._timing.shortest_backoff_s * 2 ** min(care.failures - 1, 16)
+        self._release_slot(state)
+        state.failures += 1
+        longest = self._timing.shortest_backoff_s * 2 ** min(state.failures - 1, 16)
         pause_s = min(longest, self._timing.longest_backoff_s) * self._generator.uniform(0.5, 1.0)
-        self._enter(group, care, Step.BACKING_OFF, now + pause_s)
+        self._enter(group, state, Step.BACKING_OFF, now + pause_s)
 
-    def _release(self, care: GroupFailoverState) -> None:
+    def _release_slot(self, state: GroupFailoverState) -> None:
         """Give a place back; the groups that wait for one are looked at by the next tick."""
-        if care.has_place:
-            care.has_place = False
-            self._places.give_back(care.executor)
+        if state.has_slot:
+            state.has_slot = False
+            self._slots.release(state.executor)
 
-    def _start_waiting(self, now: float) -> None:
+    def _start_waiting_promotions(self, now: float) -> None:
         """Begin the promotions that have waited longest, as far as there are places."""
         for _ in range(min(len(self._waiting), self._timing.promotions_at_once)):
-            if self._places.is_full:
+            if self._slots.is_full:
                 return
             group = self._waiting.popleft()
-            care = self._cares.get(group)
-            if care is not None and care.step is Step.WAITING:
-                self._want_promotion(group, care, now)
+            state = self._group_states.get(group)
+            if state is not None and state.step is Step.WAITING:
+                self._start_promotion(group, state, now)
--- a/limedyke/core/control/primaries/group_failover_state.py
+++ b/limedyke/core/control/primaries/group_failover_state.py
@@ -1,4 +1,4 @@
-"""The leader's care for one group: the step it stands at, and what belongs to it."""
+"""The leader's state for one group: the step it stands at, and what belongs to it."""
 
 from __future__ import annotations
 
@@ -27,34 +27,34 @@
 
 @dataclass(slots=True)
 class GroupFailoverState:
-    """The leader's care for one group.
+    """The leader's state for one group.
 
     :param deadline: when the present step is looked at again
     :param doubted_at: when the present doubt began
     :param failures: promotions failed since the last success
     :param executor: home proxy that has, or had, the order
     :param replaced: the primary that the promotion under way replaces
-    :param has_place: counted among the promotions under way, also at its executor
+    :param has_slot: counted among the promotions under way, also at its executor
     :param planned: the order given last was of a planned move
     :param failed_over_at: when the last failover of the group ended
     :param failovers: how many followed each other without a calm between them
     :param paused: home proxies that have paused writes for a switchover
     """
 
-    watch: GroupReports
+    reports: GroupReports
     step: Step = Step.WATCHED
     deadline: float = NEVER
     doubted_at: float = 0.0
     failures: int = 0
     executor: str = ""
     replaced: str = ""
-    has_place: bool = False
+    has_slot: bool = False
     planned: bool = False
     failed_over_at: float = float("-inf")
     failovers: int = 0
     paused: set[str] = field(default_factory=set)
 
-    def failed_over(self, now: float, calm_s: float) -> None:
+    def record_failover(self, now: float, calm_s: float) -> None:
         """Note the end of a failover."""
         calm = now - self.failed_over_at > calm_s
         self.failovers = 1 if calm else self.failovers + 1
--- a/limedyke/core/control/primaries/primary_evaluator.py
+++ b/limedyke/core/control/primaries/primary_evaluator.py
@@ -27,7 +27,7 @@
 
     :param members: the recorded members by identity, read only
     :param proxies: the recorded proxies by name, read only
-    :param book: when members were heard
+    :param announcements: when members were heard
     :param membership: when proxies were heard
     :param homes: the home proxies of each group: only they hold connections, and so judge members
     :param now: when this controller began to lead
@@ -37,7 +37,7 @@
         self,
         members: Mapping[str, AnnouncedMember],
         proxies: Mapping[str, ProxyRecord],
-        book: AnnouncementTracker,
+        announcements: AnnouncementTracker,
         membership: ProxyMembership,
         homes: HomeDirectory,
         timing: ControlTiming,
@@ -46,7 +46,7 @@
         self._members = members
         self._by_group = GroupMembers(members)
         self._proxies = proxies
-        self._book = book
+        self._announcements = announcements
         self._membership = membership
         self._homes = homes
         self._timing = timing
@@ -63,20 +63,20 @@
         return self._by_group.applied(changed, removed)
 
     def suspicion(
-        self, group: str, care: AuthorityGroupState, primary: str, now: float
+        self, group: str, state: AuthorityGroupState, primary: str, now: float
     ) -> Suspicion | None:
         """Return why a primary should be replaced; None when it should not."""
         member = self._members.get(primary)
         if member is None:
             return Suspicion(SuspicionReason.LEFT, "it has left")
-        if not self._able(group, care, primary, now):
+        if not self._eligible(group, state, primary, now):
             return None
         if member.state is MemberState.DRAINING:
             return Suspicion(SuspicionReason.DRAINS, "it is draining")
-        return self._votes_against(group, care, primary, now)
+        return self._vote_suspicion(group, state, primary, now)
 
-    def _votes_against(
-        self, group: str, care: AuthorityGroupState, primary: str, now: float
+    def _vote_suspicion(
+        self, group: str, state: AuthorityGroupState, primary: str, now: float
     ) -> Suspicion | None:
         """Return what the home proxies report against a primary.
 
@@ -85,45 +85,45 @@
         timing = self._timing
         homes = self._homes.homes(group)
         live = {name for name in homes if self._membership.is_live(name, now)}
-        unreached = {name for name in live if care.reports.cannot_reach(name, primary)}
+        unreached = {name for name in live if state.reports.cannot_reach(name, primary)}
         majority = len(homes) // 2 + 1
         if len(live) < majority and now - self._started_at < timing.live_s:
             return None
         hold_s = vote_hold_s(unreached, live, majority, timing.report_hold_s, timing)
-        if hold_s is not None and len(live) < majority and self._most_proxies_are_missing(now):
+        if hold_s is not None and len(live) < majority and self._most_proxies_are_silent(now):
             hold_s = max(hold_s, timing.cut_off_hold_s)
-        if hold_s is not None and care.took_over_lately(now, timing.calm_s):
+        if hold_s is not None and state.took_over_recently(now, timing.calm_s):
             hold_s = max(hold_s, timing.settling_hold_s)
         if hold_s is not None:
             counted = f"{len(unreached)} of {len(homes)} home proxies, {len(live)} of them heard"
             return Suspicion(SuspicionReason.UNREACHABLE, f"{counted}, can't reach it", hold_s)
-        denied = {name for name in live if care.reports.was_denied(name, primary)}
+        denied = {name for name in live if state.reports.was_denied(name, primary)}
         if len(denied) >= majority:
             text = f"{len(denied)} of {len(homes)} home proxies were told that it does not lead"
             return Suspicion(SuspicionReason.DENIES, text, timing.demoted_hold_s)
-        return self._silence(care, primary, live, unreached, now)
+        return self._silence_suspicion(state, primary, live, unreached, now)
 
-    def _silence(
+    def _silence_suspicion(
         self,
-        care: AuthorityGroupState,
+        state: AuthorityGroupState,
         primary: str,
         live: set[str],
         unreached: set[str],
         now: float,
     ) -> Suspicion | None:
         """Return what a primary's own silence says, where no majority speaks against it."""
-        silent_s = now - self._book.heard_at(primary)
+        silent_s = now - self._announcements.last_announced_at(primary)
         if silent_s <= self._timing.member_silence_s:
             return None
         if unreached:
             text = f"silent for {silent_s:.1f} s, {len(unreached)} can't reach it"
             return Suspicion(SuspicionReason.SILENT, text)
-        if not any(care.reports.is_seen_by(name, primary) for name in live):
+        if not any(state.reports.has_report(name, primary) for name in live):
             text = f"silent for {silent_s:.1f} s, and nobody reaches it"
             return Suspicion(SuspicionReason.SILENT, text)
         return None
 
-    def _most_proxies_are_missing(self, now: float) -> bool:
+    def _most_proxies_are_silent(self, now: float) -> bool:
         """Tell whether this leader hears less than half of the proxies.
 
         It may be cut off from them together with the observers it hears, and the primary may well
@@ -134,14 +134,14 @@
         return 2 * heard < len(serving)
 
     def candidates(
-        self, group: str, care: AuthorityGroupState, leaving: str, now: float
+        self, group: str, state: AuthorityGroupState, leaving: str, now: float
     ) -> list[AnnouncedMember]:
         """Return the members that could lead, the best first."""
-        able = self._able(group, care, leaving, now)
-        return sorted(able, key=lambda member: self._rank(care, member, now))
+        eligible = self._eligible(group, state, leaving, now)
+        return sorted(eligible, key=lambda member: self._rank(state, member, now))
 
-    def _able(
-        self, group: str, care: AuthorityGroupState, leaving: str, now: float
+    def _eligible(
+        self, group: str, state: AuthorityGroupState, leaving: str, now: float
     ) -> list[AnnouncedMember]:
         """Return the members that could lead, in no order."""
         return [
@@ -149,10 +149,10 @@
             for member in self.members_of(group)
             if member.identity != leaving
             and member.state is MemberState.READY
-            and care.excluded.get(member.identity, 0.0) <= now
+            and state.excluded.get(member.identity, 0.0) <= now
         ]
 
-    def _rank(self, care: AuthorityGroupState, member: AnnouncedMember, now: float) -> Rank:
+    def _rank(self, state: AuthorityGroupState, member: AnnouncedMember, now: float) -> Rank:
         """Order members: not emptied, heard, following, reached, leading already, far in the log.
 
         One that has started again is empty until a proxy has seen a log there: to promote it would
@@ -161,15 +161,15 @@
         commits back that are lost, and lose all that came since.
         """
         name = member.identity
-        seen = care.reports.log_of(name)
+        seen = state.reports.log_of(name)
         log = seen or LogPosition()
-        heard_at = self._book.heard_at(name)
-        leads = member.is_primary and heard_at > care.recorded_at
+        heard_at = self._announcements.last_announced_at(name)
+        leads = member.is_primary and heard_at > state.recorded_at
         return (
-            name in care.reports.emptied and log.position == 0,
+            name in state.reports.emptied and log.position == 0,
             now - heard_at > self._timing.member_silence_s,
-            seen is not None and log.term < care.reports.newest_term(),
-            care.reports.unreachable_count(name),
+            seen is not None and log.term < state.reports.newest_term(),
+            state.reports.unreachable_count(name),
             not leads,
             -log.position,
             name,
--- a/limedyke/core/control/primaries/primary_suspicion.py
+++ b/limedyke/core/control/primaries/primary_suspicion.py
@@ -18,11 +18,11 @@
         self._membership = membership
         self._timing = timing
 
-    def live_homes(self, watch: GroupReports, now: float) -> list[str]:
+    def live_homes(self, reports: GroupReports, now: float) -> list[str]:
         """Return the group's home proxies that are heard, the heaviest first."""
-        return [proxy for proxy in watch.homes if self._membership.is_live(proxy, now)]
+        return [proxy for proxy in reports.homes if self._membership.is_live(proxy, now)]
 
-    def hold_s(self, watch: GroupReports, recorded: GroupPrimary, now: float) -> float | None:
+    def hold_s(self, reports: GroupReports, recorded: GroupPrimary, now: float) -> float | None:
         """Return how long the present suspicion must last before the term rises; None without one.
 
         A majority that can't reach the primary needs a short hold; one that sees it work as a
@@ -34,26 +34,26 @@
         """
         timing = self._timing
         if not recorded.primary:
-            live = set(self.live_homes(watch, now))
-            return self._hold_of(watch, watch.observers(), live, timing.demoted_hold_s)
-        unreachable = watch.unreachable_votes(recorded.primary)
-        demoted = watch.demoted_votes(recorded.primary)
+            live = set(self.live_homes(reports, now))
+            return self._hold_of(reports, reports.observers(), live, timing.demoted_hold_s)
+        unreachable = reports.unreachable_votes(recorded.primary)
+        demoted = reports.demoted_votes(recorded.primary)
         if not unreachable and not demoted:
             return None
-        live = set(self.live_homes(watch, now))
-        blind = {proxy for proxy in unreachable if not watch.sees_majority(proxy)}
+        live = set(self.live_homes(reports, now))
+        blind = {proxy for proxy in unreachable if not reports.sees_majority(proxy)}
         unreachable -= blind
         live -= blind
-        hold_s = self._hold_of(watch, unreachable, live, timing.report_hold_s)
+        hold_s = self._hold_of(reports, unreachable, live, timing.report_hold_s)
         if hold_s is not None:
             return hold_s
-        return self._hold_of(watch, unreachable | demoted, live, timing.demoted_hold_s)
+        return self._hold_of(reports, unreachable | demoted, live, timing.demoted_hold_s)
 
     def _hold_of(
-        self, watch: GroupReports, votes: set[str], live: set[str], majority_hold_s: float
+        self, reports: GroupReports, votes: set[str], live: set[str], majority_hold_s: float
     ) -> float | None:
         """Return how long these votes must last, or None when they are too few."""
-        return vote_hold_s(votes, live, watch.majority, majority_hold_s, self._timing)
+        return vote_hold_s(votes, live, reports.majority, majority_hold_s, self._timing)
 
 
 def vote_hold_s(
