--- a/limedyke/core/control/group_leases.py
+++ b/limedyke/core/control/group_leases.py
@@ -55,18 +55,18 @@
 class GroupLeases:
     """The leases of one group; the sum of holdings never grows beyond a budget or the limit.
 
-    :param tellers: proxies that tell their demand, kept by the caller: others would not understand
+    :param demand_reporters: proxies that tell their demand, kept by the caller: others would not understand
         a lease of connections to one member, and get none
     """
 
-    def __init__(self, name: str, tellers: Set[str] = frozenset()) -> None:
+    def __init__(self, name: str, demand_reporters: Set[str] = frozenset()) -> None:
         self.name = name
-        self._tellers = tellers
+        self._demand_reporters = demand_reporters
         self.homes: tuple[str, ...] = ()
         self._limit = 0
         self._budgets: dict[str, int] = {}
-        self._whole: dict[str, int] = {}
-        self._divided: list[str] = []
+        self._total_budgets: dict[str, int] = {}
+        self._divided_tenants: list[str] = []
         self._declared: Group | None = None
         self._members: tuple[str, ...] = ()
         self._divisions: dict[str, DemandDivision] = {}
@@ -77,14 +77,14 @@
         """Take the declared limits; probes get what is left, up to two for each home proxy."""
         self._limit = group.connection_limit
         whole = {access.tenant: access.connection_budget for access in group.access}
-        self._whole = whole
+        self._total_budgets = whole
         left = self._limit - sum(whole.values())
         common = {tenant: common_part(budget, group) for tenant, budget in whole.items()}
-        self._divided = [tenant for tenant in whole if whole[tenant] > common[tenant]]
+        self._divided_tenants = [tenant for tenant in whole if whole[tenant] > common[tenant]]
         self._declared = group
         self._budgets = common
         self._budgets[PROBE_TENANT] = max(0, min(left, PROBE_CONNECTIONS_PER_HOME * home_count))
-        self._divide_anew()
+        self._redivide()
 
     def set_members(self, members: Iterable[str]) -> bool:
         """Take the announced members; tell whether they changed."""
@@ -92,15 +92,15 @@
         if known == self._members:
             return False
         self._members = known
-        self._divide_anew()
+        self._redivide()
         return True
 
     def set_homes(self, homes: tuple[str, ...]) -> None:
         """Take the present home proxies."""
         self.homes = homes
-        self._divide_anew()
+        self._redivide()
 
-    def take_demand(self, proxy: str, demand: ConnectionDemand) -> None:
+    def record_demand(self, proxy: str, demand: ConnectionDemand) -> None:
         """Take a home proxy's demand at a member; ``divide`` follows it."""
         self._demands.setdefault(proxy, {})[demand.member] = demand
 
@@ -108,20 +108,20 @@
         """Divide at each member by the demands told so far; tell whether shares are to change."""
         return any([self._divide_at(member) for member in self._members])
 
-    def tellers_changed(self, proxy: str) -> bool:
+    def demand_reporting_changed(self, proxy: str) -> bool:
         """Forget what a proxy told, as it begins to tell its demand, or tells it no more.
 
         :returns: whether it concerns this group
         """
         self._demands.pop(proxy, None)
-        if proxy not in self.homes or not self._divided:
+        if proxy not in self.homes or not self._divided_tenants:
             return False
-        self._divide_anew()
+        self._redivide()
         return True
 
     def demand_of(self, proxy: str, member: str) -> ConnectionDemand | None:
         """Return the demand that a proxy told last; None when it tells none."""
-        if proxy not in self._tellers:
+        if proxy not in self._demand_reporters:
             return None
         none = ConnectionDemand(self.name, member, 0)
         return self._demands.get(proxy, {}).get(member, none)
@@ -147,9 +147,11 @@
         """Return the proxies that may hold connections, or should."""
         return {proxy for shares in self._shares.values() for proxy in shares} | set(self.homes)
 
-    def _divide_anew(self) -> None:
+    def _redivide(self) -> None:
         """Divide at each member; forget the divisions at members that are gone."""
-        wanted = {member_budget(tenant, m) for tenant in self._divided for m in self._members}
+        wanted = {
+            member_budget(tenant, m) for tenant in self._divided_tenants for m in self._members
+        }
         self._divisions = {key: d for key, d in self._divisions.items() if key in wanted}
         self.divide()
 
@@ -163,33 +165,33 @@
         }
         is_changed = False
         is_common = holds_common(self._declared, member)
-        for tenant in self._divided:
+        for tenant in self._divided_tenants:
             division = self._divisions.setdefault(member_budget(tenant, member), DemandDivision())
             common = {proxy: is_common * self._wanted(tenant, proxy) for proxy in demands}
-            is_changed |= division.update(self._divided_at(tenant, member), demands, common)
+            is_changed |= division.update(self._divided_budget(tenant, member), demands, common)
         return is_changed
 
-    def _divided_at(self, tenant: str, member: str) -> int:
+    def _divided_budget(self, tenant: str, member: str) -> int:
         """Return how much of a tenant's budget is divided at a member.
 
         One connection at least for each home proxy, however low the cap: without any it could not
         serve what needs that member.
         """
-        part = divided_part(self._whole[tenant], self._declared, member)
+        part = divided_part(self._total_budgets[tenant], self._declared, member)
         if holds_common(self._declared, member):
             return part
-        return max(part, sum(proxy in self._tellers for proxy in self.homes))
+        return max(part, sum(proxy in self._demand_reporters for proxy in self.homes))
 
     def clear_limits(self) -> None:
         """Take everything back: the group is declared no longer."""
         self._limit = 0
         self._budgets = {}
-        self._whole = {}
-        self._divided = []
+        self._total_budgets = {}
+        self._divided_tenants = []
         self.set_homes(())
 
     @property
-    def is_forgettable(self) -> bool:
+    def is_removable(self) -> bool:
         """Whether the group is declared no longer and nobody holds anything."""
         return self._limit == 0 and not any(self._shares.values())
 
@@ -256,7 +258,9 @@
         group_free = self._limit - self.held()
         for most in (1, self._limit):
             for tenant, budget in self._budgets.items():
-                free = min(budget - self.held_of(tenant), self._free_of(tenant), group_free)
+                free = min(
+                    budget - self.held_of(tenant), self._free_in_total_budget(tenant), group_free
+                )
                 for proxy in self.homes:
                     if free <= 0:
                         break
@@ -271,9 +275,9 @@
         self._grow_divided(reachable, changes)
         return list(changes.values())
 
-    def _free_of(self, tenant: str) -> int:
+    def _free_in_total_budget(self, tenant: str) -> int:
         """Return how much of a tenant's whole budget is free at the member where least is."""
-        if tenant not in self._divided:
+        if tenant not in self._divided_tenants:
             return self._limit
         most = max(
             (
@@ -283,7 +287,7 @@
             ),
             default=0,
         )
-        return self._whole[tenant] - self.held_of(tenant) - most
+        return self._total_budgets[tenant] - self.held_of(tenant) - most
 
     def _grow_divided(
         self, reachable: set[str], changes: dict[tuple[str, str], LeaseChange]
@@ -295,8 +299,8 @@
         for key, division in self._divisions.items():
             tenant, _, member = key.partition(MEMBER_SEPARATOR)
             group_free = self._limit - held[""] - held[member]
-            free = min(self._divided_at(tenant, member) - self.held_of(key), group_free)
-            free = min(free, self._whole[tenant] - self.held_of(tenant) - self.held_of(key))
+            free = min(self._divided_budget(tenant, member) - self.held_of(key), group_free)
+            free = min(free, self._total_budgets[tenant] - self.held_of(tenant) - self.held_of(key))
             for proxy in division.shares:
                 if free <= 0:
                     break
--- a/limedyke/core/control/leader.py
+++ b/limedyke/core/control/leader.py
@@ -47,8 +47,8 @@
 from limedyke.messages.control_entries import ControlEntry, RecordLimits
 from limedyke.messages.declaration import Group
 
-JUDGE_INTERVAL_S = 0.5
-SHORTEST_MEMBERSHIP_INTERVAL_S = 0.02
+CHECK_INTERVAL_S = 0.5
+MINIMUM_MEMBERSHIP_INTERVAL_S = 0.02
 MEMBERSHIP_INTERVAL_PER_GROUP_S = 0.2 / 1_800
 """Between two changes of the membership: each makes every controller look at all groups."""
 LEASES_RUN_OUT = "its leases have run out"
@@ -78,7 +78,7 @@
     ) -> None:
         self._state = state
         self._commands: list[LeaderCommand] = []
-        self._next_judgement_at = now
+        self._next_check_at = now
         self._refused: set[str] = set()
         self._now = now
         self._next_membership_at = now
@@ -113,7 +113,7 @@
             self._commands.append(Propose(RecordLimits(home_proxies_per_group)))
         for group in state.declared.groups.values():
             self._put_group(group, now)
-        self._share_at_members(state.declared.groups)
+        self._update_lease_members(state.declared.groups)
 
     def admits(self, hello: ProxyHello) -> bool:
         """Tell whether a proxy may connect: no other process of its name can hold leases."""
@@ -122,7 +122,7 @@
     def handle(self, event: LeaderEvent, now: float) -> None:
         """Take one event; what follows is collected until ``take_commands``."""
         self._now = now
-        if self._is_of_refused(event):
+        if self._is_from_refused_proxy(event):
             return
         match event:
             case HeartbeatReceived():
@@ -173,10 +173,10 @@
         if entries:
             groups = len(self._state.declared.groups)
             interval_s = MEMBERSHIP_INTERVAL_PER_GROUP_S * groups
-            self._next_membership_at = self._now + max(interval_s, SHORTEST_MEMBERSHIP_INTERVAL_S)
+            self._next_membership_at = self._now + max(interval_s, MINIMUM_MEMBERSHIP_INTERVAL_S)
         return entries
 
-    def _is_of_refused(self, event: LeaderEvent) -> bool:
+    def _is_from_refused_proxy(self, event: LeaderEvent) -> bool:
         """Tell whether an event comes from a link that was refused at its hello."""
         return getattr(event, "proxy", "") in self._refused
 
@@ -190,14 +190,14 @@
             self._commands.append(DisconnectProxy(hello.name, EARLIER_PROCESS))
             return
         self._refused.discard(hello.name)
-        self._end_earlier_lives(hello, now)
+        self._end_earlier_processes(hello, now)
         known = self._state.proxies.get(hello.name)
         if known is not None and has_ended(known, hello):
             self.leases.ended(hello.name)
             self.limits.ended(hello.name, now)
         self.membership.connected(hello, now)
 
-    def _end_earlier_lives(self, hello: ProxyHello, now: float) -> None:
+    def _end_earlier_processes(self, hello: ProxyHello, now: float) -> None:
         """Free what other names held on what this proxy has for itself.
 
         A proxy without a disk has a name of its own in each life, and in place of a folder the
@@ -238,9 +238,9 @@
         self.limits.set_connected_share(self.leases.reported_share, now)
         self.limits.tick(now)
         self.leases.divide(now)
-        if now < self._next_judgement_at:
+        if now < self._next_check_at:
             return
-        self._next_judgement_at = now + JUDGE_INTERVAL_S
+        self._next_check_at = now + CHECK_INTERVAL_S
         for proxy in self.leases.expire(now):
             self._commands.append(DisconnectProxy(proxy, LEASES_RUN_OUT))
         self.membership.judge(now, self.leases.holders())
@@ -261,7 +261,7 @@
             self.authority.remove_group(name)
         for group in update.groups:
             self._put_group(group, now)
-        self._share_at_members(group.name for group in update.groups)
+        self._update_lease_members(group.name for group in update.groups)
         for name in changed.difference(group.name for group in update.groups):
             self.leases.set_homes(name, self.homes.homes(name))
             self.failover.set_homes(name, self.homes.homes(name))
@@ -274,9 +274,9 @@
             touched = self.authority.members_applied(
                 update.announced, update.removed_announced, now
             )
-            self._share_at_members(touched)
+            self._update_lease_members(touched)
 
-    def _share_at_members(self, groups: Iterable[str]) -> None:
+    def _update_lease_members(self, groups: Iterable[str]) -> None:
         """Have the connections of groups whose members announce themselves shared at each."""
         for name in groups:
             group = self._state.declared.groups.get(name)
--- a/limedyke/core/control/lease_table.py
+++ b/limedyke/core/control/lease_table.py
@@ -50,12 +50,12 @@
         self._expires_at: dict[str, float] = {}
         self._groups_held: defaultdict[str, set[str]] = defaultdict(set)
         self._reachable: set[str] = set()
-        self._tellers: set[str] = set()
-        self._to_divide: set[str] = set()
+        self._demand_reporters: set[str] = set()
+        self._groups_to_divide: set[str] = set()
         self._next_division_at = now
-        self._to_share: dict[str, None] = {}
+        self._groups_to_share: dict[str, None] = {}
         self._unreported = set(unreported)
-        self._registered = len(unreported)
+        self._registered_count = len(unreported)
         self._adoption_ends_at = now + self._expiry_s
 
     @property
@@ -66,9 +66,9 @@
     @property
     def reported_share(self) -> float:
         """Which share of the proxies registered at the beginning has told what it holds."""
-        if not self._registered:
+        if not self._registered_count:
             return 1.0
-        return 1.0 - len(self._unreported) / self._registered
+        return 1.0 - len(self._unreported) / self._registered_count
 
     def group(self, name: str) -> GroupLeases | None:
         """Return the leases of a group."""
@@ -81,17 +81,17 @@
     def set_group(self, group: Group) -> None:
         """Take the declared limits of a group."""
         self._get(group.name).set_limits(group, self._home_count)
-        self._share_anew(group.name)
+        self._schedule_sharing(group.name)
 
     def set_homes(self, group: str, homes: tuple[str, ...]) -> None:
         """Take the present home proxies of a group."""
         self._get(group).set_homes(homes)
-        self._share_anew(group)
+        self._schedule_sharing(group)
 
     def set_members(self, group: str, members: Iterable[str]) -> None:
         """Take the members of a group that announced themselves."""
         if self._get(group).set_members(members):
-            self._share_anew(group)
+            self._schedule_sharing(group)
 
     def record_demands(self, proxy: str, demands: tuple[ConnectionDemand, ...] | None) -> None:
         """Take what a proxy has use for: what changed since it told all.
@@ -101,37 +101,37 @@
         for demand in demands or ():
             group = self._groups.get(demand.group)
             if group is not None:
-                group.take_demand(proxy, demand)
-                self._to_divide.add(demand.group)
+                group.record_demand(proxy, demand)
+                self._groups_to_divide.add(demand.group)
 
     def divide(self, now: float) -> None:
         """Divide connections by what was told since the last time; to be called often."""
-        if now < self._next_division_at or not self._to_divide:
+        if now < self._next_division_at or not self._groups_to_divide:
             return
         self._next_division_at = now + DIVISION_INTERVAL_S
-        for name in self._to_divide:
+        for name in self._groups_to_divide:
             group = self._groups.get(name)
             if group is not None and group.divide():
-                self._share_anew(name)
-        self._to_divide.clear()
+                self._schedule_sharing(name)
+        self._groups_to_divide.clear()
 
-    def _tells_anew(self, proxy: str, tells: bool) -> None:
+    def _set_demand_reporting(self, proxy: str, tells: bool) -> None:
         """Forget a proxy's demands; note whether it tells any from now on."""
-        if proxy not in self._tellers and not tells:
+        if proxy not in self._demand_reporters and not tells:
             return
         if tells:
-            self._tellers.add(proxy)
+            self._demand_reporters.add(proxy)
         else:
-            self._tellers.discard(proxy)
+            self._demand_reporters.discard(proxy)
         for name, group in self._groups.items():
-            if group.tellers_changed(proxy):
-                self._share_anew(name)
+            if group.demand_reporting_changed(proxy):
+                self._schedule_sharing(name)
 
     def remove_group(self, group: str) -> None:
         """Take back all leases of a group that is declared no longer."""
         if group in self._groups:
             self._groups[group].clear_limits()
-            self._share_anew(group)
+            self._schedule_sharing(group)
 
     def report(
         self,
@@ -146,15 +146,15 @@
         """
         self._drop_holdings(proxy)
         self._reachable.add(proxy)
-        self._tells_anew(proxy, demands is not None)
+        self._set_demand_reporting(proxy, demands is not None)
         self.record_demands(proxy, demands)
         for lease in leases:
             if lease.connections > 0:
                 self._get(lease.group).adopt(proxy, lease.tenant, lease.connections)
                 self._groups_held[proxy].add(lease.group)
-        self._share_anew_groups_of(proxy)
+        self._schedule_sharing_for(proxy)
         self.renew(proxy, now)
-        self._account_for(proxy)
+        self._mark_reported(proxy)
 
     def renew(self, proxy: str, now: float) -> None:
         """Count a heartbeat that arrived now."""
@@ -168,9 +168,9 @@
         """Free what a proxy held: its process is known to have ended or given all back."""
         self._reachable.discard(proxy)
         self._drop_holdings(proxy)
-        self._tells_anew(proxy, tells=False)
+        self._set_demand_reporting(proxy, tells=False)
         self._expires_at.pop(proxy, None)
-        self._account_for(proxy)
+        self._mark_reported(proxy)
 
     def returned(self, proxy: str, leases: tuple[ConnectionLease, ...]) -> None:
         """Note what a proxy no longer holds."""
@@ -178,18 +178,18 @@
             group = self._groups.get(lease.group)
             if group is not None:
                 group.returned(proxy, lease.tenant, lease.connections)
-                self._share_anew(lease.group)
+                self._schedule_sharing(lease.group)
 
     def expire(self, now: float) -> list[str]:
         """Free the leases that have run out; return their holders."""
         if self._unreported and now >= self._adoption_ends_at:
             self._unreported.clear()
-            self._share_anew_all()
+            self._schedule_sharing_of_all()
         expired = [proxy for proxy, end in self._expires_at.items() if end <= now]
         for proxy in expired:
             self._reachable.discard(proxy)
             self._drop_holdings(proxy)
-            self._tells_anew(proxy, tells=False)
+            self._set_demand_reporting(proxy, tells=False)
             del self._expires_at[proxy]
         return expired
 
@@ -200,13 +200,13 @@
         leader that is busy for too long loses its own lease.  The others follow at the next call.
         """
         changes: list[LeaseChange] = []
-        for name in list(islice(self._to_share, MAXIMUM_GROUPS_AT_ONCE)):
-            del self._to_share[name]
+        for name in list(islice(self._groups_to_share, MAXIMUM_GROUPS_AT_ONCE)):
+            del self._groups_to_share[name]
             group = self._groups[name]
             changes += group.shrink(self._reachable)
             if not self.is_adopting:
                 changes += group.grow(self._reachable)
-            if group.is_forgettable:
+            if group.is_removable:
                 del self._groups[name]
         for change in changes:
             self._groups_held[change.proxy].add(change.lease.group)
@@ -215,33 +215,33 @@
     def _get(self, name: str) -> GroupLeases:
         group = self._groups.get(name)
         if group is None:
-            group = self._groups[name] = GroupLeases(name, self._tellers)
+            group = self._groups[name] = GroupLeases(name, self._demand_reporters)
         return group
 
-    def _account_for(self, proxy: str) -> None:
+    def _mark_reported(self, proxy: str) -> None:
         """Note that nothing unknown is held by a proxy; the last one ends the adoption."""
         if proxy not in self._unreported:
             return
         self._unreported.discard(proxy)
         if not self._unreported:
-            self._share_anew_all()
+            self._schedule_sharing_of_all()
 
-    def _share_anew(self, group: str) -> None:
+    def _schedule_sharing(self, group: str) -> None:
         """Have a group's budgets shared anew by the next ``take_changes``."""
-        self._to_share[group] = None
+        self._groups_to_share[group] = None
 
-    def _share_anew_all(self) -> None:
+    def _schedule_sharing_of_all(self) -> None:
         for name in self._groups:
-            self._share_anew(name)
+            self._schedule_sharing(name)
 
-    def _share_anew_groups_of(self, proxy: str) -> None:
+    def _schedule_sharing_for(self, proxy: str) -> None:
         for name, group in self._groups.items():
             if proxy in group.homes or name in self._groups_held[proxy]:
-                self._share_anew(name)
+                self._schedule_sharing(name)
 
     def _drop_holdings(self, proxy: str) -> None:
         for name in self._groups_held.pop(proxy, ()):
             group = self._groups.get(name)
             if group is not None:
                 group.drop(proxy)
-                self._share_anew(name)
+                self._schedule_sharing(name)
--- a/limedyke/core/control/leases/demand_division.py
+++ b/limedyke/core/control/leases/demand_division.py
@@ -16,10 +16,10 @@
 BACKGROUND_DEMAND = 0.25
 """Counts for each home proxy beside its demand, so that one without any is given something too
 where there is enough."""
-NEEDY_SHARE = 0.9
+SHORTAGE_RATIO = 0.9
 """A home proxy that wants more than this share of what it has is short of connections soon."""
-LEAST_GAIN = 3
-LEAST_GAIN_SHARE = 0.4
+MINIMUM_GAIN = 3
+MINIMUM_GAIN_RATIO = 0.4
 """A division that gives nobody who is short at least these, as a number and as a share of what it
 has, isn't worth the connections that are closed elsewhere for it."""
 
@@ -60,12 +60,12 @@
         :param demands: of the home proxies that tell theirs, by name
         :param common: what each has beside this budget
         """
-        is_same_question = budget == self._budget and demands.keys() == self.shares.keys()
-        if is_same_question and not self._is_short(demands, common):
+        is_same_input = budget == self._budget and demands.keys() == self.shares.keys()
+        if is_same_input and not self._is_short(demands, common):
             return False
         has_nothing_else = not any(common.values())
         shares = divide(budget, demands, int(has_nothing_else and budget >= len(demands)))
-        if is_same_question:
+        if is_same_input:
             return self._move_towards(shares, demands, common)
         self._budget = budget
         is_changed = shares != self.shares
@@ -77,7 +77,7 @@
 
     def _needs_more(self, name: str, demands: Mapping[str, int], common: Mapping[str, int]) -> bool:
         has = self.shares[name] + common.get(name, 0)
-        return demands[name] > NEEDY_SHARE * has
+        return demands[name] > SHORTAGE_RATIO * has
 
     def _move_towards(
         self, ideal: Mapping[str, int], demands: Mapping[str, int], common: Mapping[str, int]
@@ -89,21 +89,24 @@
         gains = {
             name: ideal[name] - self.shares[name]
             for name in demands
-            if self._needs_more(name, demands, common) and self._gains_enough(name, ideal, common)
+            if self._needs_more(name, demands, common)
+            and self._gain_is_worthwhile(name, ideal, common)
         }
         wanted = sum(gains.values())
         for name, gain in gains.items():
             self.shares[name] += gain
-        givers = sorted(
+        donors = sorted(
             (name for name in self.shares if name not in gains),
             key=lambda name: ideal[name] - self.shares[name],
         )
-        for name in givers:
+        for name in donors:
             given = min(wanted, max(0, self.shares[name] - ideal[name]))
             self.shares[name] -= given
             wanted -= given
         return bool(gains)
 
-    def _gains_enough(self, name: str, ideal: Mapping[str, int], common: Mapping[str, int]) -> bool:
+    def _gain_is_worthwhile(
+        self, name: str, ideal: Mapping[str, int], common: Mapping[str, int]
+    ) -> bool:
         has = self.shares[name] + common.get(name, 0)
-        return ideal[name] - self.shares[name] >= max(LEAST_GAIN, LEAST_GAIN_SHARE * has)
+        return ideal[name] - self.shares[name] >= max(MINIMUM_GAIN, MINIMUM_GAIN_RATIO * has)
