--- a/limedyke/core/control/events.py
+++ b/limedyke/core/control/events.py
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyLeft:
-    """A proxy drains; ``done`` once it holds no lease and no session."""
+    """A proxy drains; ``done`` once it holds no leases."""
 
     proxy: str
     done: bool
--- a/limedyke/core/control/membership.py
+++ b/limedyke/core/control/membership.py
@@ -158,7 +158,7 @@
             silence_s = now - session.heard_at
             if silence_s > self._removal_silence_s and name not in lease_holders:
                 self._end(name)
-            elif silence_s > self._patience_s(name) and record.state is ProxyState.SERVING:
+            elif silence_s > self._suspicion_timeout_s(name) and record.state is ProxyState.SERVING:
                 self._want(replace(record, state=ProxyState.SUSPECTED))
 
     def take_entries(self) -> list[RecordProxies | RemoveProxies]:
@@ -186,7 +186,7 @@
         if session is not None and not session.connected:
             del self._sessions[proxy]
 
-    def _patience_s(self, proxy: str) -> float:
+    def _suspicion_timeout_s(self, proxy: str) -> float:
         hinted = proxy in self._hinted
         return self._timing.hinted_suspicion_s if hinted else self._timing.suspicion_s
 
