--- a/limedyke/core/control/group_leases.py
+++ b/limedyke/core/control/group_leases.py
@@ -1,7 +1,7 @@
-"""Connection leases of one group: shares of each tenant's budget among its home proxies.
+"""Connection leases of one group: each tenant's budget, shared among the group's home proxies.
 
-Where members announce themselves, a part of each budget is shared equally and holds at every
-member, and the rest is divided at each member by demand, so that connections are where work is.
+If members announce themselves, a common part of each budget is shared equally and applies to every
+member. The rest is divided separately for each member in proportion to the proxies' demand.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from limedyke.messages.declaration import Group
 
 PROBE_TENANT = ""
-"""Stands for the tenant in leases of connections for probes."""
+"""Tenant name in leases of connections for probes."""
 PROBE_CONNECTIONS_PER_HOME = 2
 
 
@@ -31,8 +31,8 @@
 class Share:
     """One holder's share of one budget.
 
-    :param granted: what the holder was last told it may hold
-    :param holding: upper bound of what it may still hold; at least ``granted``
+    :param granted: connections last granted to the holder
+    :param holding: upper bound of the connections it may still hold; at least ``granted``
     """
 
     granted: int = 0
@@ -40,13 +40,13 @@
 
     @property
     def is_shrinking(self) -> bool:
-        """Whether the holder has not yet given back what was taken from it."""
+        """Whether the holder has yet to return connections that were revoked."""
         return self.holding > self.granted
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseChange:
-    """A lease to be told to its holder."""
+    """A changed lease to send to its holder."""
 
     proxy: str
     lease: ConnectionLease
@@ -55,8 +55,8 @@
 class GroupLeases:
     """The leases of one group; the sum of holdings never grows beyond a budget or the limit.
 
-    :param demand_reporters: proxies that tell their demand, kept by the caller: others would not understand
-        a lease of connections to one member, and get none
+    :param demand_reporters: proxies that report their demand, maintained by the caller; the others
+        do not understand leases for a single member and get none
     """
 
     def __init__(self, name: str, demand_reporters: Set[str] = frozenset()) -> None:
@@ -74,7 +74,7 @@
         self._shares: dict[str, dict[str, Share]] = {}
 
     def set_limits(self, group: Group, home_count: int) -> None:
-        """Take the declared limits; probes get what is left, up to two for each home proxy."""
+        """Set the declared limits; probes get the remainder, at most two for each home proxy."""
         self._limit = group.connection_limit
         whole = {access.tenant: access.connection_budget for access in group.access}
         self._total_budgets = whole
@@ -87,7 +87,7 @@
         self._redivide()
 
     def set_members(self, members: Iterable[str]) -> bool:
-        """Take the announced members; tell whether they changed."""
+        """Set the announced members; return whether they changed."""
         known = tuple(sorted(members))
         if known == self._members:
             return False
@@ -96,22 +96,22 @@
         return True
 
     def set_homes(self, homes: tuple[str, ...]) -> None:
-        """Take the present home proxies."""
+        """Set the current home proxies."""
         self.homes = homes
         self._redivide()
 
     def record_demand(self, proxy: str, demand: ConnectionDemand) -> None:
-        """Take a home proxy's demand at a member; ``divide`` follows it."""
+        """Record a home proxy's demand at a member; it takes effect at the next ``divide``."""
         self._demands.setdefault(proxy, {})[demand.member] = demand
 
     def divide(self) -> bool:
-        """Divide at each member by the demands told so far; tell whether shares are to change."""
+        """Divide at each member by the recorded demands; return whether any share changed."""
         return any([self._divide_at(member) for member in self._members])
 
     def demand_reporting_changed(self, proxy: str) -> bool:
-        """Forget what a proxy told, as it begins to tell its demand, or tells it no more.
+        """Forget a proxy's demands, as it starts or stops reporting them.
 
-        :returns: whether it concerns this group
+        :returns: whether this affects the group's shares
         """
         self._demands.pop(proxy, None)
         if proxy not in self.homes or not self._divided_tenants:
@@ -120,7 +120,7 @@
         return True
 
     def demand_of(self, proxy: str, member: str) -> ConnectionDemand | None:
-        """Return the demand that a proxy told last; None when it tells none."""
+        """Return a proxy's last reported demand; None if it does not report any."""
         if proxy not in self._demand_reporters:
             return None
         none = ConnectionDemand(self.name, member, 0)
@@ -128,11 +128,11 @@
 
     @property
     def limit(self) -> int:
-        """Connections that each member takes from all proxies together."""
+        """Connections that each member accepts from all proxies together."""
         return self._limit
 
     def share_at(self, proxy: str, member: str) -> Share:
-        """Return what a proxy was granted of a member's connections, over all budgets."""
+        """Return a proxy's share of a member's connections, summed over all budgets."""
         total = Share()
         budgets = {member}
         if self._declared is None or holds_common(self._declared, member):
@@ -144,11 +144,11 @@
         return total
 
     def holders(self) -> set[str]:
-        """Return the proxies that may hold connections, or should."""
+        """Return the proxies that may hold connections, and the home proxies."""
         return {proxy for shares in self._shares.values() for proxy in shares} | set(self.homes)
 
     def _redivide(self) -> None:
-        """Divide at each member; forget the divisions at members that are gone."""
+        """Divide at each member, and drop the divisions of removed members."""
         wanted = {
             member_budget(tenant, m) for tenant in self._divided_tenants for m in self._members
         }
@@ -172,10 +172,10 @@
         return is_changed
 
     def _divided_budget(self, tenant: str, member: str) -> int:
-        """Return how much of a tenant's budget is divided at a member.
+        """Return the part of a tenant's budget that is divided by demand at a member.
 
-        One connection at least for each home proxy, however low the cap: without any it could not
-        serve what needs that member.
+        At least one connection for each home proxy, however low the cap: without one, a proxy could
+        not serve requests that need this member.
         """
         part = divided_part(self._total_budgets[tenant], self._declared, member)
         if holds_common(self._declared, member):
@@ -183,7 +183,7 @@
         return max(part, sum(proxy in self._demand_reporters for proxy in self.homes))
 
     def clear_limits(self) -> None:
-        """Take everything back: the group is declared no longer."""
+        """Revoke all leases, because the group is no longer declared."""
         self._limit = 0
         self._budgets = {}
         self._total_budgets = {}
@@ -192,27 +192,27 @@
 
     @property
     def is_removable(self) -> bool:
-        """Whether the group is declared no longer and nobody holds anything."""
+        """Whether the group is no longer declared and no proxy holds connections."""
         return self._limit == 0 and not any(self._shares.values())
 
     def held(self) -> int:
-        """Return the connections that may be open to a member, over all holders, at the most."""
+        """Return the maximum number of connections that all holders may have open to one member."""
         held = self._held_by_member()
         return held.pop("", 0) + max(held.values(), default=0)
 
     def _held_by_member(self) -> Counter[str]:
-        """Return the connections held at one member alone, by member, and at each one under ''."""
+        """Return connections held at a single member, by member; those at every member under ''."""
         held: Counter[str] = Counter()
         for tenant, shares in self._shares.items():
             held[member_of_budget(tenant)] += sum(share.holding for share in shares.values())
         return held
 
     def held_of(self, tenant: str) -> int:
-        """Return the connections that may be open for one budget."""
+        """Return the number of connections that may be open for one budget."""
         return sum(share.holding for share in self._shares.get(tenant, {}).values())
 
     def holdings(self) -> list[tuple[str, str, int]]:
-        """Return (proxy, tenant, holding) of every share."""
+        """Return every share as (proxy, tenant, holding)."""
         return [
             (proxy, tenant, share.holding)
             for tenant, shares in self._shares.items()
@@ -220,11 +220,11 @@
         ]
 
     def adopt(self, proxy: str, tenant: str, connections: int) -> None:
-        """Take a holder's own report as what it holds and may hold."""
+        """Record the connections that a holder reports, as both granted and held."""
         self._shares.setdefault(tenant, {})[proxy] = Share(connections, connections)
 
     def returned(self, proxy: str, tenant: str, connections: int) -> None:
-        """Note that a holder gave back what was taken from it, or part of it."""
+        """Record that a holder returned some or all of its revoked connections."""
         share = self._shares.get(tenant, {}).get(proxy)
         if share is None:
             return
@@ -233,12 +233,12 @@
             del self._shares[tenant][proxy]
 
     def drop(self, proxy: str) -> None:
-        """Forget what a proxy holds: its leases have run out or its process has ended."""
+        """Remove a proxy's shares: its leases have expired or its process has ended."""
         for shares in self._shares.values():
             shares.pop(proxy, None)
 
     def shrink(self, reachable: set[str]) -> list[LeaseChange]:
-        """Take back what is above the wanted shares."""
+        """Revoke connections in excess of the wanted shares."""
         changes = []
         for tenant, shares in self._shares.items():
             for proxy, share in shares.items():
@@ -251,8 +251,8 @@
     def grow(self, reachable: set[str]) -> list[LeaseChange]:
         """Grant free connections to home proxies that have less than their share.
 
-        Each first gets one of each budget, so that nobody is left with nothing while little
-        is free.
+        Each proxy first gets one connection of each budget, so that none is left without any when
+        few are free.
         """
         changes: dict[tuple[str, str], LeaseChange] = {}
         group_free = self._limit - self.held()
@@ -276,7 +276,7 @@
         return list(changes.values())
 
     def _free_in_total_budget(self, tenant: str) -> int:
-        """Return how much of a tenant's whole budget is free at the member where least is."""
+        """Return how much of a tenant's total budget is free at its most loaded member."""
         if tenant not in self._divided_tenants:
             return self._limit
         most = max(
@@ -292,7 +292,7 @@
     def _grow_divided(
         self, reachable: set[str], changes: dict[tuple[str, str], LeaseChange]
     ) -> None:
-        """Grant what is free of the parts that are divided by demand."""
+        """Grant free connections of the budgets that are divided by demand."""
         if not self._divisions:
             return
         held = self._held_by_member()
