--- a/limedyke/core/control/leader.py
+++ b/limedyke/core/control/leader.py
@@ -1,7 +1,7 @@
-"""The leader's decisions over proxies, leases and primaries, from events and a clock.
+"""The leader's decisions about proxies, leases and primaries, driven by events and a clock.
 
-Kept in memory by the leading controller only; what must survive goes through
-the log as the proposals among the commands.
+The state is kept in the leader's memory only. Whatever must survive a change of leader is
+proposed as a log entry.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 CHECK_INTERVAL_S = 0.5
 MINIMUM_MEMBERSHIP_INTERVAL_S = 0.02
 MEMBERSHIP_INTERVAL_PER_GROUP_S = 0.2 / 1_800
-"""Between two changes of the membership: each makes every controller look at all groups."""
+"""Minimum interval between membership changes, as each makes every controller visit all groups."""
 LEASES_RUN_OUT = "its leases have run out"
 EARLIER_PROCESS = "an earlier process of this name may still hold leases"
 
@@ -58,11 +58,11 @@
 class LeaderDecisions:
     """Everything a controller decides while it leads.
 
-    :param state: the replicated state, applied by the caller, read only here
-    :param home_proxies_per_group: the wanted number; recorded in the log when it differs
-    :param generator: source of the jitter
-    :param now: when this controller began to lead
-    :param homes: the home proxies of the state, kept by the caller; None to keep them here
+    :param state: the replicated state; the caller applies entries to it
+    :param home_proxies_per_group: the configured number; recorded in the log if it differs
+    :param generator: source of jitter
+    :param now: when this controller became the leader
+    :param homes: the home proxies of the state, if the caller maintains them
     :param last_lead_began_at: when another controller last began to lead, as far as this one knows
     """
 
@@ -116,11 +116,11 @@
         self._update_lease_members(state.declared.groups)
 
     def admits(self, hello: ProxyHello) -> bool:
-        """Tell whether a proxy may connect: no other process of its name can hold leases."""
+        """Return whether a proxy may connect: no other process of its name may hold leases."""
         return may_connect(self._state.proxies.get(hello.name), hello)
 
     def handle(self, event: LeaderEvent, now: float) -> None:
-        """Take one event; what follows is collected until ``take_commands``."""
+        """Handle one event; the resulting commands are collected until ``take_commands``."""
         self._now = now
         if self._is_from_refused_proxy(event):
             return
@@ -157,7 +157,7 @@
                 self.membership.hint(event.leaving)
 
     def take_commands(self) -> list[LeaderCommand]:
-        """Return what to do, in order; proposals of one kind share entries."""
+        """Return the collected commands in order; proposals of one kind share log entries."""
         commands, self._commands = self._commands, []
         commands += [Propose(entry) for entry in self._membership_entries()]
         commands += self.failover.take_commands()
@@ -166,7 +166,7 @@
         return commands
 
     def _membership_entries(self) -> list[ControlEntry]:
-        """Return changes of the membership, paced; a first one at once."""
+        """Return membership changes, rate-limited; the first one is returned immediately."""
         if self._now < self._next_membership_at:
             return []
         entries = self.membership.take_entries()
@@ -177,7 +177,7 @@
         return entries
 
     def _is_from_refused_proxy(self, event: LeaderEvent) -> bool:
-        """Tell whether an event comes from a link that was refused at its hello."""
+        """Return whether an event comes from a proxy that was refused at its hello."""
         return getattr(event, "proxy", "") in self._refused
 
     def _on_connected(self, event: ProxyConnected, now: float) -> None:
@@ -198,10 +198,10 @@
         self.membership.connected(hello, now)
 
     def _end_earlier_processes(self, hello: ProxyHello, now: float) -> None:
-        """Free what other names held on what this proxy has for itself.
+        """Free the leases of other names with this proxy's folder id: their processes have ended.
 
-        A proxy without a disk has a name of its own in each life, and in place of a folder the
-        address at which one process at a time can listen.
+        A proxy without a disk has a new name at each start. Its folder id is derived from its
+        listening address, which only one process at a time can hold.
         """
         for name, record in self._state.proxies.items():
             if record.folder_id and record.folder_id == hello.folder_id and name != hello.name:
@@ -277,7 +277,7 @@
             self._update_lease_members(touched)
 
     def _update_lease_members(self, groups: Iterable[str]) -> None:
-        """Have the connections of groups whose members announce themselves shared at each."""
+        """Update the members among which the leases of groups with announced members are shared."""
         for name in groups:
             group = self._state.declared.groups.get(name)
             if group is not None and group.announced:
@@ -294,7 +294,7 @@
             self.failover.put_group(group, homes, now)
 
     def _lease_messages(self) -> list[SendToProxy]:
-        """Return one message to each proxy whose leases changed."""
+        """Return one message for each proxy whose leases changed."""
         by_proxy: dict[str, dict[tuple[str, str], ConnectionLease]] = {}
         for change in self.leases.take_changes():
             lease = change.lease
