--- a/limedyke/core/control/lease_table.py
+++ b/limedyke/core/control/lease_table.py
@@ -1,9 +1,8 @@
-"""The leader's table of connection leases: who holds what, and until when.
+"""The leader's table of connection leases: holders, sizes and expiry times.
 
-The sum of what proxies may hold never exceeds a budget or a group's limit:
-a share is given to another proxy only after its holder returned it, or after
-the holder's lease ran out.  A new leader first waits until every registered
-proxy has reported what it holds, or for one lease duration.
+The sum of what proxies may hold never exceeds a budget or a group's limit: a share is granted to
+another proxy only after its holder has returned it or the holder's lease has expired.  A new leader
+grants nothing until every registered proxy has reported what it holds, or for one lease duration.
 """
 
 from __future__ import annotations
@@ -20,25 +19,25 @@
 DRIFT_MARGIN_S = 0.2
 MAXIMUM_GROUPS_AT_ONCE = 256
 DIVISION_INTERVAL_S = 0.5
-"""Demand that moves is told by many proxies, each at its next heartbeat: dividing at each of these
-would close connections that the next one would have kept."""
+"""When demand shifts, many proxies report it, each with its next heartbeat. Dividing after each
+report would close connections that the next report would have kept."""
 
 
 def reissue_after_s(duration_s: float) -> float:
-    """Return how long after a heartbeat's arrival its lease has run out by any holder's clock.
+    """Return how long after a heartbeat's arrival its lease has expired by any holder's clock.
 
-    :param duration_s: the lease's duration, counted by the holder from the heartbeat's sending
+    :param duration_s: the lease's duration, which the holder counts from sending the heartbeat
     """
     return duration_s * (1 + DRIFT_MARGIN_RATIO) + DRIFT_MARGIN_S
 
 
 class LeaseTable:
-    """All connection leases, from the moment a controller begins to lead.
+    """All connection leases, from the moment a controller becomes the leader.
 
-    :param duration_s: how long a heartbeat renews, counted by the holder from its sending
-    :param home_count: home proxies wanted for each group
-    :param now: when this controller began to lead
-    :param unreported: proxies registered in the log, which may hold leases of an earlier leader
+    :param duration_s: lease duration, which the holder counts from sending its heartbeat
+    :param home_count: number of home proxies for each group
+    :param now: when this controller became the leader
+    :param unreported: registered proxies, which may hold leases granted by an earlier leader
     """
 
     def __init__(
@@ -60,12 +59,12 @@
 
     @property
     def is_adopting(self) -> bool:
-        """Whether earlier leases may still be unknown, so that nothing new is granted."""
+        """Whether some earlier leases may be unknown; nothing is granted meanwhile."""
         return bool(self._unreported)
 
     @property
     def reported_share(self) -> float:
-        """Which share of the proxies registered at the beginning has told what it holds."""
+        """Fraction of the initially registered proxies that have reported their leases."""
         if not self._registered_count:
             return 1.0
         return 1.0 - len(self._unreported) / self._registered_count
@@ -75,28 +74,28 @@
         return self._groups.get(name)
 
     def holders(self) -> dict[str, float]:
-        """Return when the leases of each proxy run out at the latest."""
+        """Return the time at which each proxy's leases have expired for certain."""
         return dict(self._expires_at)
 
     def set_group(self, group: Group) -> None:
-        """Take the declared limits of a group."""
+        """Set the declared limits of a group."""
         self._get(group.name).set_limits(group, self._home_count)
         self._schedule_sharing(group.name)
 
     def set_homes(self, group: str, homes: tuple[str, ...]) -> None:
-        """Take the present home proxies of a group."""
+        """Set the current home proxies of a group."""
         self._get(group).set_homes(homes)
         self._schedule_sharing(group)
 
     def set_members(self, group: str, members: Iterable[str]) -> None:
-        """Take the members of a group that announced themselves."""
+        """Set the announced members of a group."""
         if self._get(group).set_members(members):
             self._schedule_sharing(group)
 
     def record_demands(self, proxy: str, demands: tuple[ConnectionDemand, ...] | None) -> None:
-        """Take what a proxy has use for: what changed since it told all.
+        """Record a proxy's demands that have changed since its last report.
 
-        :param demands: None when it tells none
+        :param demands: None if the proxy does not report demand
         """
         for demand in demands or ():
             group = self._groups.get(demand.group)
@@ -105,7 +104,7 @@
                 self._groups_to_divide.add(demand.group)
 
     def divide(self, now: float) -> None:
-        """Divide connections by what was told since the last time; to be called often."""
+        """Divide connections by the demands recorded since the last division; called often."""
         if now < self._next_division_at or not self._groups_to_divide:
             return
         self._next_division_at = now + DIVISION_INTERVAL_S
@@ -115,11 +114,11 @@
                 self._schedule_sharing(name)
         self._groups_to_divide.clear()
 
-    def _set_demand_reporting(self, proxy: str, tells: bool) -> None:
-        """Forget a proxy's demands; note whether it tells any from now on."""
-        if proxy not in self._demand_reporters and not tells:
+    def _set_demand_reporting(self, proxy: str, is_reporting: bool) -> None:
+        """Forget a proxy's demands, and record whether it reports any from now on."""
+        if proxy not in self._demand_reporters and not is_reporting:
             return
-        if tells:
+        if is_reporting:
             self._demand_reporters.add(proxy)
         else:
             self._demand_reporters.discard(proxy)
@@ -128,7 +127,7 @@
                 self._schedule_sharing(name)
 
     def remove_group(self, group: str) -> None:
-        """Take back all leases of a group that is declared no longer."""
+        """Revoke all leases of a group that is no longer declared."""
         if group in self._groups:
             self._groups[group].clear_limits()
             self._schedule_sharing(group)
@@ -140,9 +139,9 @@
         now: float,
         demands: tuple[ConnectionDemand, ...] | None = None,
     ) -> None:
-        """Take the first heartbeat on a link: it tells all that the proxy holds and has use for.
+        """Process the first heartbeat on a link, which reports all leases and demands of the proxy.
 
-        :param demands: None from a proxy that tells none
+        :param demands: None if the proxy does not report demand
         """
         self._drop_holdings(proxy)
         self._reachable.add(proxy)
@@ -157,23 +156,23 @@
         self._mark_reported(proxy)
 
     def renew(self, proxy: str, now: float) -> None:
-        """Count a heartbeat that arrived now."""
+        """Extend a proxy's leases for a heartbeat that arrived now."""
         self._expires_at[proxy] = max(self._expires_at.get(proxy, 0.0), now + self._expiry_s)
 
     def disconnected(self, proxy: str) -> None:
-        """Grant nothing more to a proxy until it reports again; it keeps what it holds."""
+        """Stop granting to a proxy until it reports again; it keeps what it holds."""
         self._reachable.discard(proxy)
 
     def ended(self, proxy: str) -> None:
-        """Free what a proxy held: its process is known to have ended or given all back."""
+        """Free a proxy's leases: its process has ended or has returned all of them."""
         self._reachable.discard(proxy)
         self._drop_holdings(proxy)
-        self._set_demand_reporting(proxy, tells=False)
+        self._set_demand_reporting(proxy, is_reporting=False)
         self._expires_at.pop(proxy, None)
         self._mark_reported(proxy)
 
     def returned(self, proxy: str, leases: tuple[ConnectionLease, ...]) -> None:
-        """Note what a proxy no longer holds."""
+        """Record the connections that a proxy has returned."""
         for lease in leases:
             group = self._groups.get(lease.group)
             if group is not None:
@@ -181,7 +180,7 @@
                 self._schedule_sharing(lease.group)
 
     def expire(self, now: float) -> list[str]:
-        """Free the leases that have run out; return their holders."""
+        """Free the expired leases; return their holders."""
         if self._unreported and now >= self._adoption_ends_at:
             self._unreported.clear()
             self._schedule_sharing_of_all()
@@ -189,15 +188,16 @@
         for proxy in expired:
             self._reachable.discard(proxy)
             self._drop_holdings(proxy)
-            self._set_demand_reporting(proxy, tells=False)
+            self._set_demand_reporting(proxy, is_reporting=False)
             del self._expires_at[proxy]
         return expired
 
     def take_changes(self) -> list[LeaseChange]:
-        """Return the leases to be told to their holders: what is taken back, then grants.
+        """Return the leases to send to their holders: revocations first, then grants.
 
-        Some groups at a time: at the end of an adoption all of them are due at once, and a
-        leader that is busy for too long loses its own lease.  The others follow at the next call.
+        Processes a bounded number of groups; the rest follow at the next call.  At the end of the
+        adoption all groups are due at once, and a leader that is busy for too long loses its own
+        lease.
         """
         changes: list[LeaseChange] = []
         for name in list(islice(self._groups_to_share, MAXIMUM_GROUPS_AT_ONCE)):
@@ -219,7 +219,7 @@
         return group
 
     def _mark_reported(self, proxy: str) -> None:
-        """Note that nothing unknown is held by a proxy; the last one ends the adoption."""
+        """Mark a proxy's leases as known; the last such proxy ends the adoption."""
         if proxy not in self._unreported:
             return
         self._unreported.discard(proxy)
@@ -227,7 +227,7 @@
             self._schedule_sharing_of_all()
 
     def _schedule_sharing(self, group: str) -> None:
-        """Have a group's budgets shared anew by the next ``take_changes``."""
+        """Schedule a group's budgets to be shared again by the next ``take_changes``."""
         self._groups_to_share[group] = None
 
     def _schedule_sharing_of_all(self) -> None:
