--- a/limedyke/core/control/leases/demand_division.py
+++ b/limedyke/core/control/leases/demand_division.py
@@ -1,12 +1,14 @@
-"""Divides the connections to one member among home proxies by their demand; sans-IO.
+"""Divides the connections to one member among home proxies by demand; performs no I/O.
 
-Load: the clients of one region send most of a group's work, or half of them move to another zone
-within seconds; connections that serve one tenant each are wanted where those tenants' requests
-come. Equal shares leave most connections with home proxies that need none, while others refuse.
+The load on home proxies is uneven: the clients of one region send most of a group's work, or half
+of the clients move to another zone within seconds. Connections that serve a single tenant are
+needed where that tenant's requests arrive. With equal shares most connections stay with home
+proxies that do not need them, while others refuse requests.
 
-A division stands until somebody needs more than it has: demand that only falls or wavers moves
-nothing, so that calm times cost no message and two home proxies in equal need don't swap. Then only
-those change who are short, and as many of those who have most beyond their part.
+A division is kept until some home proxy is short of connections. Demand that falls or fluctuates
+changes nothing, so a steady load causes no messages, and two home proxies with equal demand do not
+swap connections. When some are short, only their shares grow, at the expense of the home proxies
+that exceed their ideal share most.
 """
 
 from __future__ import annotations
@@ -14,21 +16,21 @@
 from collections.abc import Mapping
 
 BACKGROUND_DEMAND = 0.25
-"""Counts for each home proxy beside its demand, so that one without any is given something too
-where there is enough."""
+"""Added to each home proxy's demand, so that one without demand still gets connections if there are
+enough."""
 SHORTAGE_RATIO = 0.9
-"""A home proxy that wants more than this share of what it has is short of connections soon."""
+"""A home proxy whose demand exceeds this fraction of its connections counts as short of them."""
 MINIMUM_GAIN = 3
 MINIMUM_GAIN_RATIO = 0.4
-"""A division that gives nobody who is short at least these, as a number and as a share of what it
-has, isn't worth the connections that are closed elsewhere for it."""
+"""Minimum gain for a home proxy that is short, in connections and as a fraction of what it has. A
+smaller gain does not justify closing connections elsewhere."""
 
 
 def divide(budget: int, demands: Mapping[str, int], least: int = 0) -> dict[str, int]:
-    """Return whole shares of a budget in proportion to demands; they add up to all of it.
+    """Divide a budget in proportion to demands, into integers that add up to the budget.
 
-    :param demands: by name, in the order in which remainders are given where all else is equal
-    :param least: what each gets beforehand; the budget is enough for it
+    :param demands: by name; the order breaks ties between equal remainders
+    :param least: minimum for each name; the budget must cover it
     """
     budget -= least * len(demands)
     weights = {name: demand + BACKGROUND_DEMAND for name, demand in demands.items()}
@@ -45,7 +47,7 @@
 
 
 class DemandDivision:
-    """One budget's division among the home proxies that tell their demand.
+    """The division of one budget among the home proxies that report their demand.
 
     :ivar shares: connections by home proxy
     """
@@ -55,10 +57,10 @@
         self._budget = 0
 
     def update(self, budget: int, demands: Mapping[str, int], common: Mapping[str, int]) -> bool:
-        """Take demands; tell whether the division changed.
+        """Update the division for new demands; return whether it changed.
 
-        :param demands: of the home proxies that tell theirs, by name
-        :param common: what each has beside this budget
+        :param demands: by home proxy, of those that report demand
+        :param common: connections that each home proxy has in addition to this budget
         """
         is_same_input = budget == self._budget and demands.keys() == self.shares.keys()
         if is_same_input and not self._is_short(demands, common):
@@ -82,9 +84,11 @@
     def _move_towards(
         self, ideal: Mapping[str, int], demands: Mapping[str, int], common: Mapping[str, int]
     ) -> bool:
-        """Give those who are short their part, from those furthest above theirs; tell if any was.
+        """Move connections from those furthest above their ideal share to those that are short.
 
-        The others keep what they have: each change closes connections or opens some.
+        All others keep their share, as each change closes or opens connections.
+
+        :returns: whether any connection was moved
         """
         gains = {
             name: ideal[name] - self.shares[name]
