--- a/limedyke/core/control/leases/load_view.py
+++ b/limedyke/core/control/leases/load_view.py
@@ -1,4 +1,4 @@
-"""Who uses the members of each group, as the leader knows it; sans-IO."""
+"""Builds the operator's report on the load of members, from the leader's lease table."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def load_report(request: LoadRequest, state: ControlState, leases: LeaseTable) -> LoadReport:
-    """Return the load of each member of the group asked for, or of all groups."""
+    """Return the load of each member of the requested group, or of all groups."""
     members: list[MemberLoad] = []
     for name in sorted(state.declared.groups):
         known = leases.group(name)
@@ -36,7 +36,7 @@
     for name in sorted(states):
         uses = tuple(_use(proxy, name, leases) for proxy in sorted(leases.holders()))
         cap = cap_of(declared, name)
-        told = [leases.demand_of(use.proxy, name) for use in uses]
+        demands = [leases.demand_of(use.proxy, name) for use in uses]
         yield MemberLoad(
             group=group,
             member=name,
@@ -46,7 +46,7 @@
             held=sum(use.held for use in uses),
             division=_division(states[name], uses, cap),
             proxies=uses,
-            turned_away=sum(demand.turned_away for demand in told if demand is not None),
+            turned_away=sum(demand.turned_away for demand in demands if demand is not None),
         )
 
 
@@ -66,7 +66,7 @@
 
 
 def _division(state: str, uses: tuple[ProxyUse, ...], cap: int | None) -> str:
-    """Return in words why a member's connections are divided as they are."""
+    """Return a text that explains how a member's connections are divided."""
     if state == "declared":
         return EQUALLY
     if cap is not None:
