--- a/limedyke/core/control/membership.py
+++ b/limedyke/core/control/membership.py
@@ -1,4 +1,4 @@
-"""Membership of proxies as the leader decides it: joined, suspected, leaving, gone."""
+"""The leader's decisions on proxy membership: serving, suspected, draining or gone."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 from limedyke.messages.control_entries import ProxyIncarnation, RecordProxies, RemoveProxies
 
 MAXIMUM_BATCH = 64
-"""Proxies in one entry.  Each that joins or leaves makes every controller look at all groups,
-and no controller may be busy for as long as its heartbeats must not fail to come."""
+"""Maximum number of proxies in one entry.  Each proxy that joins or leaves makes every controller
+visit all groups, and a controller that is busy for too long misses its heartbeats."""
 _SERVING = (ProxyState.SERVING,)
 
 
 def may_connect(known: ProxyRecord | None, hello: ProxyHello) -> bool:
-    """Tell whether a process may take a name over now.
+    """Return whether a process may take over a proxy name now.
 
-    Another process of that name may still hold leases.  It may be replaced when it is proven
-    to have ended; otherwise only when its record has left the log, which is after its leases
-    have run out.
+    Another process of that name may still hold leases.  It may be replaced once it is proven to
+    have ended; otherwise only after its record was removed from the log, which happens after its
+    leases have expired.
 
-    :param known: what the log holds of the name
+    :param known: the recorded proxy of that name, if any
     """
     return known is None or is_same_process(known, hello) or has_ended(known, hello)
 
 
 def is_same_process(known: ProxyRecord, hello: ProxyHello) -> bool:
-    """Tell whether a hello comes from the recorded process itself."""
+    """Return whether a hello comes from the recorded process itself."""
     return (known.folder_id, known.incarnation) == (hello.folder_id, hello.incarnation)
 
 
 def has_ended(known: ProxyRecord, hello: ProxyHello) -> bool:
-    """Tell whether the recorded process has ended: a later one holds the lock on its folder."""
+    """Return whether the recorded process has ended: a later one holds its folder's lock."""
     is_same_folder = bool(known.folder_id) and known.folder_id == hello.folder_id
     return is_same_folder and known.incarnation < hello.incarnation
 
 
 @dataclass(slots=True)
 class ProxySession:
-    """What the leader knows of a proxy that it does not keep in the log.
+    """The leader's knowledge of a proxy that is not kept in the log.
 
-    :param heard_at: when its last message arrived; the leader's start when there was none
-    :param record: what the log should hold of it; None before its hello
+    :param heard_at: when its last message arrived; the leader's start time if none has
+    :param record: the record that the log should hold; None before the proxy's hello
     """
 
     heard_at: float
@@ -57,10 +57,12 @@
 
 
 class ProxyMembership:
-    """Judges proxies by their own messages; the platform's list only shortens the patience.
+    """Decides on membership by the proxies' own messages.
+
+    The platform's list of leaving proxies only shortens the suspicion timeout.
 
     :param proxies: the replicated records by name, read only
-    :param now: when this controller began to lead
+    :param now: when this controller became the leader
     """
 
     def __init__(
@@ -77,18 +79,18 @@
         self._hinted: frozenset[str] = frozenset()
 
     def session(self, proxy: str) -> ProxySession | None:
-        """Return what is known of a proxy."""
+        """Return the session of a proxy, if any."""
         return self._sessions.get(proxy)
 
     def is_live(self, proxy: str, now: float) -> bool:
-        """Tell whether a proxy is connected and was heard lately."""
+        """Return whether a proxy is connected and has sent a message recently."""
         session = self._sessions.get(proxy)
         if session is None or not session.connected:
             return False
         return now - session.heard_at < self._timing.live_s
 
     def connected(self, hello: ProxyHello, now: float) -> None:
-        """Take a proxy's hello; its record follows through the log."""
+        """Process a proxy's hello, and schedule its record for the log."""
         record = ProxyRecord(
             hello.name,
             hello.incarnation,
@@ -109,13 +111,13 @@
         self._want(record)
 
     def disconnected(self, proxy: str) -> None:
-        """Note that a proxy's link ended."""
+        """Record that a proxy's link closed."""
         session = self._sessions.get(proxy)
         if session is not None:
             session.connected = False
 
     def heartbeat(self, proxy: str, heartbeat: ProxyHeartbeat, now: float) -> None:
-        """Take a proxy's heartbeat."""
+        """Process a proxy's heartbeat."""
         session = self._sessions.get(proxy)
         if session is None or session.record is None:
             return
@@ -127,7 +129,7 @@
             self._want(replace(session.record, state=heartbeat.state))
 
     def left(self, proxy: str, done: bool) -> None:
-        """Note that a proxy drains, or has ended."""
+        """Record that a proxy drains, or has finished draining."""
         session = self._sessions.get(proxy)
         if done:
             self._end(proxy)
@@ -135,7 +137,7 @@
             self._want(replace(session.record, state=ProxyState.DRAINING))
 
     def ended(self, proxy: str) -> None:
-        """Note that a proxy's process is known to have ended."""
+        """Record that a proxy's process has ended."""
         session = self._sessions.get(proxy)
         if session is not None:
             session.connected = False
@@ -143,13 +145,13 @@
         self._end(proxy)
 
     def hint(self, leaving: frozenset[str]) -> None:
-        """Take the platform's list: it may be old, so it alone changes nothing."""
+        """Set the proxies that the platform lists as leaving; the list alone changes nothing."""
         self._hinted = leaving
 
     def judge(self, now: float, lease_holders: Mapping[str, float]) -> None:
         """Suspect and remove silent proxies.
 
-        :param lease_holders: proxies whose leases have not run out; they are never removed
+        :param lease_holders: proxies with unexpired leases; they are never removed
         """
         for name, record in self._proxies.items():
             session = self._sessions.get(name)
@@ -162,9 +164,9 @@
                 self._want(replace(record, state=ProxyState.SUSPECTED))
 
     def take_entries(self) -> list[RecordProxies | RemoveProxies]:
-        """Return what has to go into the log, one entry of each sort; the rest comes later.
+        """Return the pending changes, at most one log entry of each kind; the rest follow later.
 
-        Those that serve no longer go first.
+        Proxies that no longer serve go first.
         """
         entries: list[RecordProxies | RemoveProxies] = []
         wanted = sorted(self._wanted.values(), key=lambda record: record.state in _SERVING)
@@ -181,7 +183,7 @@
         return entries
 
     def forget(self, proxy: str) -> None:
-        """Drop what is known of a proxy that the log holds no more, unless it is connected."""
+        """Drop the session of a proxy that was removed from the log, unless it is connected."""
         session = self._sessions.get(proxy)
         if session is not None and not session.connected:
             del self._sessions[proxy]
