--- a/limedyke/core/control/plan_store.py
+++ b/limedyke/core/control/plan_store.py
@@ -1,4 +1,4 @@
-"""Recorded plans, how they ended, and the history of confirmed changes."""
+"""Recorded plans, their outcomes, and the history of confirmed changes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def summary_of(changes: tuple[PlannedChange, ...]) -> str:
-    """Return the changes of a plan as one line of the history."""
+    """Summarize the changes of a plan in one line for the history."""
     named = [f"{change.action} {change.item}" for change in changes[:SUMMARY_CHANGES]]
     if len(changes) > SUMMARY_CHANGES:
         named.append(f"and {len(changes) - SUMMARY_CHANGES} more")
@@ -23,12 +23,12 @@
 
 
 def refusal(request_id: str, code: ResultCode, detail: str, revision: int = 0) -> Refused:
-    """Return a refusal as it is sent to operators."""
+    """Return the refusal to send to the operator."""
     return Refused(request_id, code.value.number, detail, revision)
 
 
 class PlanStore:
-    """Plans that wait, bounded; outcomes of settled plans; history, the newest last."""
+    """Pending plans, outcomes of settled plans, and history (newest last), each bounded."""
 
     def __init__(
         self,
@@ -41,15 +41,15 @@
         self.history = list(history)
 
     def plan(self, plan_id: str) -> PlanRecord | None:
-        """Return a plan that waits for its confirmation."""
+        """Return a pending plan, if there is one of this id."""
         return self._plans.get(plan_id)
 
     def outcome(self, plan_id: str) -> PlanOutcome | None:
-        """Return how a settled plan ended."""
+        """Return the outcome of a settled plan, if there is one of this id."""
         return self._outcomes.get(plan_id)
 
     def plans(self) -> tuple[PlanRecord, ...]:
-        """Return the plans that wait, the oldest first."""
+        """Return the pending plans, the oldest first."""
         return tuple(self._plans.values())
 
     def outcomes(self) -> tuple[PlanOutcome, ...]:
@@ -57,7 +57,7 @@
         return tuple(self._outcomes.values())
 
     def keep(self, entry: RecordPlan, time: int) -> None:
-        """Record a plan unless the same one waits or is settled; expired ones are dropped.
+        """Record a plan unless it is already pending or settled, and drop expired plans.
 
         :param time: the log's clock, seconds since the epoch
         """
@@ -73,14 +73,14 @@
     def answer_without_effect(
         self, entry: ConfirmPlan, revision: int, control_index: int, time: int
     ) -> Confirmed | Refused | None:
-        """Return the answer to a confirmation that brings nothing into force.
+        """Return the answer to a confirmation that has no effect.
 
-        A plan whose base is not the revision in force has lost, and is settled by this.
+        A plan whose base is not the revision in force is settled as a conflict.
 
         :param revision: the revision in force
         :param control_index: index of the last entry that changed anything for the proxies
         :param time: the log's clock, seconds since the epoch
-        :returns: None when the plan waits and is based on the revision in force
+        :returns: None if the plan is pending and is based on the revision in force
         """
         outcome = self.outcome(entry.plan_id)
         if outcome is not None:
@@ -100,7 +100,7 @@
         return outcome_answer(entry.request_id, outcome)
 
     def settle(self, outcome: PlanOutcome) -> None:
-        """Record how a plan ended, for good."""
+        """Record the final outcome of a plan."""
         self._plans.pop(outcome.plan_id, None)
         self._outcomes[outcome.plan_id] = outcome
         while len(self._outcomes) > MAXIMUM_OUTCOMES:
@@ -112,7 +112,7 @@
         del self.history[:-MAXIMUM_HISTORY]
 
     def plan_answer(self, request_id: str, plan_id: str, time: int) -> Plan | Refused:
-        """Return the answer to the request that made a plan."""
+        """Return the answer to the request that created a plan."""
         plan = self._plans.get(plan_id)
         if plan is not None:
             remaining_s = max(0, plan.expires_at - time)
@@ -139,7 +139,7 @@
 
 
 def outcome_answer(request_id: str, outcome: PlanOutcome) -> Confirmed | Refused:
-    """Return the answer to a confirmation of a settled plan: always the same."""
+    """Return the answer to a confirmation of a settled plan, which never changes."""
     if outcome.conflict:
         detail = f"Revision {outcome.revision} was confirmed first."
         return refusal(request_id, ResultCode.REVISION_CONFLICT, detail, outcome.revision)
