--- a/limedyke/core/control/plan_rules.py
+++ b/limedyke/core/control/plan_rules.py
@@ -1,4 +1,4 @@
-"""What a change of the declaration would cause, and which changes are refused."""
+"""Describes the effects of a change of the declaration, and refuses invalid changes."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 def change_refusal_reason(
     change: DeclarationChange, declared: DeclaredState, primaries: Mapping[str, GroupPrimary]
 ) -> str:
-    """Return why a change can't come into force now, or an empty string.
+    """Return why a change cannot be applied now, or an empty string.
 
-    A member may only be removed, or its address changed, while it is not the primary.
+    The primary of a group cannot be removed, and its address cannot be changed.
     """
     for group in change.groups:
         if group.member_caps and not group.announced:
@@ -52,7 +52,7 @@
 def describe_change(
     change: DeclarationChange, declared: DeclaredState, primaries: Mapping[str, GroupPrimary]
 ) -> tuple[PlannedChange, ...]:
-    """Return one line for each item of a change, with what it causes."""
+    """Return one line for each item of a change, with its effects."""
     lines = [_describe_tenant(tenant, declared) for tenant in change.tenants]
     lines += [
         PlannedChange(REMOVE, f"tenant {name}", "", "its clients are disconnected")
