--- a/limedyke/core/control/primaries/__init__.py
+++ b/limedyke/core/control/primaries/__init__.py
@@ -1,1 +1,1 @@
-"""The leader's care for the primaries of groups: suspicion, terms, promotion; sans-IO."""
+"""The leader's handling of primaries: failure detection, terms and promotion, without I/O."""
