--- a/limedyke/core/control/primaries/authority_group_state.py
+++ b/limedyke/core/control/primaries/authority_group_state.py
@@ -1,4 +1,4 @@
-"""What the leader keeps of one group whose primary an outside authority promotes; sans-IO."""
+"""The leader's state for one group whose primary is promoted by an external authority."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class AuthorityStep(enum.StrEnum):
-    """Where a group stands."""
+    """The step of a group in the change of its primary."""
 
     WATCHED = "watched"
     SUSPECTED = "suspected"
@@ -27,7 +27,7 @@
 
 
 class SuspicionReason(enum.StrEnum):
-    """What speaks against a primary."""
+    """The reason to suspect a primary."""
 
     LEFT = "left"
     DRAINS = "drains"
@@ -40,8 +40,8 @@
 class Suspicion:
     """Why a primary should be replaced.
 
-    :param text: the same for the log
-    :param hold_s: how long it has to last first
+    :param text: description for the event log
+    :param hold_s: how long the suspicion must last before the primary is replaced
     """
 
     reason: SuspicionReason
@@ -50,9 +50,9 @@
 
 
 class MemberReports:
-    """What proxies last reported of a group's members.
+    """The last report of each proxy on each member of a group.
 
-    :ivar emptied: members that have started again since they were seen, and hold nothing of that
+    :ivar emptied: members that have restarted since a proxy last reported on them: their log is empty
     """
 
     def __init__(self) -> None:
@@ -60,21 +60,21 @@
         self._reports: dict[tuple[str, str], MemberReport] = {}
 
     def keep(self, proxy: str, report: MemberReport) -> None:
-        """Take a proxy's report in place of its last one on the member."""
+        """Store a proxy's report, replacing its previous one on the member."""
         self._reports[(proxy, report.member)] = report
 
     def forget_proxy(self, proxy: str) -> None:
-        """Forget what a proxy reported."""
+        """Drop the reports of a proxy."""
         self._reports = {key: seen for key, seen in self._reports.items() if key[0] != proxy}
 
     def forget_member(self, member: str) -> None:
-        """Forget what was reported of a member."""
+        """Drop the reports on a member."""
         self._reports = {key: seen for key, seen in self._reports.items() if key[1] != member}
 
     def forget_earlier_incarnations(self, members: Mapping[str, AnnouncedMember]) -> None:
-        """Forget what was seen of members that have started again: they hold nothing of it.
+        """Drop reports on earlier incarnations of members, which restart with an empty log.
 
-        Else a replica that came back empty would be promoted for the log that it had.
+        Otherwise a replica that came back empty could be promoted for the log that it had before.
         """
         for key, report in list(self._reports.items()):
             if is_from_earlier_incarnation(report, members):
@@ -82,32 +82,32 @@
                 del self._reports[key]
 
     def has_report(self, proxy: str, member: str) -> bool:
-        """Tell whether a proxy has reported on a member."""
+        """Return whether a proxy has reported on a member."""
         return (proxy, member) in self._reports
 
     def cannot_reach(self, proxy: str, member: str) -> bool:
-        """Tell whether a proxy can't reach a member."""
+        """Return whether a proxy reports a member as unreachable."""
         report = self._reports.get((proxy, member))
         return report is not None and report.health is MemberHealth.UNREACHABLE
 
     def was_denied(self, proxy: str, member: str) -> bool:
-        """Tell whether a proxy reaches a recorded primary that has said that it does not lead."""
+        """Return whether a proxy reaches a member that claims not to be the primary."""
         report = self._reports.get((proxy, member))
         if report is None or report.health is MemberHealth.UNREACHABLE:
             return False
         return not report.is_primary
 
     def unreachable_count(self, member: str) -> int:
-        """Return how many proxies can't reach a member."""
+        """Return how many proxies report a member as unreachable."""
         return sum(report.health is MemberHealth.UNREACHABLE for report in self._of(member))
 
     def log_of(self, member: str) -> LogPosition | None:
-        """Return how far a member's log has been seen; None when nobody has reported on it."""
+        """Return the highest reported log position of a member; None without a report."""
         seen = [LogPosition(report.term, report.position) for report in self._of(member)]
         return max(seen, default=None)
 
     def newest_term(self) -> int:
-        """Return the newest term that any member's log was seen in."""
+        """Return the highest reported log term of any member."""
         return max((report.term for report in self._reports.values()), default=0)
 
     def _of(self, member: str) -> Iterator[MemberReport]:
@@ -117,7 +117,7 @@
 def is_from_earlier_incarnation(
     report: MemberReport, members: Mapping[str, AnnouncedMember]
 ) -> bool:
-    """Tell whether a report is of an incarnation before the recorded one."""
+    """Return whether a report is on an incarnation before the recorded one."""
     member = members.get(report.member)
     return member is not None and report.started_at_ms < member.started_at_ms
 
@@ -126,14 +126,14 @@
 class AuthorityGroupState:
     """The leader's state for one group.
 
-    :param deadline: when the present step is looked at again
-    :param suspicion: of the present primary, while there is one
-    :param excluded: members not to be promoted, until when
-    :param replaced: the primary before the grant
-    :param target: the member that is to follow
-    :param target_started_at_ms: of its incarnation when the authority was called
-    :param promoted_at: when the authority said that it has promoted the target
-    :param recorded_at: when the present primary came out of the log
+    :param deadline: when the current step times out
+    :param suspicion: the current suspicion of the primary, if any
+    :param excluded: members that must not be promoted, and until when
+    :param replaced: the primary before the term was granted
+    :param target: the member to promote
+    :param target_started_at_ms: start time of the target's incarnation at the call
+    :param promoted_at: when the authority answered that it had promoted the target
+    :param recorded_at: when the log entry of the current primary was applied
     """
 
     step: AuthorityStep = AuthorityStep.WATCHED
@@ -150,10 +150,10 @@
     recorded_at: float = float("-inf")
 
     def took_over_recently(self, now: float, calm_s: float) -> bool:
-        """Tell whether the present primary replaced another one within ``calm_s``."""
+        """Return whether the current primary replaced another one within ``calm_s``."""
         return bool(self.replaced) and now - self.recorded_at < calm_s
 
     def enter(self, step: AuthorityStep, deadline: float = NEVER) -> None:
-        """Go on to a step."""
+        """Enter a step."""
         self.step = step
         self.deadline = deadline
