--- a/limedyke/core/control/primaries/authority_failover.py
+++ b/limedyke/core/control/primaries/authority_failover.py
@@ -1,9 +1,10 @@
-"""Changes of primary in groups whose members announce themselves; sans-IO.
+"""Changes of primary in groups whose members announce themselves; performs no I/O.
 
-Nobody but an outside authority can promote a member there.  The leader doubts a primary, grants
-a new term in the log (from then on the group has no primary), waits until every proxy knows it
-or may no longer trust what it knew, and calls the authority under the grant's fence.  A call
-without a clear answer is followed by a new grant, whose fence outranks it.
+Only an external authority can promote a member of such a group.  When the leader suspects the
+primary, it grants a new term in the log, and the group has no primary from then on.  It waits until
+every proxy has confirmed the grant or may no longer rely on its earlier knowledge, then calls the
+authority with the grant's fencing number.  If the outcome of a call is unknown, a new grant with a
+higher fencing number follows.
 """
 
 from __future__ import annotations
@@ -31,21 +32,21 @@
 PROPOSAL_RETRY_S = 1.0
 EXCLUDED_FOR_S = 2.0
 STALE_ANNOUNCEMENT_S = 1.0
-"""What a member said sooner after a change of primary may be of the time before."""
+"""Announcements within this time of a change of primary may date from before it."""
 FIRST_PRIMARY_WAIT_S = 1.5
-"""How long members of a new group may take to tell which of them is the primary."""
+"""How long the members of a new group may take to announce a primary."""
 
 
 class AuthorityFailover:
-    """Cares for all groups of announced members.
+    """Manages the primaries of all groups with announced members.
 
     :param primaries: the replicated primaries by group, read only
     :param members: the recorded members by identity, read only
     :param proxies: the recorded proxies by name, read only
-    :param announcements: when members were heard
-    :param membership: when proxies were heard, and what they have confirmed
-    :param homes: the home proxies of each group: only they hold connections, and so judge members
-    :param now: when this controller began to lead
+    :param announcements: tells when members last announced themselves
+    :param membership: tells when proxies last sent a message, and the index they have confirmed
+    :param homes: the home proxies of each group; only they connect to members and report on them
+    :param now: when this controller became the leader
     """
 
     def __init__(
@@ -75,12 +76,12 @@
         self._commands: list[RequestPromotion | LogDecision] = []
 
     def step_of(self, group: str) -> AuthorityStep | None:
-        """Return where a group stands."""
+        """Return the current step of a group."""
         state = self._group_states.get(group)
         return None if state is None else state.step
 
     def put_group(self, group: str, now: float) -> None:
-        """Take a declared group; one whose promotion an earlier leader began goes on."""
+        """Add a declared group; continue a promotion that an earlier leader began."""
         if group in self._group_states:
             return
         state = self._group_states[group] = AuthorityGroupState(seen_at=now)
@@ -89,11 +90,11 @@
             state.enter(AuthorityStep.BACKING_OFF, now)
 
     def remove_group(self, group: str) -> None:
-        """Forget a group that is declared no longer."""
+        """Remove a group that is no longer declared."""
         self._group_states.pop(group, None)
 
     def report(self, proxy: str, report: MemberReport, now: float) -> None:
-        """Take what a proxy sees of a member."""
+        """Process a proxy's report on a member."""
         state = self._group_states.get(report.group)
         if state is None or is_from_earlier_incarnation(report, self._members):
             return
@@ -101,12 +102,12 @@
         self._evaluate_group(report.group, state, now)
 
     def proxy_disconnected(self, proxy: str) -> None:
-        """Forget what a proxy reported."""
+        """Drop the reports of a disconnected proxy."""
         for state in self._group_states.values():
             state.reports.forget_proxy(proxy)
 
     def primary_applied(self, primary: GroupPrimary, now: float) -> None:
-        """Take a change of a group's primary out of the log."""
+        """Handle an applied change of a group's term or primary."""
         state = self._group_states.get(primary.group)
         if state is None:
             return
@@ -122,10 +123,10 @@
     def members_applied(
         self, changed: Iterable[AnnouncedMember], removed: Iterable[str], now: float
     ) -> list[str]:
-        """Look at the groups whose members changed; at the others ``tick`` does.
+        """Evaluate the groups whose members changed; ``tick`` evaluates the others.
 
-        :param removed: identities
-        :returns: those groups
+        :param removed: identities of the removed members
+        :returns: the groups whose members changed
         """
         touched = sorted(self._evaluator.members_applied(changed, removed))
         for group in touched:
@@ -214,7 +215,7 @@
     def _find_first_primary(
         self, group: str, state: AuthorityGroupState, recorded: GroupPrimary, now: float
     ) -> None:
-        """Record the primary that a new group's members tell; without one, have one promoted."""
+        """Record the primary that a new group announces; if there is none, promote a member."""
         exposed = [member for member in self._evaluator.members_of(group) if member.is_primary]
         if len(exposed) == 1:
             self._record(group, state, recorded.term + 1, exposed[0].identity, now)
@@ -224,7 +225,7 @@
     def _follow_exposed_primary(
         self, group: str, state: AuthorityGroupState, recorded: GroupPrimary, now: float
     ) -> bool:
-        """Follow a promotion carried out late: the primary says it is none, another that it is."""
+        """Follow a delayed promotion: the recorded primary steps down and another member leads."""
         since = state.recorded_at + STALE_ANNOUNCEMENT_S
         members = [
             m
@@ -242,9 +243,10 @@
     def _follow_restart(
         self, group: str, state: AuthorityGroupState, recorded: GroupPrimary, now: float
     ) -> bool:
-        """Replace a primary that has started again, and holds nothing of its log any more.
+        """Replace a primary that has restarted, as its log is empty.
 
-        Where no other member could lead it goes on, or is promoted once more if it does not lead.
+        If no other member could lead, it stays the primary, or is promoted again if it does not
+        lead.
         """
         member = self._members.get(recorded.primary)
         if member is None or member.started_at_ms <= recorded.started_at_ms:
@@ -261,14 +263,14 @@
         return True
 
     def _grant(self, group: str, state: AuthorityGroupState, now: float) -> None:
-        """Propose the next term; the group has no primary from then on."""
+        """Propose the next term; once it is granted, the group has no primary."""
         recorded = self._recorded(group)
         state.replaced = recorded.primary or state.replaced
         self._proposals.grant(TermGrant(group, recorded.term, recorded.term + 1))
         state.enter(AuthorityStep.GRANTING, now + PROPOSAL_RETRY_S)
 
     def _is_fenced(self, group: str, now: float) -> bool:
-        """Tell whether no proxy can take the replaced primary for the present one any more."""
+        """Return whether no proxy can still use the replaced primary as the current one."""
         fence = self._recorded(group).fence
         for name, record in self._proxies.items():
             if record.state is ProxyState.GONE:
@@ -294,14 +296,14 @@
         state.enter(AuthorityStep.CALLING, now + self._timing.authority_timeout_s)
 
     def _follow_promoted(self, group: str, state: AuthorityGroupState, now: float) -> None:
-        """Record the target of an unanswered call when it says that it leads."""
+        """Record the target of a call as the primary once it announces that it leads."""
         target = self._members.get(state.target)
         if target is None or not target.is_primary:
             return
         if target.started_at_ms != state.target_started_at_ms:
             return
-        # The replaced primary may not know yet that it is none: it counts only when it was itself
-        # promoted again, as the only member left, and has said since that it leads.
+        # The replaced primary may not know yet that it was replaced. Its claim counts only if it
+        # was itself promoted again, as the only remaining member, and announced itself since.
         is_replaced = state.target == state.replaced
         if (
             not is_replaced
