--- a/limedyke/core/control/primaries/primary_evaluator.py
+++ b/limedyke/core/control/primaries/primary_evaluator.py
@@ -1,4 +1,4 @@
-"""Whether a primary of announced members should be replaced, and by which member; sans-IO."""
+"""Decides whether a primary of announced members should be replaced, and ranks successors."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class PrimaryEvaluator:
-    """Judges by what home proxies report and by what members announce.
+    """Evaluates primaries by the home proxies' reports and the members' announcements.
 
     :param members: the recorded members by identity, read only
     :param proxies: the recorded proxies by name, read only
-    :param announcements: when members were heard
-    :param membership: when proxies were heard
-    :param homes: the home proxies of each group: only they hold connections, and so judge members
-    :param now: when this controller began to lead
+    :param announcements: tells when members last announced themselves
+    :param membership: tells when proxies last sent a message
+    :param homes: the home proxies of each group; only they connect to members and report on them
+    :param now: when this controller became the leader
     """
 
     def __init__(
@@ -53,19 +53,19 @@
         self._started_at = now
 
     def members_of(self, group: str) -> list[AnnouncedMember]:
-        """Return the members of a group whose records can be used."""
+        """Return the members of a group whose records are valid."""
         return self._by_group.of(group)
 
     def members_applied(
         self, changed: Iterable[AnnouncedMember], removed: Iterable[str]
     ) -> set[str]:
-        """Take a change of members out of the log; return the groups that it touches."""
+        """Apply a recorded change of members; return the affected groups."""
         return self._by_group.applied(changed, removed)
 
     def suspicion(
         self, group: str, state: AuthorityGroupState, primary: str, now: float
     ) -> Suspicion | None:
-        """Return why a primary should be replaced; None when it should not."""
+        """Return the suspicion against a primary; None if there is none."""
         member = self._members.get(primary)
         if member is None:
             return Suspicion(SuspicionReason.LEFT, "it has left")
@@ -78,9 +78,9 @@
     def _vote_suspicion(
         self, group: str, state: AuthorityGroupState, primary: str, now: float
     ) -> Suspicion | None:
-        """Return what the home proxies report against a primary.
+        """Return the suspicion that follows from the home proxies' reports.
 
-        Home proxies that a new leader hasn't heard may still be on their way to it.
+        Home proxies that a new leader has not heard from may still be connecting to it.
         """
         timing = self._timing
         homes = self._homes.homes(group)
@@ -111,7 +111,7 @@
         unreached: set[str],
         now: float,
     ) -> Suspicion | None:
-        """Return what a primary's own silence says, where no majority speaks against it."""
+        """Return the suspicion that follows from a primary's silence, without a majority's vote."""
         silent_s = now - self._announcements.last_announced_at(primary)
         if silent_s <= self._timing.member_silence_s:
             return None
@@ -124,10 +124,10 @@
         return None
 
     def _most_proxies_are_silent(self, now: float) -> bool:
-        """Tell whether this leader hears less than half of the proxies.
+        """Return whether less than half of the serving proxies are live.
 
-        It may be cut off from them together with the observers it hears, and the primary may well
-        serve the others: to replace it would take it from most clients.
+        This leader and the observers that reach it may be partitioned from the rest, while the
+        primary still serves the other proxies. Replacing it would then disrupt most clients.
         """
         serving = [name for name, r in self._proxies.items() if r.state is ProxyState.SERVING]
         heard = sum(self._membership.is_live(name, now) for name in serving)
@@ -136,14 +136,14 @@
     def candidates(
         self, group: str, state: AuthorityGroupState, leaving: str, now: float
     ) -> list[AnnouncedMember]:
-        """Return the members that could lead, the best first."""
+        """Return the members that could lead, the best candidate first."""
         eligible = self._eligible(group, state, leaving, now)
         return sorted(eligible, key=lambda member: self._rank(state, member, now))
 
     def _eligible(
         self, group: str, state: AuthorityGroupState, leaving: str, now: float
     ) -> list[AnnouncedMember]:
-        """Return the members that could lead, in no order."""
+        """Return the members that could lead, in no particular order."""
         return [
             member
             for member in self.members_of(group)
@@ -153,12 +153,13 @@
         ]
 
     def _rank(self, state: AuthorityGroupState, member: AnnouncedMember, now: float) -> Rank:
-        """Order members: not emptied, heard, following, reached, leading already, far in the log.
+        """Return the sort key of a candidate; the lowest is the best.
 
-        One that has started again is empty until a proxy has seen a log there: to promote it would
-        lose all that the group holds, so any other member goes before.  A member whose log is of
-        an older term has not followed the last change of primary: to promote it would bring
-        commits back that are lost, and lose all that came since.
+        A restarted member counts as empty until a proxy reports a log position for it. Promoting
+        it would lose all of the group's data, so every other member is preferred.  A member whose
+        log is in an older term has not followed the last change of primary. Promoting it would
+        restore lost commits, and lose all later ones.  The other criteria, in order: it announced
+        itself recently, few proxies fail to reach it, it already leads, its log is long.
         """
         name = member.identity
         seen = state.reports.log_of(name)
