--- a/limedyke/core/control/primaries/failover.py
+++ b/limedyke/core/control/primaries/failover.py
@@ -1,11 +1,11 @@
-"""The leader's state for the primaries of all groups: detection, terms, promotion orders.
+"""Failover of all groups' primaries: failure detection, terms and promotion orders.
 
 A group passes through these steps: *watched* while it has a primary, *doubted* while a
-majority of its home proxies finds the primary gone, *waiting* for a free place among the
-promotions under way, *granting* while a higher term is on its way through the log,
-*ordered* while a home proxy promotes, *recording* while a new primary is on its way through
-the log, and *pausing* before a planned switchover.
-Every event costs work for its own group only; deadlines are kept in a heap.
+majority of its home proxies reports the primary as failed, *waiting* for a free promotion
+slot, *granting* while a higher term is being committed to the log, *ordered* while a home proxy
+promotes a member, *recording* while a new primary is being committed to the log,
+*backing-off* after a failed promotion, and *pausing* before a planned switchover.
+An event costs work for its own group only; deadlines are kept in a heap.
 """
 
 from __future__ import annotations
@@ -34,19 +34,19 @@
 
 PROPOSAL_RETRY_S = 1.0
 ANSWER_TRANSIT_S = 0.1
-"""An order ends at its executor by so much before the leader gives it to another."""
+"""An order times out at its executor this much earlier than at the leader."""
 MAXIMUM_TIMEOUT_FACTOR = 4
-"""An order after failed ones may take longer, up to so many times: members may be slow."""
+"""The timeout of an order grows with failures up to this factor, as members may be slow."""
 MS_PER_S = 1_000.0
 
 
 class FailoverCoordinator:
-    """Decides for all groups; commands are collected and taken by the caller.
+    """Manages the failover of all groups; the caller takes the resulting commands.
 
     :param primaries: the replicated primaries by group, read only
     :param targets: targets of announced switchovers by group, read only
-    :param membership: tells which proxies are heard
-    :param generator: source of the jitter
+    :param membership: tells which proxies are live
+    :param generator: source of jitter
     """
 
     def __init__(
@@ -73,17 +73,17 @@
         self._messages: list[SendToProxy] = []
 
     def step_of(self, group: str) -> Step | None:
-        """Return where a group stands."""
+        """Return the current step of a group."""
         state = self._group_states.get(group)
         return None if state is None else state.step
 
     def best_successor(self, group: str, leaving: str) -> str:
-        """Return the member that would follow ``leaving`` as the primary, if any is seen."""
+        """Return the best member to replace ``leaving`` as the primary, if one is reachable."""
         state = self._group_states.get(group)
         return state.reports.best_successor(leaving) if state else ""
 
     def put_group(self, group: Group, homes: tuple[str, ...], now: float) -> None:
-        """Take a declared group, or a changed one."""
+        """Add or update a declared group."""
         state = self._group_states.get(group.name)
         if state is None:
             state = self._group_states[group.name] = GroupFailoverState(GroupReports(group, ()))
@@ -94,7 +94,7 @@
         self._evaluate(group.name, now)
 
     def remove_group(self, group: str) -> None:
-        """Forget a group."""
+        """Remove a group."""
         state = self._group_states.pop(group, None)
         if state is not None:
             self._release_slot(state)
@@ -102,7 +102,7 @@
                 groups.discard(group)
 
     def set_homes(self, group: str, homes: tuple[str, ...]) -> None:
-        """Take the present home proxies of a group."""
+        """Set the current home proxies of a group."""
         state = self._group_states.get(group)
         if state is None:
             return
@@ -111,7 +111,7 @@
             self._groups_of_proxy.setdefault(proxy, set()).add(group)
 
     def report(self, proxy: str, report: MemberReport, now: float) -> None:
-        """Take what a home proxy sees of a member."""
+        """Process a home proxy's report on a member."""
         state = self._group_states.get(report.group)
         if state is None:
             return
@@ -120,7 +120,7 @@
             self._evaluate(report.group, now)
 
     def proxy_disconnected(self, proxy: str, now: float) -> None:
-        """Forget what a proxy reported; an order it had is given again elsewhere."""
+        """Drop the reports of a disconnected proxy; its promotion order counts as failed."""
         groups = self._groups_of_proxy.get(proxy, set())
         for group in list(groups):
             state = self._group_states[group]
@@ -133,7 +133,7 @@
                 self._evaluate(group, now)
 
     def writes_paused(self, proxy: str, group: str, term: int, now: float) -> None:
-        """Note that a home proxy has no write in flight before a switchover."""
+        """Record that a home proxy has paused writes for a switchover."""
         state = self._group_states.get(group)
         if state is None or state.step is not Step.PAUSING:
             return
@@ -144,7 +144,7 @@
     def promotion_answered(
         self, proxy: str, group: str, term: int, primary: str, now: float
     ) -> None:
-        """Take a home proxy's answer to an order."""
+        """Process a home proxy's answer to a promotion order."""
         state = self._group_states.get(group)
         recorded = self._recorded(group)
         if state is None or recorded.term != term or recorded.primary:
@@ -155,7 +155,7 @@
             self._back_off_after_failure(group, state, now)
 
     def primary_applied(self, primary: GroupPrimary, now: float) -> None:
-        """Take a change of a group's primary out of the log."""
+        """Handle an applied change of a group's term or primary."""
         state = self._group_states.get(primary.group)
         if state is None:
             return
@@ -176,7 +176,7 @@
         self._evaluate(primary.group, now)
 
     def tick(self, now: float) -> None:
-        """Look again at the groups whose time has come."""
+        """Handle expired deadlines, and start waiting promotions."""
         while self._deadlines and self._deadlines[0][0] <= now:
             _, _, group = heapq.heappop(self._deadlines)
             state = self._group_states.get(group)
@@ -185,7 +185,7 @@
         self._start_waiting_promotions(now)
 
     def take_commands(self) -> list[Propose | SendToProxy]:
-        """Return the collected proposals, in few entries, and messages."""
+        """Return the collected proposals, batched into few entries, and messages."""
         commands = [*self._proposals.take(), *self._messages]
         self._messages = []
         return commands
@@ -194,7 +194,7 @@
         return self._primaries.get(group, GroupPrimary(group, 0, ""))
 
     def _resume(self, group: str, state: GroupFailoverState, now: float) -> None:
-        """Go on where an earlier leader stood; its order may still be carried out."""
+        """Continue where an earlier leader stopped; its order may still be in progress."""
         recorded = self._recorded(group)
         if recorded.switching_over:
             self._enter(group, state, Step.PAUSING, now + self._timing.switchover_pause_s)
@@ -220,7 +220,7 @@
                     self._start_promotion(group, state, now)
 
     def _follow_exposed(self, group: str, state: GroupFailoverState, now: float) -> bool:
-        """Record a primary that the group itself exposes; tell whether there is one."""
+        """Record a primary that the group itself exposes; return whether there is one."""
         recorded = self._recorded(group)
         if recorded.term > 0 and not recorded.primary:
             member = state.reports.primary_of_term(recorded.term)
@@ -253,7 +253,7 @@
     def _move_from_leaving(
         self, group: str, state: GroupFailoverState, recorded: GroupPrimary
     ) -> None:
-        """Begin a switchover when the primary is declared leaving."""
+        """Begin a switchover if the primary is declared as leaving."""
         if not recorded.primary or not state.reports.is_leaving(recorded.primary):
             return
         target = state.reports.best_successor(recorded.primary)
@@ -264,7 +264,7 @@
     def _record(
         self, group: str, state: GroupFailoverState, exposed: ExposedPrimary, now: float
     ) -> None:
-        """Propose a primary; no higher term is granted while the proposal is under way."""
+        """Propose a primary; no higher term is granted while the proposal is pending."""
         expected = self._recorded(group).term
         change = PrimaryChange(group, expected, exposed.term, exposed.member)
         self._proposals.record(change)
@@ -288,7 +288,7 @@
                 self._back_off_after_failure(group, state, now)
 
     def _recording_timed_out(self, group: str, state: GroupFailoverState, now: float) -> None:
-        """Look anew at a group whose proposed primary did not come out of the log."""
+        """Reevaluate a group whose proposed primary was not applied in time."""
         recorded = self._recorded(group)
         if recorded.switching_over:
             self._enter(group, state, Step.PAUSING, now + self._timing.switchover_pause_s)
@@ -300,7 +300,7 @@
         self._evaluate(group, now)
 
     def _start_promotion(self, group: str, state: GroupFailoverState, now: float) -> None:
-        """Begin a promotion, or wait for a place; without a live home proxy try again later."""
+        """Begin a promotion or wait for a slot; without a live home proxy, retry later."""
         self._release_slot(state)
         state.replaced = self._recorded(group).primary or state.replaced
         live = self._suspicion.live_homes(state.reports, now)
@@ -313,7 +313,7 @@
             self._grant(group, state, now)
 
     def _acquire_slot(self, state: GroupFailoverState, live: list[str]) -> bool:
-        """Take a place among the promotions under way; False when there is none."""
+        """Acquire a promotion slot; return False if none is free."""
         executor = self._slots.choose_executor(state, live)
         if not executor:
             return False
@@ -323,14 +323,14 @@
         return True
 
     def _grant(self, group: str, state: GroupFailoverState, now: float) -> None:
-        """Propose the next term; its order follows when the term is in the log."""
+        """Propose the next term; the promotion order follows once the term is applied."""
         recorded = self._recorded(group)
         term = max(recorded.term, state.reports.highest_term()) + 1
         self._proposals.grant(TermGrant(group, recorded.term, term))
         self._enter(group, state, Step.GRANTING, now + PROPOSAL_RETRY_S)
 
     def _order(self, group: str, state: GroupFailoverState, now: float) -> None:
-        """Give the order of the term just recorded to the chosen home proxy."""
+        """Send the promotion order for the recorded term to the chosen home proxy."""
         if not state.has_slot or not self._membership.is_live(state.executor, now):
             self._back_off_after_failure(group, state, now)
             return
@@ -347,7 +347,7 @@
         self._enter(group, state, Step.ORDERED, now + timeout_s)
 
     def _back_off_after_failure(self, group: str, state: GroupFailoverState, now: float) -> None:
-        """Wait before the next try, longer each time; meanwhile others may promote."""
+        """Release the slot and retry after a delay that grows with each failure."""
         self._release_slot(state)
         state.failures += 1
         longest = self._timing.shortest_backoff_s * 2 ** min(state.failures - 1, 16)
@@ -355,13 +355,13 @@
         self._enter(group, state, Step.BACKING_OFF, now + pause_s)
 
     def _release_slot(self, state: GroupFailoverState) -> None:
-        """Give a place back; the groups that wait for one are looked at by the next tick."""
+        """Release the group's slot; the next tick starts groups that wait for one."""
         if state.has_slot:
             state.has_slot = False
             self._slots.release(state.executor)
 
     def _start_waiting_promotions(self, now: float) -> None:
-        """Begin the promotions that have waited longest, as far as there are places."""
+        """Start the longest-waiting promotions while slots are free."""
         for _ in range(min(len(self._waiting), self._timing.promotions_at_once)):
             if self._slots.is_full:
                 return
