--- a/limedyke/core/control/primaries/group_failover_state.py
+++ b/limedyke/core/control/primaries/group_failover_state.py
@@ -1,4 +1,4 @@
-"""The leader's state for one group: the step it stands at, and what belongs to it."""
+"""The leader's failover state for one group."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Step(enum.StrEnum):
-    """Where a group stands."""
+    """The step of a group in a failover or switchover."""
 
     WATCHED = "watched"
     DOUBTED = "doubted"
@@ -27,17 +27,17 @@
 
 @dataclass(slots=True)
 class GroupFailoverState:
-    """The leader's state for one group.
+    """The leader's failover state for one group.
 
-    :param deadline: when the present step is looked at again
-    :param doubted_at: when the present doubt began
-    :param failures: promotions failed since the last success
-    :param executor: home proxy that has, or had, the order
-    :param replaced: the primary that the promotion under way replaces
-    :param has_slot: counted among the promotions under way, also at its executor
-    :param planned: the order given last was of a planned move
+    :param deadline: when the current step times out
+    :param doubted_at: when the current suspicion began
+    :param failures: failed promotions since the last success
+    :param executor: home proxy that has, or last had, the promotion order
+    :param replaced: the primary that the current promotion replaces
+    :param has_slot: holds a promotion slot, in total and at its executor
+    :param planned: whether the last order was for a planned switchover
     :param failed_over_at: when the last failover of the group ended
-    :param failovers: how many followed each other without a calm between them
+    :param failovers: number of consecutive failovers less than ``calm_s`` apart
     :param paused: home proxies that have paused writes for a switchover
     """
 
@@ -55,16 +55,16 @@
     paused: set[str] = field(default_factory=set)
 
     def record_failover(self, now: float, calm_s: float) -> None:
-        """Note the end of a failover."""
+        """Record the end of a failover."""
         calm = now - self.failed_over_at > calm_s
         self.failovers = 1 if calm else self.failovers + 1
         self.failed_over_at = now
 
     def hold_factor(self, now: float, calm_s: float) -> float:
-        """Return how much longer a doubt must last now.
+        """Return the factor by which the hold time of a suspicion is extended.
 
-        Two failovers in a row go at full speed.  More of them within a short time are a sign
-        of trouble that moving the primary doesn't cure, such as starved machines.
+        The first two failovers in a row are not delayed.  More of them within a short time indicate
+        a problem that moving the primary does not solve, such as starved machines.
         """
         if now - self.failed_over_at > calm_s:
             return 1.0
