--- a/limedyke/core/control/primaries/group_members.py
+++ b/limedyke/core/control/primaries/group_members.py
@@ -1,7 +1,7 @@
-"""The recorded members of each group, found without looking at those of all others; sans-IO.
+"""An index of the recorded members by group.
 
-A leader looks at each group some times a second, and at one with each report of a member. Looking
-at all members each time would cost the product of groups and members.
+A leader evaluates each group several times a second, and a group with each report on a member.
+Without an index each round would cost the number of groups times the number of members.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class GroupMembers:
-    """Follows the recorded members as changes of them are applied.
+    """An index of the recorded members, updated as changes are applied.
 
     :param members: the recorded members by identity, read only
     """
@@ -25,7 +25,7 @@
         self.applied(members.values(), ())
 
     def applied(self, changed: Iterable[AnnouncedMember], removed: Iterable[str]) -> set[str]:
-        """Take a change out of the log; return the groups whose members it touches."""
+        """Apply a recorded change of members; return the affected groups."""
         touched = {self._drop(identity) for identity in removed}
         for member in changed:
             touched |= {self._drop(member.identity), member.group}
@@ -34,7 +34,7 @@
         return touched - {""}
 
     def of(self, group: str) -> list[AnnouncedMember]:
-        """Return the members of a group whose records can be used."""
+        """Return the members of a group whose records are valid."""
         records = (self._members.get(identity) for identity in self._identities.get(group, ()))
         return [
             member
@@ -43,7 +43,7 @@
         ]
 
     def _drop(self, identity: str) -> str:
-        """Forget where a member was; return the group that it was of, or an empty string."""
+        """Remove a member; return the group that it belonged to, or an empty string."""
         group = self._groups.pop(identity, "")
         identities = self._identities.get(group, {})
         identities.pop(identity, None)
