--- a/limedyke/core/control/primaries/group_reports.py
+++ b/limedyke/core/control/primaries/group_reports.py
@@ -1,4 +1,4 @@
-"""What the home proxies of one group report, and what follows from it."""
+"""The home proxies' reports on the members of one group, and their evaluation."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExposedPrimary:
-    """A member that says it is the primary of a term."""
+    """A member that exposes itself as the primary of a term."""
 
     term: int
     member: str
@@ -22,7 +22,7 @@
     """The reports on one group, by home proxy and member.
 
     :param group: the declared group
-    :param homes: the present home proxies
+    :param homes: the current home proxies
     """
 
     def __init__(self, group: Group, homes: tuple[str, ...]) -> None:
@@ -32,32 +32,32 @@
 
     @property
     def majority(self) -> int:
-        """How many home proxies make a majority."""
+        """The number of home proxies that form a majority."""
         return len(self.homes) // 2 + 1
 
     def set_group(self, group: Group) -> None:
-        """Take a changed declaration; reports on members that are gone are forgotten."""
+        """Set the declared group; drop reports on removed members."""
         self.group = group
         names = {member.name for member in group.members}
         self._reports = {k: r for k, r in self._reports.items() if k[1] in names}
 
     def set_homes(self, homes: tuple[str, ...]) -> None:
-        """Take the present home proxies; reports of others are kept but don't count."""
+        """Set the current home proxies; reports of other proxies are kept but ignored."""
         self.homes = homes
 
     def report(self, proxy: str, report: MemberReport) -> bool:
-        """Keep a proxy's report; tell whether it counts now."""
+        """Store a proxy's report; return whether it comes from a home proxy."""
         if not any(member.name == report.member for member in self.group.members):
             return False
         self._reports[(proxy, report.member)] = report
         return proxy in self.homes
 
     def forget(self, proxy: str) -> None:
-        """Forget the reports of a proxy whose link ended."""
+        """Drop the reports of a disconnected proxy."""
         self._reports = {k: r for k, r in self._reports.items() if k[0] != proxy}
 
     def observers(self) -> set[str]:
-        """Return the home proxies that have reported on anything."""
+        """Return the home proxies that have reported on any member."""
         return {proxy for proxy, _ in self._reports if proxy in self.homes}
 
     def highest_term(self) -> int:
@@ -65,15 +65,15 @@
         return max((report.term for report in self._reports.values()), default=0)
 
     def forget_member(self, member: str) -> None:
-        """Forget the reports on a member that has just become the primary."""
+        """Drop the reports on a member that has just become the primary."""
         self._reports = {k: r for k, r in self._reports.items() if k[1] != member}
 
     def unreachable_votes(self, primary: str) -> set[str]:
-        """Return the home proxies that can't reach the primary; a saturated one is reached."""
+        """Return the home proxies that cannot reach the primary; a saturated one is reachable."""
         return self._votes(primary, lambda r: r.health is MemberHealth.UNREACHABLE)
 
     def demoted_votes(self, primary: str) -> set[str]:
-        """Return the home proxies that see the recorded primary work as a replica."""
+        """Return the home proxies that report the recorded primary as a replica."""
         return self._votes(
             primary, lambda r: r.health is MemberHealth.REACHABLE and not r.is_primary
         )
@@ -83,7 +83,7 @@
         return {proxy for proxy, report in reports.items() if report and counts(report)}
 
     def exposed_primaries(self) -> Counter[ExposedPrimary]:
-        """Count, by primary and term that a member exposes, the home proxies that see it."""
+        """Return how many home proxies see each exposed pair of primary and term."""
         seen = {
             (proxy, ExposedPrimary(report.term, member))
             for (proxy, member), report in self._reports.items()
@@ -104,12 +104,12 @@
         )
 
     def primary_of_term(self, term: int) -> str:
-        """Return the member that anyone sees as the primary of exactly this term, if any."""
+        """Return the member that some home proxy sees as the primary of this term, if any."""
         exposed = (e.member for e in self.exposed_primaries() if e.term == term)
         return next(exposed, "")
 
     def reachable_members(self, proxy: str) -> int:
-        """Return how many members a home proxy reaches."""
+        """Return the number of members that a home proxy reaches."""
         return sum(
             1
             for (reporter, _), report in self._reports.items()
@@ -117,11 +117,11 @@
         )
 
     def sees_majority(self, proxy: str) -> bool:
-        """Tell whether a home proxy reaches a majority of the members."""
+        """Return whether a home proxy reaches a majority of the members."""
         return self.reachable_members(proxy) > len(self.group.members) // 2
 
     def best_successor(self, leaving: str) -> str:
-        """Return the reachable member, not leaving, with the highest reported position."""
+        """Return the reachable member with the highest log position that is not leaving."""
         staying = [m.name for m in self.group.members if not m.leaving and m.name != leaving]
         positions: dict[str, int] = {}
         for (_, member), report in self._reports.items():
@@ -130,5 +130,5 @@
         return max(sorted(positions), key=lambda name: positions[name], default="")
 
     def is_leaving(self, member: str) -> bool:
-        """Tell whether a member is declared leaving."""
+        """Return whether a member is declared as leaving."""
         return any(m.name == member and m.leaving for m in self.group.members)
