--- a/limedyke/core/control/primaries/primary_suspicion.py
+++ b/limedyke/core/control/primaries/primary_suspicion.py
@@ -1,4 +1,4 @@
-"""When the reports of home proxies are reason enough to replace a primary."""
+"""Decides when the reports of home proxies justify replacing a primary."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class PrimarySuspicion:
-    """Judges the reports on one group at a time.
+    """Evaluates the reports on one group at a time.
 
-    :param membership: tells which proxies are heard
+    :param membership: tells which proxies are live
     """
 
     def __init__(self, membership: ProxyMembership, timing: ControlTiming) -> None:
@@ -19,18 +19,17 @@
         self._timing = timing
 
     def live_homes(self, reports: GroupReports, now: float) -> list[str]:
-        """Return the group's home proxies that are heard, the heaviest first."""
+        """Return the group's live home proxies, in order of their weight."""
         return [proxy for proxy in reports.homes if self._membership.is_live(proxy, now)]
 
     def hold_s(self, reports: GroupReports, recorded: GroupPrimary, now: float) -> float | None:
-        """Return how long the present suspicion must last before the term rises; None without one.
+        """Return how long the suspicion must last before the term is raised; None without suspicion.
 
-        A majority that can't reach the primary needs a short hold; one that sees it work as a
-        replica, or sees no primary at all, a longer one, as its reports may be of the past.
+        If a majority cannot reach the primary, the hold time is short.  If a majority sees it as a
+        replica, or sees no primary at all, the hold time is longer, as the reports may be outdated.
 
-        A proxy that reaches no majority of the members is blind rather than a witness: its
-        own network or machine is in trouble, or nobody could be promoted anyway.  It counts
-        as one that isn't heard.
+        A proxy that does not reach a majority of the members is blind, and is treated as not live:
+        either its own network or machine has a problem, or no member could be promoted anyway.
         """
         timing = self._timing
         if not recorded.primary:
@@ -52,7 +51,7 @@
     def _hold_of(
         self, reports: GroupReports, votes: set[str], live: set[str], majority_hold_s: float
     ) -> float | None:
-        """Return how long these votes must last, or None when they are too few."""
+        """Return how long these votes must last, or None if there are too few."""
         return vote_hold_s(votes, live, reports.majority, majority_hold_s, self._timing)
 
 
@@ -63,11 +62,11 @@
     majority_hold_s: float,
     timing: ControlTiming,
 ) -> float | None:
-    """Return how long votes against a primary must last, or None when they are too few.
+    """Return how long votes against a primary must last, or None if there are too few.
 
-    :param votes: live home proxies that vote against it
-    :param live: home proxies that are heard
-    :param majority: of all home proxies, heard or not
+    :param votes: live home proxies that vote against the primary
+    :param live: live home proxies
+    :param majority: majority of all home proxies, live or not
     """
     if not votes:
         return None
