--- a/limedyke/core/control/primaries/primary_table.py
+++ b/limedyke/core/control/primaries/primary_table.py
@@ -10,12 +10,12 @@
 
 
 class PrimaryTable:
-    """What the log says of each group's primary.
+    """The recorded primary of each group.
 
-    An entry counts only when the term it was decided on is still the recorded one.
+    A log entry takes effect only if the term it was based on is still the recorded one.
 
-    :ivar primaries: what is recorded, by group; a group of which nothing is has no item
-    :ivar switchover_targets: the member a planned switchover goes to, by group
+    :ivar primaries: recorded primaries by group; groups without a record are absent
+    :ivar switchover_targets: target member of the planned switchover, by group
     """
 
     def __init__(
@@ -33,10 +33,10 @@
         )
 
     def find(self, group: str, declared: Container[str]) -> GroupPrimary | None:
-        """Return what is recorded of a group; term 0 when nothing is.
+        """Return the record of a group, with term 0 if there is none.
 
         :param declared: the names of the declared groups
-        :returns: None when the group isn't declared
+        :returns: None if the group is not declared
         """
         if group not in declared:
             return None
@@ -48,25 +48,25 @@
         return primary
 
     def begin_switchover(self, known: GroupPrimary, target: str) -> GroupPrimary:
-        """Record that a group's primary is to be replaced as planned; return the new record.
+        """Record the start of a planned switchover; return the new record.
 
-        :param known: what is recorded of the group
+        :param known: the current record of the group
         :param target: the member that is to become the primary
         """
         self.switchover_targets[known.group] = target
         return self.keep(replace(known, switching_over=True))
 
     def forget(self, group: str) -> None:
-        """Drop what is recorded of a group that is declared no longer."""
+        """Remove the record of a group that is no longer declared."""
         self.primaries.pop(group, None)
         self.switchover_targets.pop(group, None)
 
     def grant_terms(
         self, index: int, entry: GrantTerms, declared: Container[str]
     ) -> tuple[GroupPrimary, ...]:
-        """Record higher terms that have no primary yet; return the groups changed.
+        """Record higher terms without a primary; return the changed records.
 
-        :param index: of the entry in the log; the fence of these terms
+        :param index: log index of the entry, which is the fencing number of these terms
         """
         changed = []
         for grant in entry.grants:
@@ -79,7 +79,7 @@
     def record_primaries(
         self, entry: RecordPrimaries, declared: Container[str]
     ) -> tuple[GroupPrimary, ...]:
-        """Record the primaries of terms; return the groups changed."""
+        """Record the primaries of terms; return the changed records."""
         changed = []
         for change in entry.changes:
             known = self.find(change.group, declared)
