--- a/limedyke/core/control/primaries/promotion_slots.py
+++ b/limedyke/core/control/primaries/promotion_slots.py
@@ -1,4 +1,4 @@
-"""Places for promotions under way: bounded over all groups and at each home proxy."""
+"""Limits concurrent promotions, in total and at each home proxy."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class PromotionSlots:
-    """Counts promotions under way.
+    """Counts concurrent promotions.
 
-    :param total: promotions under way over all groups
-    :param each: promotions under way at one proxy
+    :param total: maximum over all groups
+    :param each: maximum at one proxy
     """
 
     def __init__(self, total: int, each: int) -> None:
@@ -22,37 +22,37 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no group may begin a promotion now."""
+        """Whether all slots are in use."""
         return self._used >= self._total
 
     def has_free_slot(self, proxy: str) -> bool:
-        """Tell whether a proxy may get a further order."""
+        """Return whether a proxy may get another promotion order."""
         return not self.is_full and self._used_at[proxy] < self._each
 
     def used_at(self, proxy: str) -> int:
-        """Return how many promotions are under way at a proxy."""
+        """Return the number of slots in use at a proxy."""
         return self._used_at[proxy]
 
     def take(self, proxy: str) -> None:
-        """Take a place at a proxy."""
+        """Acquire a slot at a proxy."""
         self._used += 1
         self._used_at[proxy] += 1
 
     def release(self, proxy: str) -> None:
-        """Give a place at a proxy back."""
+        """Release a slot at a proxy."""
         self._used -= 1
         self._used_at[proxy] -= 1
         if self._used_at[proxy] == 0:
             del self._used_at[proxy]
 
     def choose_executor(self, state: GroupFailoverState, live: list[str]) -> str:
-        """Return the home proxy that should promote, or an empty string without a free place.
+        """Return the home proxy that should promote, or an empty string without a free slot.
 
-        One that reaches a majority of the members goes first, then one that misses the
-        replaced primary itself: it was heard since, and a proxy that was cut off with the
-        primary still sees it.  Among these another than last time.
+        Proxies that reach a majority of the members are preferred, then those that cannot reach
+        the replaced primary: a proxy that is partitioned off together with the primary still sees
+        it.  Among these, a proxy other than the previous executor is preferred.
 
-        :param live: the group's home proxies that are heard
+        :param live: the group's live home proxies
         """
         free = [proxy for proxy in live if self.has_free_slot(proxy)]
         witnesses = state.reports.unreachable_votes(state.replaced)
