--- a/limedyke/core/control/proposal_batch.py
+++ b/limedyke/core/control/proposal_batch.py
@@ -1,4 +1,4 @@
-"""Proposals on groups, collected so that many share one entry of the log."""
+"""Batches proposals on groups, so that many share one log entry."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ProposalBatch:
-    """At most one proposal of each sort for a group; the newest counts."""
+    """Holds at most one proposal of each kind for a group; a newer one replaces it."""
 
     def __init__(self) -> None:
         self._grants: dict[str, TermGrant] = {}
@@ -35,7 +35,7 @@
         self._switchovers[entry.group] = entry
 
     def take(self) -> list[Propose]:
-        """Return the proposals, in few entries, and start anew."""
+        """Return the proposals in as few entries as possible, and clear the batch."""
         records, grants = tuple(self._records.values()), tuple(self._grants.values())
         commands = [
             Propose(RecordPrimaries(records[start : start + MAXIMUM_BATCH]))
