--- a/limedyke/core/control/proxy_records.py
+++ b/limedyke/core/control/proxy_records.py
@@ -1,4 +1,4 @@
-"""The proxies recorded in the log, by name: rules by which entries change them."""
+"""Applies log entries to the recorded proxies."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 def record_proxies(
     known_proxies: dict[str, ProxyRecord], entry: RecordProxies
 ) -> tuple[ProxyRecord, ...]:
-    """Record proxies, except under an incarnation older than the recorded one.
+    """Record proxies, except for incarnations older than the recorded one.
 
     :param known_proxies: the recorded proxies by name; changed in place
     :returns: the records that are new or differ
@@ -25,7 +25,7 @@
 
 
 def remove_proxies(known_proxies: dict[str, ProxyRecord], entry: RemoveProxies) -> tuple[str, ...]:
-    """Remove proxies that are still recorded under the incarnation the entry names.
+    """Remove proxies whose recorded incarnation is the one that the entry names.
 
     :param known_proxies: the recorded proxies by name; changed in place
     :returns: the names removed
