--- a/limedyke/core/control/state.py
+++ b/limedyke/core/control/state.py
@@ -1,4 +1,4 @@
-"""The replicated control state: entries applied in order, with equal outcome everywhere."""
+"""The replicated control state: a deterministic state machine over the log's entries."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 class ControlState:
-    """Everything the controllers keep in their log.
+    """The state that the controllers replicate through their log.
 
     :ivar applied_index: index of the last entry applied
     :ivar control_index: index of the last entry that changed anything for the proxies
@@ -87,11 +87,11 @@
 
     @property
     def switchover_targets(self) -> dict[str, str]:
-        """The member that a planned switchover goes to, by group; read only."""
+        """The target member of a planned switchover, by group; read only."""
         return self._primary_table.switchover_targets
 
     def apply(self, index: int, entry: object) -> ApplyResult:
-        """Apply the entry at ``index``; unknown entries only count."""
+        """Apply the entry at ``index``; an unknown entry only advances ``applied_index``."""
         self.applied_index = index
         match entry:
             case RecordPlan():
@@ -124,7 +124,7 @@
         return ApplyResult()
 
     def first_answer(self, operator: str, request_id: str) -> object | None:
-        """Return the answer already given to a request, if there was one."""
+        """Return the recorded answer to a request, if there is one."""
         recorded = self._answers.find(operator, request_id)
         if recorded is None:
             return None
@@ -133,7 +133,7 @@
         return decode_answer(recorded)
 
     def snapshot_for_proxies(self) -> ControlSnapshot:
-        """Return the whole state as proxies need it."""
+        """Return the part of the state that proxies need."""
         return ControlSnapshot(
             control_index=self.control_index,
             revision=self.revision,
@@ -177,7 +177,7 @@
     def from_bytes(cls, data: bytes) -> ControlState:
         """Return the state from a log snapshot; empty bytes give the empty state.
 
-        :raises ValueError: when the bytes are no snapshot
+        :raises ValueError: if the bytes are not a snapshot
         """
         state = cls()
         if not data:
@@ -217,7 +217,7 @@
         return ApplyResult(update=self._update(index, controllers=addresses))
 
     def _declare_version(self, index: int, entry: DeclareVersion) -> ApplyResult:
-        """Bring a whole declaration into force; one that isn't newer changes nothing."""
+        """Apply a complete declaration, unless its version is not newer than the current one."""
         if entry.version <= self.version:
             return ApplyResult(DeclaredVersion(self.version))
         self.version = entry.version
@@ -241,13 +241,13 @@
         return ApplyResult(MembersRecorded(), applied.update)
 
     def _announce(self, index: int, **changes: tuple) -> ApplyResult:
-        """Return the update for the proxies, if there are changes."""
+        """Return a result with the update for the proxies, if there are changes."""
         if not any(changes.values()):
             return ApplyResult()
         return ApplyResult(update=self._update(index, **changes))
 
     def _update(self, index: int, **changes: object) -> ControlUpdate:
-        """Return the update that the entry at ``index`` makes, and move the index on."""
+        """Return the update for the entry at ``index``, and advance the control index."""
         update = ControlUpdate(self.control_index, index, self.revision, **changes)
         self.control_index = index
         return update
@@ -273,7 +273,7 @@
     def _decide_plan(
         self, index: int, entry: ConfirmPlan
     ) -> tuple[Confirmed | Refused, ControlUpdate | None]:
-        """Return the answer to a confirmation, and what changes for the proxies if it wins."""
+        """Return the answer to a confirmation, and the update for the proxies if it succeeds."""
         plans = self.plans
         answer = plans.answer_without_effect(entry, self.revision, self.control_index, self.time)
         if answer is not None:
@@ -315,11 +315,11 @@
         )
 
     def _write_history(self, plan_id: str, operator: str, summary: str) -> None:
-        """Add what was confirmed; ``plan_id`` is empty for what makes no revision."""
+        """Add a confirmed operation; ``plan_id`` is empty if it creates no revision."""
         self.plans.write_history(HistoryEntry(self.revision, plan_id, operator, self.time, summary))
 
     def _begin_switchover(self, index: int, entry: BeginSwitchover) -> ApplyResult:
-        """Begin a planned switchover; one without a request id is the controllers' own."""
+        """Begin a planned switchover; without a request id, the controllers initiated it."""
         self._advance_time(entry.confirmed_at)
         if not entry.request_id:
             return self._decide_switchover(index, entry)
@@ -361,5 +361,5 @@
         return answer
 
     def _advance_time(self, time: int) -> None:
-        """Move the log's clock on; a later leader's slower clock doesn't set it back."""
+        """Advance the log's clock; it never goes back, even if a new leader's clock is slower."""
         self.time = max(self.time, time)
