--- a/limedyke/core/control/state_snapshot.py
+++ b/limedyke/core/control/state_snapshot.py
@@ -1,4 +1,4 @@
-"""The control state as it stands in a snapshot of the log."""
+"""Decodes the control state from a log snapshot."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def unpack_snapshot(data: bytes) -> ControlStateSnapshot:
-    """Return the control state that a log snapshot holds.
+    """Return the control state in a log snapshot.
 
-    :raises ValueError: when the bytes hold none
+    :raises ValueError: if the bytes do not hold a control state
     """
     unpacked = unpack_entry(data)
     if isinstance(unpacked, Err):
