--- a/limedyke/core/control/timing.py
+++ b/limedyke/core/control/timing.py
@@ -1,4 +1,4 @@
-"""Times of the leader's decisions, in seconds."""
+"""Timeouts and limits of the leader's decisions; times are in seconds."""
 
 from __future__ import annotations
 
@@ -7,39 +7,39 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlTiming:
-    """Times and limits of the leader's decisions.
+    """Timeouts and limits of the leader's decisions.
 
-    :param lease_s: connection lease, counted by the holder from its heartbeat
-    :param suspicion_s: a proxy silent for this long loses its home duty
-    :param hinted_suspicion_s: the same for one that the platform lists as leaving
-    :param live_s: a home proxy heard within this time counts as an observer
-    :param report_hold_s: a majority must call the primary unreachable for this long
-    :param demoted_hold_s: the same when some see it reachable, but as a replica; longer than
-        two probe intervals, as reports from before its promotion may still be on their way
-    :param few_observers_hold_s: the same while less than a majority of home proxies is heard
-    :param cut_off_hold_s: the same while less than half of all proxies are heard, in groups of
-        announced members: with the silence before and the promotion it stays below 6 s
+    :param lease_s: duration of connection leases, counted by the holder from its heartbeat
+    :param suspicion_s: silence after which a proxy is suspected and loses its home duty
+    :param hinted_suspicion_s: the same for a proxy that the platform lists as leaving
+    :param live_s: a home proxy counts as live for this long after its last message
+    :param report_hold_s: how long a majority must report the primary as unreachable
+    :param demoted_hold_s: the same if some see it reachable, but as a replica; longer than two
+        probe intervals, as reports from before its promotion may still be in transit
+    :param few_observers_hold_s: the same while less than a majority of home proxies is live
+    :param cut_off_hold_s: the same while less than half of all proxies are live, in groups of
+        announced members; together with the preceding silence and the promotion it is below 6 s
     :param settling_hold_s: the same for a primary of announced members that took over less than
-        ``calm_s`` ago: after a cut home proxies open their connections anew, and a member resets
-        what is over its limit while it still counts those of machines that were cut off; a doubt
-        of that kind was seen to last 0.4 s
-    :param promotion_timeout_s: an order without answer is given again after this long
-    :param resume_hold_s: a new leader waits this long for an order of the one before it, whose
-        result its proxies' reports would show; it may never have been sent
-    :param shortest_backoff_s: pause after a first failed promotion of a group
-    :param longest_backoff_s: the pause grows up to this
-    :param calm_s: failovers of a group that follow each other faster make its holds longer
+        ``calm_s`` ago. After a partition home proxies reopen their connections. A member resets
+        connections over its limit while it still counts those of partitioned machines. Home proxies
+        report it as unreachable for up to 0.4 s meanwhile
+    :param promotion_timeout_s: time after which an unanswered order is given to another proxy
+    :param resume_hold_s: how long a new leader waits for an order of its predecessor, whose result
+        shows in the proxies' reports; the order may never have been sent
+    :param shortest_backoff_s: delay after the first failed promotion of a group
+    :param longest_backoff_s: upper bound of the growing delay
+    :param calm_s: consecutive failovers of a group less than this apart extend its hold times
     :param switchover_pause_s: longest wait for writes to finish before a planned switchover;
-        with the promotion it ends before a leaving member has to be free of new work
-    :param promotions_at_once: promotions under way over all groups
-    :param promotions_per_proxy: promotions under way at one proxy
-    :param primary_lease_s: for so long after its heartbeat a proxy may take the recorded primary
-        of a group of announced members for the only one; 0 gives no such lease
-    :param authority_timeout_s: a call to the promotion authority is given up after this long
-    :param promotion_wait_s: a member that was promoted leads at the latest so long after the
-        authority's answer; afterwards another promotion is begun
-    :param member_silence_s: an announced member silent for longer is doubted
-    :param member_forgotten_s: an announced member silent for longer is forgotten
+        together with the promotion it ends before a leaving member must get no new work
+    :param promotions_at_once: maximum number of concurrent promotions over all groups
+    :param promotions_per_proxy: maximum number of concurrent promotions at one proxy
+    :param primary_lease_s: how long after its heartbeat a proxy may treat the recorded primary of
+        a group of announced members as the only one; 0 grants no such lease
+    :param authority_timeout_s: timeout of a call to the promotion authority
+    :param promotion_wait_s: how long after the authority's answer a promoted member may take to
+        lead, before another promotion begins
+    :param member_silence_s: silence after which an announced member is suspected
+    :param member_forgotten_s: silence after which an announced member is removed
     """
 
     lease_s: float = 30.0
