--- a/limedyke/core/control/update_ring.py
+++ b/limedyke/core/control/update_ring.py
@@ -1,4 +1,4 @@
-"""Recent changes for the proxies, so that a proxy that was away gets a short update."""
+"""Recent control updates, so that a reconnecting proxy gets an update, not a snapshot."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class UpdateRing:
-    """Keeps the newest updates and merges those that a proxy has missed."""
+    """A ring buffer of the newest updates, which merges those that a proxy has missed."""
 
     def __init__(self, maximum: int = MAXIMUM_UPDATES) -> None:
         self._maximum = maximum
         self._updates: deque[ControlUpdate] = deque()
 
     def add(self, update: ControlUpdate) -> None:
-        """Add the newest update; a gap forgets everything before it."""
+        """Add the newest update; a gap in the indexes drops all earlier updates."""
         if self._updates and self._updates[-1].control_index != update.base_index:
             self._updates.clear()
         self._updates.append(update)
@@ -26,15 +26,15 @@
             self._updates.popleft()
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Drop all updates."""
         self._updates.clear()
 
     def reaches_back_to(self, control_index: int) -> bool:
-        """Tell whether the updates from ``control_index`` to the present are all kept."""
+        """Return whether all updates since ``control_index`` are kept."""
         return bool(self._updates) and self._updates[0].base_index <= control_index
 
     def since(self, control_index: int) -> ControlUpdate | None:
-        """Return one update from ``control_index`` to the present, or None when it is too old."""
+        """Return all updates since ``control_index`` merged into one; None if it is too old."""
         missed: list[ControlUpdate] = []
         for update in reversed(self._updates):
             if update.control_index <= control_index:
@@ -47,14 +47,14 @@
 
 
 class _Items:
-    """Merges whole items and removals of one sort; removals go before items, as in an update."""
+    """Merges items and removals of one kind; removals precede items, as in an update."""
 
     def __init__(self) -> None:
         self._items: dict[str, object] = {}
         self._removed: dict[str, None] = {}
 
     def take(self, items: Iterable, removed: Iterable[str]) -> None:
-        """Take the next update's removals, then its items."""
+        """Merge the next update's removals, then its items."""
         for name in removed:
             self._items.pop(name, None)
             self._removed[name] = None
@@ -62,11 +62,11 @@
             self._items[_key(item)] = item
 
     def items(self) -> tuple:
-        """Return the items in force after all updates."""
+        """Return the items present after all updates."""
         return tuple(self._items.values())
 
     def removed(self) -> tuple[str, ...]:
-        """Return all names removed, also those that a later update put in again."""
+        """Return all removed names, including those that a later update added again."""
         return tuple(self._removed)
 
 
@@ -76,7 +76,7 @@
 
 
 def merge_updates(updates: list[ControlUpdate]) -> ControlUpdate:
-    """Return one update with the effect of several that follow one another."""
+    """Merge consecutive updates into one with the same effect."""
     if len(updates) == 1:
         return updates[0]
     tenants, groups, primaries, proxies = _Items(), _Items(), _Items(), _Items()
