--- a/limedyke/core/control/announcements.py
+++ b/limedyke/core/control/announcements.py
@@ -90,7 +90,7 @@
         return RecordMembers((member,), self._displaced_by(member))
 
     def withdrawn(self, identity: str, now: float, started_at_ms: int = 0) -> RecordMembers | None:
-        """Process a member's withdrawal; return the entry that records it, or None if it is recorded.
+        """Process a withdrawal; return the entry that records it, or None if nothing changed.
 
         :param started_at_ms: start time of the incarnation that withdraws; 0 if not reported
         """
