--- a/limedyke/core/control/primaries/authority_group_state.py
+++ b/limedyke/core/control/primaries/authority_group_state.py
@@ -52,7 +52,7 @@
 class MemberReports:
     """The last report of each proxy on each member of a group.
 
-    :ivar emptied: members that have restarted since a proxy last reported on them: their log is empty
+    :ivar emptied: members that restarted after a proxy reported on them, and so lost their log
     """
 
     def __init__(self) -> None:
