--- a/limedyke/core/control/primaries/primary_suspicion.py
+++ b/limedyke/core/control/primaries/primary_suspicion.py
@@ -23,7 +23,7 @@
         return [proxy for proxy in reports.homes if self._membership.is_live(proxy, now)]
 
     def hold_s(self, reports: GroupReports, recorded: GroupPrimary, now: float) -> float | None:
-        """Return how long the suspicion must last before the term is raised; None without suspicion.
+        """Return how long a suspicion must last before the term is raised; None if there is none.
 
         If a majority cannot reach the primary, the hold time is short.  If a majority sees it as a
         replica, or sees no primary at all, the hold time is longer, as the reports may be outdated.
