--- a/limedyke/core/control/primaries/authority_failover.py
+++ b/limedyke/core/control/primaries/authority_failover.py
@@ -143,7 +143,7 @@
     def authority_answered(
         self, group: str, fence: int, outcome: AuthorityOutcome, now: float
     ) -> None:
-        """Take the authority's answer to a call; one to an older call counts no more."""
+        """Handle the outcome of a call to the authority; outcomes of earlier calls are ignored."""
         state = self._group_states.get(group)
         recorded = self._recorded(group)
         is_awaited = (
@@ -152,8 +152,8 @@
         if not is_awaited:
             return
         if outcome is AuthorityOutcome.PROMOTED:
-            # The member leads some time later, and tells it then; until that moment a read there
-            # could miss what the replaced primary acknowledged.
+            # The member starts to lead some time later and announces it then. Until that moment a
+            # read there could miss writes that the replaced primary acknowledged.
             state.promoted_at = now
             state.enter(AuthorityStep.PROMOTING, now + self._timing.promotion_wait_s)
             self._evaluate_group(group, state, now)
@@ -163,10 +163,10 @@
         self._back_off(state, now)
 
     def tick(self, now: float) -> None:
-        """Look at all groups; to be called several times a second."""
+        """Evaluate all groups and handle expired deadlines; called several times a second."""
         for group, state in self._group_states.items():
-            is_judged = state.step in (AuthorityStep.WATCHED, AuthorityStep.SUSPECTED)
-            if now >= state.deadline and not is_judged:
+            is_watched = state.step in (AuthorityStep.WATCHED, AuthorityStep.SUSPECTED)
+            if now >= state.deadline and not is_watched:
                 self._time_out(group, state, now)
             else:
                 self._evaluate_group(group, state, now)
@@ -183,14 +183,14 @@
     def _evaluate_group(self, group: str, state: AuthorityGroupState, now: float) -> None:
         match state.step:
             case AuthorityStep.WATCHED | AuthorityStep.SUSPECTED:
-                self._judge(group, state, now)
+                self._evaluate_primary(group, state, now)
             case AuthorityStep.FENCING:
                 if self._is_fenced(group, now):
                     self._call(group, state, now)
             case AuthorityStep.CALLING | AuthorityStep.PROMOTING | AuthorityStep.BACKING_OFF:
                 self._follow_promoted(group, state, now)
 
-    def _judge(self, group: str, state: AuthorityGroupState, now: float) -> None:
+    def _evaluate_primary(self, group: str, state: AuthorityGroupState, now: float) -> None:
         recorded = self._recorded(group)
         if not recorded.primary:
             self._find_first_primary(group, state, recorded, now)
@@ -204,8 +204,8 @@
             if state.step is AuthorityStep.SUSPECTED:
                 state.enter(AuthorityStep.WATCHED)
             return
-        is_news = state.step is AuthorityStep.WATCHED
-        if is_news or suspicion.reason is not state.suspicion.reason:
+        is_new = state.step is AuthorityStep.WATCHED
+        if is_new or suspicion.reason is not state.suspicion.reason:
             self._log_decision(group, f"primary {recorded.primary} doubted: {suspicion.text}")
             state.suspicion = suspicion
             state.enter(AuthorityStep.SUSPECTED, now + suspicion.hold_s)
