--- a/limedyke/messages/agreement.py
+++ b/limedyke/messages/agreement.py
@@ -24,10 +24,10 @@
 @message(100)
 @dataclass(frozen=True, slots=True)
 class ControllerIdentity:
-    """One controller and one life of its data folder.
+    """A controller and the incarnation of its data folder.
 
     :param name: the controller's name in the settings
-    :param incarnation: random identifier made when the data folder was initialised
+    :param incarnation: random identifier generated when the data folder was initialised
     """
 
     name: str
@@ -56,9 +56,9 @@
 class MemberConfiguration:
     """The controllers that replicate the log.
 
-    :param cluster: identifier made when the cluster was founded; empty before
+    :param cluster: identifier generated when the cluster was founded; empty before
     :param voters: identities that count for elections and commits
-    :param learners: identities that receive entries but do not count
+    :param learners: identities that receive entries but have no vote
     :param previous_voters: the voters that this configuration replaces in one step; elections and
         commits need a majority of these too until its entry is committed (joint consensus), and the
         leader then appends the configuration without them
@@ -73,7 +73,7 @@
 @message(103)
 @dataclass(frozen=True, order=True, slots=True)
 class QuorumStamp:
-    """Grows only when a majority of voters has just confirmed the leader.
+    """Increases only after a majority of voters has confirmed the leader.
 
     :param counter: the last confirmed heartbeat round of the term
     """
@@ -85,7 +85,7 @@
 @message(110)
 @dataclass(frozen=True, slots=True)
 class PreVoteRequest:
-    """Asks whether a candidacy in ``term`` would get the vote; changes nothing."""
+    """Asks whether a candidate would get the vote in ``term``, without changing any state."""
 
     term: int
     last_index: int
@@ -98,7 +98,7 @@
     """Answer to a pre-vote.
 
     :param term: the responder's own term
-    :param prospective_term: the term that was asked for
+    :param prospective_term: the term of the request
     """
 
     term: int
@@ -109,9 +109,9 @@
 @message(112)
 @dataclass(frozen=True, slots=True)
 class VoteRequest:
-    """Asks for the vote in ``term``.
+    """Requests the vote in ``term``.
 
-    :param leadership_transfer: the leader of the preceding term gave up its lease for this
+    :param leadership_transfer: the previous leader gave up its lease for this election
     """
 
     term: int
@@ -123,7 +123,7 @@
 @message(113)
 @dataclass(frozen=True, slots=True)
 class VoteResponse:
-    """Answer to a vote request, sent after the vote is synced."""
+    """Answer to a vote request, sent after the vote is synced to disk."""
 
     term: int
     granted: bool
@@ -132,7 +132,7 @@
 @message(114)
 @dataclass(frozen=True, slots=True)
 class AppendEntriesRequest:
-    """Entries after ``previous_index``, or a heartbeat when there are none.
+    """Entries after ``previous_index``; a heartbeat if there are none.
 
     :param round_number: the leader's heartbeat round, echoed in the response
     :param quorum_stamp: the leader's last confirmed stamp
@@ -150,12 +150,12 @@
 @message(115)
 @dataclass(frozen=True, slots=True)
 class AppendEntriesResponse:
-    """Answer to entries, sent after they are synced.
+    """Answer to entries, sent after they are synced to disk.
 
     :param previous_index: echo of the request
-    :param match_index: the last index known equal to the leader's, when accepted
-    :param conflict_index: where the leader should continue, when refused
-    :param conflict_term: the follower's term at the conflict; 0 when its log is too short
+    :param match_index: if accepted, the last index known to match the leader's log
+    :param conflict_index: if refused, the index from which the leader should continue
+    :param conflict_term: the follower's term at the conflict; 0 if its log is too short
     """
 
     term: int
@@ -170,7 +170,7 @@
 @message(116)
 @dataclass(frozen=True, slots=True)
 class InstallSnapshotRequest:
-    """A part of a snapshot; an empty part keeps the transfer alive.
+    """A chunk of a snapshot; an empty chunk keeps the transfer alive.
 
     :param offset: position of ``data`` in the snapshot, in bytes
     :param total_bytes: size of the whole snapshot data
@@ -190,10 +190,10 @@
 @message(117)
 @dataclass(frozen=True, slots=True)
 class InstallSnapshotResponse:
-    """Answer to a part of a snapshot.
+    """Answer to a chunk of a snapshot.
 
-    :param next_offset: the first byte still missing
-    :param installed: the whole snapshot is synced
+    :param next_offset: offset of the first missing byte
+    :param installed: the whole snapshot is synced to disk
     """
 
     term: int
@@ -206,7 +206,7 @@
 @message(118)
 @dataclass(frozen=True, slots=True)
 class TimeoutNowRequest:
-    """The leader of ``term`` gave up its lease: the receiver stands for election at once."""
+    """Tells the receiver to start an election at once; the leader of ``term`` gave up its lease."""
 
     term: int
 
@@ -214,7 +214,7 @@
 @message(119)
 @dataclass(frozen=True, slots=True)
 class AgreementEnvelope:
-    """Carries one encoded message between two exact identities of one cluster."""
+    """Carries one encoded message between two identities of one cluster."""
 
     cluster: str
     sender: ControllerIdentity
@@ -225,7 +225,7 @@
 @message(123)
 @dataclass(frozen=True, slots=True)
 class PeerAddress:
-    """Where a controller is reached by the other controllers (``ip:port``)."""
+    """The address (``ip:port``) at which other controllers reach a controller."""
 
     name: str
     address: str
@@ -234,10 +234,10 @@
 @message(120)
 @dataclass(frozen=True, slots=True)
 class FoundingQuery:
-    """A controller with an empty data folder asks a peer, by name only, for a cluster.
+    """A query from a controller with an empty data folder, which asks a peer for its cluster.
 
-    :param voter_names: the founding voters according to the sender's settings
-    :param address: where the sender is reached; empty when the operator is to say it
+    :param voter_names: the founding voters in the sender's settings
+    :param address: the sender's address; empty if the operator must provide it
     """
 
     voter_names: tuple[str, ...]
@@ -247,10 +247,10 @@
 @message(121)
 @dataclass(frozen=True, slots=True)
 class FoundingAnswer:
-    """Answer to a founding query, to exactly the incarnation that asked.
+    """Answer to a founding query, addressed to the incarnation that asked.
 
-    :param cluster: the responder's cluster; empty when its data folder is empty too
-    :param voter_names: the founding voters according to the responder's settings
+    :param cluster: the responder's cluster; empty if its data folder is empty too
+    :param voter_names: the founding voters in the responder's settings
     :param controllers: the controllers that the responder knows, itself included
     """
 
@@ -262,7 +262,7 @@
 @message(122)
 @dataclass(frozen=True, slots=True)
 class ClusterFounded:
-    """The configuration that a cluster was founded with, to one of its voters."""
+    """Sends the initial configuration of a new cluster to one of its voters."""
 
     configuration: MemberConfiguration
 
