--- a/limedyke/messages/calls.py
+++ b/limedyke/messages/calls.py
@@ -1,4 +1,4 @@
-"""Calls from outside that any controller takes and the leader carries out.  Kinds 220-229."""
+"""API calls that any controller accepts and the leader executes.  Kinds 220-229."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 @message(220)
 @dataclass(frozen=True, slots=True)
 class DeclareCall:
-    """Bring a whole declaration into force under a version.
+    """Apply a complete declaration under a version number.
 
     :param document: the declaration as the operator sent it
     """
@@ -26,15 +26,15 @@
 @message(221)
 @dataclass(frozen=True, slots=True)
 class ReadDeclarationCall:
-    """Read the newest declaration as it was sent."""
+    """Read the newest declaration, byte for byte as it was sent."""
 
 
 @message(222)
 @dataclass(frozen=True, slots=True)
 class AnnounceCall:
-    """A member tells what it is.
+    """A member's announcement of its address, state and role.
 
-    :param sequence: rises with each announcement of one incarnation of the member
+    :param sequence: increases with each announcement of one incarnation of the member
     """
 
     member: AnnouncedMember
@@ -44,9 +44,9 @@
 @message(223)
 @dataclass(frozen=True, slots=True)
 class WithdrawCall:
-    """A member tells that it ends.
+    """A member's withdrawal, as it shuts down.
 
-    :param started_at_ms: of the incarnation that ends; 0 when it does not tell
+    :param started_at_ms: start time of the withdrawing incarnation; 0 if not reported
     """
 
     identity: str
@@ -56,9 +56,9 @@
 @message(227)
 @dataclass(frozen=True, slots=True)
 class AwaitMembershipCall:
-    """A controller that is no member waits to be added; any controller answers it.
+    """A controller outside the cluster asks to be added; any controller answers.
 
-    :param identity: of the controller, with the incarnation of its data folder
+    :param identity: identity of the controller, with the incarnation of its data folder
     :param address: where the other controllers reach it (``ip:port``)
     """
 
@@ -74,13 +74,12 @@
 class CallAnswer:
     """The answer to a call.
 
-    :param code: number of a result code, 0 when the call was carried out
-    :param version: of the declaration in force, for calls on it
-    :param document: for ``ReadDeclarationCall``
-    :param leader: internal address of the leader, as the answering controller knows it
-        (``ip:port``)
-    :param members: for ``AwaitMembershipCall``: the members of the cluster
-    :param retry_after_ms: for ``AwaitMembershipCall``: when to call again
+    :param code: number of a result code; 0 on success
+    :param version: version of the declaration in force, for calls on declarations
+    :param document: the declaration, for ``ReadDeclarationCall``
+    :param leader: internal address of the leader, as far as the responder knows (``ip:port``)
+    :param members: the members of the cluster, for ``AwaitMembershipCall``
+    :param retry_after_ms: delay before the next call, for ``AwaitMembershipCall``
     """
 
     code: int = 0
@@ -95,7 +94,7 @@
 @message(225)
 @dataclass(frozen=True, slots=True)
 class ForwardedCall:
-    """A call on its way to the leader; ``number`` is unique on its link."""
+    """A call forwarded to the leader; ``number`` is unique on the link."""
 
     number: int
     call: DeclareCall | ReadDeclarationCall | AnnounceCall | WithdrawCall | AwaitMembershipCall
