--- a/limedyke/messages/codec.py
+++ b/limedyke/messages/codec.py
@@ -1,7 +1,7 @@
 """Codec of the internal protocol: ormsgpack of ``[kind, fields]``.
 
-Decoding checks every field against its annotation with pydantic, so that a
-damaged or foreign message is an error here and never further in.
+Decoding validates every field against its annotation with pydantic, so a damaged or foreign
+message is rejected here.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 def encode(message: object) -> bytes:
     """Return the bytes of a registered message.
 
-    :raises KeyError: when the class is not registered
+    :raises KeyError: if the class is not registered
     """
     return ormsgpack.packb((KIND_BY_CLASS[type(message)], message))
 
