--- a/limedyke/messages/control.py
+++ b/limedyke/messages/control.py
@@ -1,10 +1,9 @@
 """Messages between proxies and controllers.  Kinds 20-59.
 
-A proxy dials a controller and sends ``ProxyHello``.  A controller without the
-leader lease answers ``NotLeader``.  The leader answers ``ControlSnapshot`` or
-``ControlUpdate`` messages that bring the proxy from its revision to the
-present, then one ``QuorumStamp`` per heartbeat interval.  The proxy sends one
-``ProxyHeartbeat`` per interval and ``MemberReport`` only on change.
+A proxy dials a controller and sends ``ProxyHello``.  A controller without the leader lease answers
+``NotLeader``.  The leader answers with ``ControlSnapshot`` or ``ControlUpdate`` messages that bring
+the proxy up to date, then sends one ``QuorumStamp`` per heartbeat.  The proxy sends one
+``ProxyHeartbeat`` per interval, and a ``MemberReport`` on each change.
 """
 
 from __future__ import annotations
@@ -18,7 +17,7 @@
 
 
 class MemberHealth(enum.StrEnum):
-    """What an observer sees of a member."""
+    """The health of a member as observed by a proxy."""
 
     REACHABLE = "reachable"
     SATURATED = "saturated"
@@ -26,7 +25,7 @@
 
 
 class ProxyState(enum.StrEnum):
-    """Membership state of a proxy; ``SUSPECTED`` is silent and holds no home duty meanwhile."""
+    """Membership state of a proxy; a ``SUSPECTED`` proxy is silent and has no home duty."""
 
     SERVING = "serving"
     SUSPECTED = "suspected"
@@ -37,16 +36,16 @@
 @message(20)
 @dataclass(frozen=True, slots=True)
 class GroupPrimary:
-    """The primary of a group as the controllers recorded it.
+    """The primary of a group as recorded by the controllers.
 
-    :param term: term of the group's log; grows with each promotion
-    :param primary: member name, or empty while a promotion is under way
+    :param term: term of the group's log; increases with each promotion
+    :param primary: member name; empty during a promotion
     :param switching_over: a planned switchover follows: hold new writes, let open ones finish,
         then send ``WritesPaused``
-    :param fence: index of the log entry that granted the term; 0 when no promotion was begun.
-        It rises over all terms, groups and leaders
-    :param started_at_ms: of the incarnation that leads, where members tell it: a later one holds
-        nothing of its log
+    :param fence: index of the log entry that granted the term; 0 if no promotion has begun.
+        It increases over all terms, groups and leaders
+    :param started_at_ms: start time of the incarnation that leads, if reported; a later incarnation
+        has lost its log
     """
 
     group: str
@@ -60,10 +59,10 @@
 @message(21)
 @dataclass(frozen=True, slots=True)
 class ProxyRecord:
-    """A proxy known to the controllers; ``address`` takes forwarded requests (``ip:port``).
+    """A proxy known to the controllers; it accepts forwarded requests at ``address`` (``ip:port``).
 
     :param folder_id: see ``ProxyHello``
-    :param region: empty when not known: zones are then all equally far
+    :param region: empty if unknown; all zones are then treated as equally distant
     """
 
     name: str
@@ -80,11 +79,11 @@
 class ProxyHello:
     """First message of a proxy.
 
-    :param incarnation: grows at each start of the proxy
-    :param control_index: index of the last control update it has synced; 0 for none
-    :param folder_id: of the data folder, which one process at a time can lock: an earlier
-        incarnation on the same folder has ended and holds nothing any more.  Without a folder
-        it is made from the address at which the process listens, to the same effect
+    :param incarnation: increases at each start of the proxy
+    :param control_index: index of the last control update synced to disk; 0 for none
+    :param folder_id: id of the data folder, which only one process at a time can lock: an earlier
+        incarnation on the same folder has ended and holds no leases.  Without a folder, the id is
+        derived from the process's listening address, which is equally exclusive
     """
 
     name: str
@@ -108,9 +107,9 @@
 @message(24)
 @dataclass(frozen=True, slots=True)
 class ControlSnapshot:
-    """The whole state a proxy needs, at ``control_index`` of the controllers' log.
+    """The complete state a proxy needs, at ``control_index`` of the controllers' log.
 
-    :param controllers: addresses of the controllers; empty when the log holds none
+    :param controllers: addresses of the controllers; empty if the log holds none
     """
 
     control_index: int
@@ -128,8 +127,8 @@
 class ControlUpdate:
     """A change from ``base_index`` to ``control_index``.
 
-    Removals go first, then whole items replace those of one name.  With a removed group
-    its primary goes too.  Equal indexes say that there is nothing new.
+    Removals are applied first, then each item replaces the one of the same name.  Removing a group
+    removes its primary too.  Equal indexes mean that there is no change.
     """
 
     base_index: int
@@ -158,8 +157,8 @@
 class ConnectionLease:
     """Connections a proxy may hold to each member of a group for a tenant.
 
-    An empty tenant is the proxy's share for probes.  The lease ends
-    ``duration_ms`` after the proxy sent the heartbeat that it answers.
+    An empty tenant stands for the proxy's share for probes.  Leases expire ``lease_duration_ms`` of
+    the last ``QuorumStamp`` after the proxy sent the heartbeat that it answers.
     """
 
     group: str
@@ -168,29 +167,29 @@
 
 
 MEMBER_SEPARATOR = "@"
-"""In the tenant of a lease: the connections are to one member only. No tenant's name holds it."""
+"""Separates tenant and member in leases for a single member. Tenant names never contain it."""
 
 
 def member_budget(tenant: str, member: str) -> str:
-    """Return what stands for a tenant in leases of connections to one member alone."""
+    """Return the ``tenant`` field of leases of connections to a single member."""
     return f"{tenant}{MEMBER_SEPARATOR}{member}"
 
 
 def member_of_budget(tenant: str) -> str:
-    """Return the member whose connections a lease is for; empty when it is for each member."""
+    """Return the member that a lease is limited to; empty if it applies to every member."""
     return tenant.partition(MEMBER_SEPARATOR)[2]
 
 
 @message(38)
 @dataclass(frozen=True, slots=True)
 class ConnectionDemand:
-    """How many connections a home proxy has use for at a member.
+    """A home proxy's demand for connections to a member.
 
-    :param connections: the most lately in use and waited for at once, or, where a connection serves
-        one tenant, as many as tenants had requests lately, if that is more
-    :param under_way: connections in use at this moment
-    :param waiting: requests that wait for one at this moment
-    :param turned_away: connections that the member did not take, since the proxy started
+    :param connections: recent maximum of connections in use plus requests waiting; if connections
+        serve a single tenant each, at least the number of tenants with recent requests
+    :param under_way: connections currently in use
+    :param waiting: requests currently waiting for a connection
+    :param turned_away: connections refused by the member since the proxy started
     """
 
     group: str
@@ -206,10 +205,11 @@
 class ProxyHeartbeat:
     """Sent each interval; its answer renews the leases and proves a live quorum.
 
-    :param sequence: grows by one; echoed in ``QuorumStamp``
-    :param control_index: last update synced and in force
-    :param leases: sent only after (re)connecting, to let a new leader take them over
-    :param demands: those that changed much, all after (re)connecting; None where none is told
+    :param sequence: increases by one; echoed in ``QuorumStamp``
+    :param control_index: last update synced to disk and in force
+    :param leases: sent only after (re)connecting, so that a new leader can adopt them
+    :param demands: demands that changed considerably, or all after (re)connecting; None if the proxy
+        does not report demand
     """
 
     sequence: int
@@ -226,11 +226,11 @@
 class QuorumStamp:
     """Answer to a heartbeat, sent only under the leader lease.
 
-    :param controller_term: term of the controllers' agreement
-    :param stamp: advances only with the assent of a quorum of controllers
+    :param controller_term: term of the controllers' consensus
+    :param stamp: advances only when a quorum of controllers confirms the leader
     :param lease_duration_ms: counted by the proxy from the send time of heartbeat ``sequence``
-    :param primary_lease_ms: counted alike: for so long no promotion begins that the proxy was
-        not told of, so the recorded primaries are the only ones; 0 promises nothing
+    :param primary_lease_ms: counted likewise; until then no promotion begins without notice to the
+        proxy, so the recorded primaries are the only ones; 0 gives no such guarantee
     """
 
     sequence: int
@@ -244,7 +244,7 @@
 @message(29)
 @dataclass(frozen=True, slots=True)
 class LeaseUpdate:
-    """Leases that changed for this proxy; the others stay. ``connections`` 0 takes one back."""
+    """The changed leases of this proxy; others are unaffected. ``connections`` 0 revokes a lease."""
 
     leases: tuple[ConnectionLease, ...]
 
@@ -260,12 +260,12 @@
 @message(31)
 @dataclass(frozen=True, slots=True)
 class MemberReport:
-    """What a home proxy sees of a member; sent on change and after reconnecting.
+    """A home proxy's observation of a member; sent on change and after reconnecting.
 
-    :param term: term the member exposed last; 0 unknown
-    :param position: log position in bytes; 0 unknown
-    :param is_primary: it leads, as far as the observer knows
-    :param started_at_ms: of the incarnation that was seen; 0 where members do not tell it
+    :param term: last term that the member exposed; 0 if unknown
+    :param position: log position in bytes; 0 if unknown
+    :param is_primary: whether the observer considers it the primary
+    :param started_at_ms: start time of the observed incarnation; 0 if members do not report it
     """
 
     group: str
@@ -280,15 +280,15 @@
 @message(32)
 @dataclass(frozen=True, slots=True)
 class PromoteOrder:
-    """The leader asks a home proxy to promote a member of the group under ``term``.
+    """Orders a home proxy to promote a member of the group under ``term``.
 
-    The executor first gets a majority of members to promise the term, then
-    promotes the most advanced of those that promised.
+    The executor first gets a majority of members to promise the term, then promotes the most
+    advanced of them.
 
-    :param preferred: member to choose among the equally advanced; empty for any
-    :param planned: the preferred member follows a primary that works: it is chosen whenever
-        it holds all that was acknowledged, also when the old primary's log is longer
-    :param timeout_ms: how long the order may take; 0 for the executor's usual time
+    :param preferred: member to prefer among equally advanced ones; empty for any
+    :param planned: the current primary works, and the preferred member is to replace it. It is
+        chosen if it holds all acknowledged commits, even if the old primary's log is longer
+    :param timeout_ms: timeout of the order; 0 for the executor's default
     """
 
     group: str
@@ -301,7 +301,7 @@
 @message(33)
 @dataclass(frozen=True, slots=True)
 class PromoteResult:
-    """Answer to ``PromoteOrder``; ``primary`` is empty when it failed, for ``reason``."""
+    """Answer to ``PromoteOrder``; on failure ``primary`` is empty and ``reason`` is set."""
 
     group: str
     term: int
@@ -312,7 +312,7 @@
 @message(34)
 @dataclass(frozen=True, slots=True)
 class ProxyLeaving:
-    """The proxy drains: it takes no new session and holds no leases once ``done``."""
+    """The proxy drains: it accepts no new sessions, and holds no leases once ``done``."""
 
     done: bool
 
@@ -329,7 +329,7 @@
 @message(36)
 @dataclass(frozen=True, slots=True)
 class ProxyRefused:
-    """The proxy may not connect now: a numbered code, why, and when to try again."""
+    """Refuses a proxy's connection, with a result code, the reason and a retry delay."""
 
     code: int
     detail: str
@@ -339,10 +339,10 @@
 @message(37)
 @dataclass(frozen=True, slots=True)
 class ControlTarget:
-    """Sent before a snapshot that is not the newest: updates up to ``control_index`` follow it.
+    """Sent before an outdated snapshot; updates up to ``control_index`` follow the snapshot.
 
-    The proxy may have had a newer state in force than that snapshot, before it lost its disk, so
-    it puts nothing in force that is older than this.
+    A proxy that lost its disk may have applied a newer state than the snapshot before, so it must
+    not apply any state older than ``control_index``.
     """
 
     control_index: int
