--- a/limedyke/messages/control_entries.py
+++ b/limedyke/messages/control_entries.py
@@ -1,8 +1,7 @@
 """Entries of the controllers' replicated log that change the control state.  Kinds 150-189.
 
-Each entry is applied on every controller with the same outcome: whatever
-depends on a clock or on the leader's knowledge is written into the entry.
-Times are Unix seconds by the leader's clock.
+Applying an entry has the same outcome on every controller: any value that depends on a clock or on
+the leader's memory is part of the entry.  Times are Unix seconds by the leader's clock.
 """
 
 from __future__ import annotations
@@ -29,7 +28,7 @@
 @message(150)
 @dataclass(frozen=True, slots=True)
 class DeclarationChange:
-    """The difference between two declarations; whole items replace those of one name."""
+    """The difference between two declarations; each item replaces the one of the same name."""
 
     tenants: tuple[Tenant, ...] = ()
     removed_tenants: tuple[str, ...] = ()
@@ -45,9 +44,9 @@
 @message(151)
 @dataclass(frozen=True, slots=True)
 class RecordPlan:
-    """Keep a plan until it is confirmed or expires.
+    """Record a plan until it is confirmed or expires.
 
-    :param changes: the lines shown to the operator
+    :param changes: the descriptions shown to the operator
     """
 
     request_id: str
@@ -63,7 +62,7 @@
 @message(152)
 @dataclass(frozen=True, slots=True)
 class ConfirmPlan:
-    """Bring a plan into force when its base revision is still the one in force."""
+    """Apply a plan if its base revision is still the one in force."""
 
     request_id: str
     operator: str
@@ -84,7 +83,7 @@
 @message(154)
 @dataclass(frozen=True, slots=True)
 class GrantTerms:
-    """Raise the terms of groups whose primary is to be replaced; they have none meanwhile."""
+    """Raise the terms of groups to replace their primaries; they have none until the next record."""
 
     grants: tuple[TermGrant, ...]
 
@@ -107,7 +106,7 @@
 @message(156)
 @dataclass(frozen=True, slots=True)
 class RecordPrimaries:
-    """Record the primaries that promotions, or the groups themselves, made."""
+    """Record the primaries that were promoted by the controllers or exposed by the groups."""
 
     changes: tuple[PrimaryChange, ...]
 
@@ -117,9 +116,9 @@
 class BeginSwitchover:
     """Announce a planned change of primary, so that writes pause before the term rises.
 
-    :param request_id: the operator's request; empty when the leader acts on a declaration
-    :param target: member that is to become the primary
-    :param confirmed_at: 0 when the leader acts on a declaration
+    :param request_id: the operator's request; empty if the leader acts on a declaration
+    :param target: the member to become the primary
+    :param confirmed_at: 0 if the leader acts on a declaration
     """
 
     request_id: str
@@ -133,7 +132,7 @@
 @message(158)
 @dataclass(frozen=True, slots=True)
 class RecordProxies:
-    """Add or change proxies; a lower incarnation than the recorded one changes nothing."""
+    """Add or update proxies; records with an incarnation lower than the recorded one are ignored."""
 
     proxies: tuple[ProxyRecord, ...]
 
@@ -141,7 +140,7 @@
 @message(159)
 @dataclass(frozen=True, slots=True)
 class ProxyIncarnation:
-    """One life of a proxy."""
+    """An incarnation of a proxy."""
 
     name: str
     incarnation: int
@@ -150,7 +149,7 @@
 @message(160)
 @dataclass(frozen=True, slots=True)
 class RemoveProxies:
-    """Forget proxies whose leases have run out; a newer incarnation stays."""
+    """Remove proxies whose leases have expired; newer incarnations are kept."""
 
     proxies: tuple[ProxyIncarnation, ...]
 
@@ -158,7 +157,7 @@
 @message(161)
 @dataclass(frozen=True, slots=True)
 class RecordLimits:
-    """Settings that proxies and controllers must read alike."""
+    """Settings that must be the same on all proxies and controllers."""
 
     home_proxies_per_group: int
 
@@ -166,9 +165,10 @@
 @message(162)
 @dataclass(frozen=True, slots=True)
 class RecordAnswer:
-    """Keep the first answer to an operator's request, an encoded message.
+    """Record the first answer to an operator's request.
 
-    :param operation: what was done, for the history; empty for nothing
+    :param answer: the encoded message
+    :param operation: description of the operation for the history; empty for none
     """
 
     request_id: str
@@ -181,7 +181,7 @@
 @message(163)
 @dataclass(frozen=True, slots=True)
 class ControllerAddress:
-    """Where a controller is reached by the other controllers and by proxies."""
+    """The address at which other controllers and proxies reach a controller."""
 
     name: str
     address: str
@@ -190,7 +190,7 @@
 @message(164)
 @dataclass(frozen=True, slots=True)
 class RecordControllers:
-    """Record or change the addresses of controllers, and forget those that have left."""
+    """Record the addresses of controllers, and remove those that have left."""
 
     controllers: tuple[ControllerAddress, ...]
     removed: tuple[str, ...] = ()
@@ -199,7 +199,7 @@
 @message(165)
 @dataclass(frozen=True, slots=True)
 class DeclareVersion:
-    """Bring a whole declaration into force, if its version is above the one in force.
+    """Apply a complete declaration, if its version is higher than the one in force.
 
     :param document: the declaration as the operator sent it, kept byte for byte
     """
@@ -212,7 +212,7 @@
 @message(169)
 @dataclass(frozen=True, slots=True)
 class EndedIncarnation:
-    """An incarnation of a member that has said that it ends; it and earlier ones are over."""
+    """An incarnation of a member that has withdrawn; earlier ones have ended too."""
 
     identity: str
     started_at_ms: int
@@ -221,9 +221,9 @@
 @message(166)
 @dataclass(frozen=True, slots=True)
 class RecordMembers:
-    """Record what members announced, and forget members that are gone.
+    """Record announced members, and remove others.
 
-    :param ended: incarnations of which nothing is to be believed any more
+    :param ended: incarnations whose later announcements must be ignored
     """
 
     members: tuple[AnnouncedMember, ...]
@@ -250,7 +250,7 @@
 @message(167)
 @dataclass(frozen=True, slots=True)
 class DeclaredVersion:
-    """What applying ``DeclareVersion`` gave: the version now in force."""
+    """The result of ``DeclareVersion``: the version now in force."""
 
     version: int
 
@@ -258,13 +258,13 @@
 @message(168)
 @dataclass(frozen=True, slots=True)
 class MembersRecorded:
-    """The members of an entry are recorded."""
+    """The result of ``RecordMembers``."""
 
 
 @message(170)
 @dataclass(frozen=True, slots=True)
 class PlanRecord:
-    """A plan that waits for its confirmation."""
+    """A plan that awaits its confirmation."""
 
     plan_id: str
     operator: str
@@ -278,7 +278,7 @@
 @message(171)
 @dataclass(frozen=True, slots=True)
 class PlanOutcome:
-    """How a confirmed or superseded plan ended: at a revision, or by a conflict with one."""
+    """The outcome of a plan: the revision that it created, or the one it conflicts with."""
 
     plan_id: str
     revision: int
@@ -289,7 +289,7 @@
 @message(172)
 @dataclass(frozen=True, slots=True)
 class RecordedAnswer:
-    """The first answer to a request; for a plan request only the plan's id is kept."""
+    """The first answer to a request; for a plan request, only the plan's id."""
 
     operator: str
     request_id: str
@@ -300,7 +300,7 @@
 @message(173)
 @dataclass(frozen=True, slots=True)
 class SwitchoverTarget:
-    """The member that an announced switchover is to make the primary."""
+    """The member that a planned switchover is to make the primary."""
 
     group: str
     member: str
@@ -309,9 +309,9 @@
 @message(175)
 @dataclass(frozen=True, slots=True)
 class DisplacedMember:
-    """A member whose address has passed to another one.
+    """A member whose address now belongs to another member.
 
-    :param started_at_ms: of the incarnation that had it; 0 when it was not told
+    :param started_at_ms: start time of the incarnation that had the address; 0 if not reported
     """
 
     identity: str
@@ -322,7 +322,7 @@
 @message(174)
 @dataclass(frozen=True, slots=True)
 class ControlStateSnapshot:
-    """The whole control state at one index of the log."""
+    """The complete control state at one index of the log."""
 
     applied_index: int
     control_index: int
@@ -346,7 +346,7 @@
 
 
 def pack_entry(entry: object) -> bytes:
-    """Return the stored form of an entry or snapshot, compressed when it is large."""
+    """Encode an entry or snapshot for storage, compressed if it is large."""
     data = encode(entry)
     if len(data) <= COMPRESS_ABOVE_BYTES:
         return _PLAIN + data
@@ -354,9 +354,9 @@
 
 
 def recorded_addresses(data: bytes) -> tuple[ControllerAddress, ...]:
-    """Return the addresses of controllers that an entry records, nothing for other entries.
+    """Return the controller addresses that an entry records; empty for other entries.
 
-    Large entries, which are compressed, are none of these and are not unpacked.
+    Entries that record addresses are too small to be compressed, so compressed entries are skipped.
     """
     if data[:1] != _PLAIN:
         return ()
@@ -366,7 +366,7 @@
 
 
 def unpack_entry(data: bytes) -> Result[object, Failure]:
-    """Return the entry or snapshot from its stored form."""
+    """Decode an entry or snapshot from its stored form."""
     body = data[1:]
     if data[:1] == _COMPRESSED:
         try:
