--- a/limedyke/messages/databases.py
+++ b/limedyke/messages/databases.py
@@ -1,4 +1,4 @@
-"""Databases that clients name, and members that announce themselves.  Kinds 200-209."""
+"""Databases that clients connect to, and members that announce themselves.  Kinds 200-209."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 class Consistency(enum.StrEnum):
     """Which commits a read of a database must see.
 
-    ``PRIMARY``: every acknowledged one.  ``BOUNDED``: those acknowledged longer ago than the
-    database's bound.  ``SESSION``: those, and all of the reading session itself.
+    ``PRIMARY``: every acknowledged commit.  ``BOUNDED``: commits acknowledged longer ago than the
+    database's staleness bound.  ``SESSION``: those, and all commits of the reading session.
     """
 
     PRIMARY = "primary"
@@ -21,9 +21,9 @@
 
 
 class MemberState(enum.StrEnum):
-    """Whether an announced member takes new work.
+    """Whether an announced member accepts new work.
 
-    ``UNKNOWN``: a later version's state, read from its records; the member is not used.
+    ``UNKNOWN``: a state introduced by a later version; the member is not used.
     """
 
     READY = "ready"
@@ -32,21 +32,22 @@
 
     @classmethod
     def _missing_(cls, value: object) -> MemberState | None:
-        """Read a name that this version lacks as ``UNKNOWN``; what is no name stays an error."""
+        """Read a name that this version lacks as ``UNKNOWN``; non-string values remain errors."""
         return cls.UNKNOWN if isinstance(value, str) else None
 
 
 @message(200)
 @dataclass(frozen=True, slots=True)
 class Database:
-    """A name that clients open sessions for, and how their statements are served.
-
-    :param statement_timeout_ms: longest time for one statement
-    :param target_latency_ms: time within which an operation should be done
-    :param priority: 0 goes first
-    :param max_staleness_ms: for ``BOUNDED`` and ``SESSION``: age up to which commits may be missed
-    :param maximum_attempts: how often a read may be run
-    :param is_public: clients need no access key, and speak for no tenant
+    """A database that clients open sessions for, and how its statements are served.
+
+    :param statement_timeout_ms: timeout of one statement
+    :param target_latency_ms: target for the duration of an operation
+    :param priority: 0 is the most urgent
+    :param max_staleness_ms: for ``BOUNDED`` and ``SESSION``, the age up to which commits may be
+        missed
+    :param maximum_attempts: maximum number of executions of a read
+    :param is_public: clients need no access key and belong to no tenant
     """
 
     name: str
@@ -63,7 +64,7 @@
 @message(201)
 @dataclass(frozen=True, slots=True)
 class SessionLimits:
-    """Limits of the sessions of all databases; times in milliseconds, 0 for none."""
+    """Session limits for all databases; times in milliseconds, 0 for no limit."""
 
     idle_in_transaction_ms: int = 0
 
@@ -74,15 +75,15 @@
 @message(202)
 @dataclass(frozen=True, slots=True)
 class AnnouncedMember:
-    """What a member of a group last said of itself.
+    """The last announcement of a group member.
 
-    :param identity: unique; an address may pass to another member
+    :param identity: unique, unlike the address, which may pass to another member
     :param address: ``ip:port``
-    :param capacity: statements it executes at once
-    :param is_primary: how it sees itself
-    :param started_at_ms: when it started, Unix milliseconds by its own clock: a member that starts
-        again under its identity is another incarnation, which holds nothing of the one before; 0
-        where members do not tell it
+    :param capacity: maximum number of concurrent statements
+    :param is_primary: whether it considers itself the primary
+    :param started_at_ms: start time in Unix milliseconds by the member's clock. A member that
+        restarts under its identity is a new incarnation with an empty log; 0 if members do not
+        report it
     """
 
     identity: str
