--- a/limedyke/messages/declaration.py
+++ b/limedyke/messages/declaration.py
@@ -1,8 +1,7 @@
 """Declared configuration as typed values: tenants, groups and timing.
 
-These are the forms kept in the controllers' log and sent to proxies.  The
-YAML that operators write is checked in ``limedyke.declaration.file`` and
-turned into these.  Kinds 1-9.
+These types are stored in the controllers' log and sent to proxies.  The YAML that operators write
+is validated and converted in ``limedyke.declaration.file``.  Kinds 1-9.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 
 
 class Priority(enum.IntEnum):
-    """Order in which waiting requests get a connection; lower goes first."""
+    """Priority of waiting requests for connections; lower values go first."""
 
     ALERT = 0
     INTERACTIVE = 1
@@ -25,7 +24,7 @@
 class PromotionMode(enum.StrEnum):
     """Who promotes a new primary after a failure.
 
-    ``AUTHORITY``: the leading controller asks an authority outside, under a fencing number.
+    ``AUTHORITY``: the leading controller calls an external authority with a fencing number.
     """
 
     CONTROLLERS = "controllers"
@@ -50,15 +49,16 @@
 class Tenant:
     """A tenant: its logins and its limits at the proxies.
 
-    :param max_staleness_ms: oldest data a read may see; 0 means only the session's own writes bind
+    :param max_staleness_ms: maximum age of data that a read may see; with 0, a read must only see
+        the session's own writes
     :param client_limit: client connections per proxy
-    :param access_keys: digests of the keys by which its clients are known where there are no
-        logins; no two tenants hold the same
-    :param operations_per_minute: that it may run over all proxies; 0 for no limit
-    :param operation_burst: those that it may run at once after a rest
-    :param operation_urgent_percent: part of the burst kept for operations of priority 0
-    :param operation_wait_ms: for how long an operation may wait for a token where no target latency
-        is declared; 0 to refuse it at once
+    :param access_keys: digests of the keys that identify its clients where there are no logins;
+        unique across tenants
+    :param operations_per_minute: rate limit over all proxies; 0 for no limit
+    :param operation_burst: burst size of the rate limit
+    :param operation_urgent_percent: part of the burst reserved for operations of priority 0
+    :param operation_wait_ms: how long an operation may wait for a token if no target latency is
+        declared; 0 to refuse it at once
     """
 
     name: str
@@ -76,7 +76,7 @@
 @message(3)
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A back end of a group; ``address`` is ``ip:port``; ``leaving`` is a declared drain."""
+    """A member of a group; ``address`` is ``ip:port``; ``leaving`` declares that it drains."""
 
     name: str
     address: str
@@ -87,7 +87,7 @@
 @message(4)
 @dataclass(frozen=True, slots=True)
 class TenantAccess:
-    """What a tenant may use of a group.
+    """A tenant's access to a group.
 
     :param connection_budget: back-end connections per member, over all proxies
     :param weight: share of the slots when tenants compete
@@ -105,7 +105,7 @@
 @message(9)
 @dataclass(frozen=True, slots=True)
 class MemberCap:
-    """An operator's bound on the connections to one member, over all proxies."""
+    """An operator's limit on the connections to one member, over all proxies."""
 
     member: str
     connections: int
@@ -117,12 +117,12 @@
     """A database group: its members and limits.
 
     :param connection_limit: connections each member accepts from all proxies together
-    :param slots: statements a member executes at once
+    :param slots: maximum number of concurrent statements at a member
     :param admin_secret: secret of the ``limedyke_admin`` login used for probes and promotion
-    :param announced: its members are not declared but announce themselves
-    :param synchronous_replicas: how many replicas hold a commit before it is acknowledged
-    :param member_caps: of announced members, by operators; a declaration that comes by its version
-        tells none and leaves them as they are
+    :param announced: members announce themselves instead of being declared
+    :param synchronous_replicas: number of replicas that must hold a commit before it is acknowledged
+    :param member_caps: operators' connection limits for announced members. A declaration that is
+        applied by version contains none and leaves them unchanged
     """
 
     name: str
@@ -140,7 +140,10 @@
 @message(6)
 @dataclass(frozen=True, slots=True)
 class TokenKey:
-    """A session-token signing key: the newest signs, all listed verify; key bytes are a secret."""
+    """A signing key for session tokens: the newest key signs, all listed keys verify.
+
+    :param secret: name of the secret that holds the key bytes
+    """
 
     key_id: int
     secret: str
@@ -149,7 +152,7 @@
 @message(7)
 @dataclass(frozen=True, slots=True)
 class ProxyIntent:
-    """A declared state of a proxy; ``draining`` asks it to leave service."""
+    """The declared state of a proxy; ``draining`` asks it to leave service."""
 
     name: str
     draining: bool = False
@@ -158,7 +161,7 @@
 @message(8)
 @dataclass(frozen=True, slots=True)
 class Declaration:
-    """The whole declared configuration at one revision."""
+    """The complete declared configuration at one revision."""
 
     tenants: tuple[Tenant, ...] = ()
     groups: tuple[Group, ...] = ()
