--- a/limedyke/messages/handshake.py
+++ b/limedyke/messages/handshake.py
@@ -1,4 +1,4 @@
-"""Messages that open a link: both sides prove knowledge of a key.  Kinds 10-19."""
+"""Messages that open a link; both sides prove that they know a shared key.  Kinds 10-19."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PeerRole(enum.StrEnum):
-    """What a process is towards its peer; a forwarder is a controller that passes calls on."""
+    """The role of a process on a link; a forwarder is a controller that forwards calls."""
 
     CONTROLLER = "controller"
     PROXY = "proxy"
@@ -22,13 +22,13 @@
 @message(10)
 @dataclass(frozen=True, slots=True)
 class LinkHello:
-    """Opens a link, in both directions.
+    """Opens a link; sent by both sides.
 
     :param nonce: 16 random bytes
-    :param compresses: the sender takes messages that are compressed against those before them; a
-        process of an earlier version doesn't say so, and ignores the field
-    :param zone: where the sender runs, empty when it doesn't say
-    :param region: the same
+    :param compresses: the sender accepts messages compressed with the preceding ones as the
+        dictionary; earlier versions do not set the field, and ignore it
+    :param zone: the sender's zone; empty if not set
+    :param region: the sender's region; empty if not set
     :param answers_probes: the sender answers ``LinkProbe`` on any link
     """
 
@@ -53,7 +53,7 @@
 @message(12)
 @dataclass(frozen=True, slots=True)
 class LinkRefused:
-    """The peer is not accepted; ``code`` is a result code number."""
+    """Refuses the link; ``code`` is the number of a result code."""
 
     code: int
     detail: str
