--- a/limedyke/messages/limits.py
+++ b/limedyke/messages/limits.py
@@ -1,4 +1,4 @@
-"""Tenants' limits of operations: what proxies ask the leading controller for.  Kinds 230-239."""
+"""Rate limits on tenants' operations: proxies' requests to the leader.  Kinds 230-239."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 @message(234)
 @dataclass(frozen=True, slots=True)
 class OperationsOfPriority:
-    """Those of a demand's operations that are equally urgent.
+    """The operations of one priority in a demand.
 
-    :param priority: 0 goes first
-    :param wait_ms: for how long they may wait for a token
+    :param priority: 0 is the most urgent
+    :param wait_ms: how long they may wait for a token
     """
 
     priority: int
@@ -24,11 +24,11 @@
 @message(230)
 @dataclass(frozen=True, slots=True)
 class OperationDemand:
-    """What a proxy wants to run for a tenant.
+    """A proxy's demand for operations of a tenant.
 
-    :param operations: that wait to run now
-    :param ahead: that are likely to come soon; granted only while there is plenty
-    :param by_priority: the operations, the most urgent first; empty when not told
+    :param operations: operations that wait to run now
+    :param ahead: operations expected soon; granted only while tokens are plentiful
+    :param by_priority: the operations by priority, the most urgent first; empty if not reported
     """
 
     tenant: str
@@ -40,12 +40,13 @@
 @message(236)
 @dataclass(frozen=True, slots=True)
 class OperationReport:
-    """What a proxy ran for a tenant, told to a leader that has not heard it before.
+    """A proxy's recent operations for a tenant, reported to a new leader.
 
-    :param granted: operations granted to it, or run without a leader, in each slot of time of
-        ``core/limits/use_window.py``; the present slot first
-    :param alone_per_minute: what it may run while it can't ask, as the leader before said
-    :param alone_of_per_minute: what all proxies together may run then, as that one said
+    :param granted: operations granted to the proxy, or run without a leader, in each time slot of
+        ``core/limits/use_window.py``; the current slot first
+    :param alone_per_minute: rate allowed to the proxy while it has no leader, as set by the previous
+        leader
+    :param alone_of_per_minute: the same rate for all proxies together
     """
 
     tenant: str
@@ -57,11 +58,11 @@
 @message(231)
 @dataclass(frozen=True, slots=True)
 class OperationsRequest:
-    """Asks for operations of several tenants at once.
+    """Requests operations for several tenants.
 
-    :param number: grows by one with each message of a proxy
-    :param reports: with the first message on a link
-    :param running_ms: for how long the process has been running, told likewise; 0 when not told
+    :param number: increases by one with each message of a proxy
+    :param reports: sent with the first message on a link
+    :param running_ms: process uptime, sent with the first message on a link; otherwise 0
     """
 
     number: int
@@ -73,10 +74,10 @@
 @message(235)
 @dataclass(frozen=True, slots=True)
 class RetryTime:
-    """When refused operations of a priority may be asked for again.
+    """When refused operations of a priority may be requested again.
 
-    :param after_ms: the first of them
-    :param step_ms: each further one so much later: tokens come one by one
+    :param after_ms: delay of the first operation
+    :param step_ms: additional delay of each further one, as tokens arrive one by one
     """
 
     priority: int
@@ -87,17 +88,17 @@
 @message(232)
 @dataclass(frozen=True, slots=True)
 class OperationGrant:
-    """What a proxy may run for a tenant.
-
-    :param operations: no more than was asked for, ahead included
-    :param retry_after_ms: when the rest may be granted; 0 when all was
-    :param alone_per_minute: the proxy's share of the limit, which it may run while it can't ask
-    :param waits_ms: of further operations, each may run so long after this answer; ascending
-    :param returns: for those refused whose priority was told
-    :param alone_of_per_minute: what all proxies together may run while they can't ask; 0 when not
-        told
-    :param alone_tenths: what the proxy may run at once then, before its share comes, in tenths of
-        an operation
+    """Operations granted to a proxy for a tenant.
+
+    :param operations: number granted, at most the requested ones including those ahead
+    :param retry_after_ms: when the rest may be granted; 0 if all were granted
+    :param alone_per_minute: the proxy's share of the limit, allowed while it has no leader
+    :param waits_ms: delays after this answer at which further operations may run; ascending
+    :param returns: retry times of refused operations whose priority was reported
+    :param alone_of_per_minute: rate allowed to all proxies together without a leader; 0 if not
+        reported
+    :param alone_tenths: operations that the proxy may run immediately once it has no leader, in
+        tenths of an operation
     """
 
     tenant: str
@@ -113,7 +114,7 @@
 @message(233)
 @dataclass(frozen=True, slots=True)
 class OperationsGranted:
-    """The answer to ``OperationsRequest`` of this number."""
+    """The answer to the ``OperationsRequest`` with this number."""
 
     number: int
     grants: tuple[OperationGrant, ...]
