--- a/limedyke/messages/operator.py
+++ b/limedyke/messages/operator.py
@@ -1,7 +1,7 @@
-"""Messages between the operator's command and a controller.  Kinds 60-89.
+"""Messages between the operator's command-line tool and a controller.  Kinds 60-89.
 
-Every request carries ``request_id``; a request sent again under the same id,
-to this or another controller, gets its first answer.
+Every request carries a ``request_id``. A request that is repeated with the same id, to any
+controller, gets the first answer again.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 @message(60)
 @dataclass(frozen=True, slots=True)
 class PlanRequest:
-    """Ask what would change if ``declaration`` came into force.
+    """Ask what would change if ``declaration`` were applied.
 
-    :param base_revision: revision the operator started from, or -1 for the present one
+    :param base_revision: revision that the operator started from; -1 for the current one
     """
 
     request_id: str
@@ -29,7 +29,7 @@
 @message(61)
 @dataclass(frozen=True, slots=True)
 class PlannedChange:
-    """One line of a plan: ``action`` is add, change or remove; ``effect`` says what it causes."""
+    """One line of a plan; ``action`` is add, change or remove."""
 
     action: str
     item: str
@@ -52,7 +52,7 @@
 @message(63)
 @dataclass(frozen=True, slots=True)
 class ConfirmRequest:
-    """Bring a recorded plan into force."""
+    """Apply a recorded plan."""
 
     request_id: str
     plan_id: str
@@ -61,7 +61,7 @@
 @message(64)
 @dataclass(frozen=True, slots=True)
 class Confirmed:
-    """The plan is in the controllers' log at ``revision``; ``control_index`` is its place there."""
+    """The plan is committed as ``revision``, at ``control_index`` of the controllers' log."""
 
     request_id: str
     plan_id: str
@@ -72,7 +72,7 @@
 @message(65)
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A refusal: a numbered code, detail, and for conflicts the revision that won."""
+    """A refusal with a result code; for conflicts, ``revision`` is the one that was confirmed first."""
 
     request_id: str
     code: int
@@ -85,7 +85,7 @@
 @message(66)
 @dataclass(frozen=True, slots=True)
 class StatusRequest:
-    """Ask for the state of the whole system."""
+    """Ask for the state of the system."""
 
     request_id: str
 
@@ -93,7 +93,7 @@
 @message(67)
 @dataclass(frozen=True, slots=True)
 class ProxyStatus:
-    """A proxy as the leader sees it; ``lag`` is how many revisions it is behind."""
+    """A proxy as seen by the leader; ``lag`` is the number of revisions it is behind."""
 
     proxy: ProxyRecord
     connected: bool
@@ -106,7 +106,7 @@
 @message(68)
 @dataclass(frozen=True, slots=True)
 class ControllerStatus:
-    """A controller as the leader sees it; ``role`` is leader, voter or learner."""
+    """A controller as seen by the leader; ``role`` is leader, voter or learner."""
 
     name: str
     address: str
@@ -118,7 +118,7 @@
 @message(69)
 @dataclass(frozen=True, slots=True)
 class Status:
-    """The state of the whole system, read under the leader lease."""
+    """The state of the system, read under the leader lease."""
 
     request_id: str
     revision: int
@@ -132,7 +132,7 @@
 @message(70)
 @dataclass(frozen=True, slots=True)
 class HistoryRequest:
-    """Ask who confirmed what; the newest ``limit`` entries."""
+    """Ask for the newest ``limit`` entries of the history."""
 
     request_id: str
     limit: int = 50
@@ -143,7 +143,7 @@
 class HistoryEntry:
     """One confirmed change; ``confirmed_at`` is Unix time in seconds by the leader's clock.
 
-    :param plan_id: empty for an operation that makes no revision, such as a switchover
+    :param plan_id: empty for an operation that creates no revision, such as a switchover
     """
 
     revision: int
@@ -183,7 +183,7 @@
 @message(75)
 @dataclass(frozen=True, slots=True)
 class ControllerChangeRequest:
-    """Change the controllers themselves: action is add, promote, remove or replace."""
+    """Change the set of controllers; ``action`` is add, promote, remove or replace."""
 
     request_id: str
     action: str
@@ -195,7 +195,7 @@
 @message(76)
 @dataclass(frozen=True, slots=True)
 class ControllerChanged:
-    """The answer to ``ControllerChangeRequest``; ``state`` says what is under way or done."""
+    """The answer to ``ControllerChangeRequest``; ``state`` describes the progress."""
 
     request_id: str
     state: str
@@ -215,7 +215,7 @@
 @message(78)
 @dataclass(frozen=True, slots=True)
 class SwitchoverAnswer:
-    """The answer to ``SwitchoverRequest``: the plan in words, or the outcome."""
+    """The answer to ``SwitchoverRequest``; ``state`` describes the plan or the outcome."""
 
     request_id: str
     state: str
@@ -224,9 +224,9 @@
 @message(79)
 @dataclass(frozen=True, slots=True)
 class LoadRequest:
-    """Ask who uses the members of a group, or of all groups.
+    """Ask for the load of the members of a group.
 
-    :param group: empty for all
+    :param group: empty for all groups
     """
 
     request_id: str
@@ -236,13 +236,13 @@
 @message(80)
 @dataclass(frozen=True, slots=True)
 class ProxyUse:
-    """What one proxy has of a member, and has use for; the last three as it told them last.
+    """One proxy's use of a member; the last three fields are as last reported by the proxy.
 
-    :param leased: connections to the member that it was granted
-    :param held: those that it may hold at most: more than granted while it gives some back
-    :param wanted: connections that it has use for; -1 when it tells none
+    :param leased: connections to the member granted to the proxy
+    :param held: maximum that it may hold; exceeds ``leased`` until it returns revoked connections
+    :param wanted: its demand for connections; -1 if it does not report demand
     :param under_way: connections in use
-    :param waiting: requests that wait for one
+    :param waiting: requests that wait for a connection
     """
 
     proxy: str
@@ -256,13 +256,13 @@
 @message(81)
 @dataclass(frozen=True, slots=True)
 class MemberLoad:
-    """Who uses one member, as the leader knows it.
+    """The load of one member, as known to the leader.
 
-    :param state: how the member sees itself: ready or draining
-    :param limit: connections that it takes from all proxies together
-    :param held: those that may be open at most
-    :param division: why its connections are divided as they are
-    :param turned_away: connections that it did not take, over all proxies since each began to tell
+    :param state: ready or draining as announced by the member, or declared
+    :param limit: connections that it accepts from all proxies together
+    :param held: maximum number of connections that may be open
+    :param division: explains how its connections are divided
+    :param turned_away: connections that it refused, over all proxies since each started
     """
 
     group: str
