--- a/limedyke/messages/registry.py
+++ b/limedyke/messages/registry.py
@@ -1,4 +1,4 @@
-"""Registry of internal message types: a stable kind number for each class."""
+"""Registry of internal message types, with a stable kind number for each class."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """Register a frozen dataclass as an internal message.
 
     :param kind: stable number, never reused for another class
-    :raises ValueError: when the number is taken by another class
+    :raises ValueError: if the number is taken by another class
     """
 
     def register(cls: MessageType) -> MessageType:
