--- a/limedyke/messages/statements.py
+++ b/limedyke/messages/statements.py
@@ -1,4 +1,4 @@
-"""Statements of clients and their answers, whatever protocol carries them.  Kinds 210-219."""
+"""Client statements and their answers, independent of the client protocol.  Kinds 210-219."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class StatementKind(enum.StrEnum):
-    """What a statement asks for."""
+    """The kind of a statement."""
 
     BEGIN = "begin"
     BEGIN_READ = "begin-read"
@@ -31,10 +31,10 @@
     """A statement as a client sent it.
 
     :param request_id: the client's identifier of this attempt
-    :param text: the statement byte for byte, each byte as the character of its number
-    :param name: of the setting or prepared statement
-    :param value: of the setting; the shape of a prepared statement; the arguments of an execution
-    :param writes: for ``PREPARE``: the prepared statement writes
+    :param text: the raw statement, decoded as Latin-1
+    :param name: name of the setting or prepared statement
+    :param value: value of the setting, shape of the prepared statement, or arguments of the execution
+    :param writes: for ``PREPARE``, whether the prepared statement writes
     """
 
     request_id: str
@@ -48,12 +48,12 @@
 @message(211)
 @dataclass(frozen=True, slots=True)
 class StatementAnswer:
-    """What a client is told.
+    """The answer to a client.
 
-    :param code: number of a result code; 0 when the statement is done
-    :param detail: about this occurrence, without secrets
-    :param retry_after_ms: when to come back; 0 when not known
-    :param signature: a member's, or ``-`` for an answer of the proxy's own
+    :param code: number of a result code; 0 on success
+    :param detail: details of this occurrence, without secrets
+    :param retry_after_ms: delay before a retry; 0 if unknown
+    :param signature: the member's signature, or ``-`` if the proxy itself answers
     """
 
     code: int = 0
@@ -64,9 +64,9 @@
 
 
 class AnswerKind(enum.StrEnum):
-    """What a member's answer says of a statement.
+    """The outcome of a statement at a member.
 
-    ``LOST``: it was sent, and the connection broke.  ``NOT_SENT``: the connection broke before.
+    ``LOST``: the connection broke after sending.  ``NOT_SENT``: it broke before sending.
     """
 
     DONE = "done"
@@ -97,16 +97,16 @@
         AnswerKind.NOT_SENT,
     }
 )
-"""Answers that say that the statement did not run."""
+"""Outcomes that prove that the statement did not run."""
 
 
 @message(212)
 @dataclass(frozen=True, slots=True)
 class MemberAnswer:
-    """A member's whole answer to one statement.
+    """A member's complete answer to one statement.
 
-    :param status: of the connection's transaction afterwards
-    :param position: of the member's log, None when it was not told
+    :param status: state of the connection's transaction afterwards
+    :param position: position of the member's log; None if not reported
     """
 
     kind: AnswerKind
@@ -120,10 +120,10 @@
 @message(213)
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """What a member says of itself.
+    """A member's report on itself.
 
-    :param position: the last one it has received
-    :param held_term: the term under which it was told to receive nothing; 0 for none
+    :param position: last log position received
+    :param held_term: term in which it was told to stop receiving; 0 for none
     """
 
     is_primary: bool
@@ -138,7 +138,7 @@
 @message(214)
 @dataclass(frozen=True, slots=True)
 class PreparedShape:
-    """What a prepared name stands for."""
+    """The shape of a prepared statement."""
 
     shape: str
     writes: bool
@@ -147,20 +147,20 @@
 @message(215)
 @dataclass(frozen=True, slots=True)
 class StatementUnit:
-    """A statement that another proxy, a home proxy of the group, is to run.
-
-    :param stream: identifies the unit on its link; unique per link
-    :param transaction: number of the client's open transaction among those of the sending proxy;
-        0 outside one
-    :param database: as the sending proxy knows it, which took the statement from the client
-    :param begin: the statement that began the transaction, with its first statement only
-    :param writes: it must run at the primary
-    :param prepared: what an execution runs
+    """A statement forwarded to a home proxy of the group.
+
+    :param stream: identifies the unit on its link
+    :param transaction: number of the client's open transaction, unique on the sending proxy; 0
+        outside a transaction
+    :param database: the database as known to the sending proxy
+    :param begin: the statement that began the transaction; only with its first statement
+    :param writes: whether it must run at the primary
+    :param prepared: the prepared statement that an execution runs
     :param settings: the session's settings
-    :param written: up to where the session has written; None before its first commit
+    :param written: position of the session's last commit; None before its first one
     :param deadline_ms: time left for waiting and running
-    :param tenant: whom the client speaks for; empty at a public database
-    :param may_decline: the home proxy may leave it to another one while many wait before it
+    :param tenant: the client's tenant; empty for a public database
+    :param may_decline: whether the home proxy may decline it if its queue is long
     """
 
     stream: int
@@ -180,12 +180,12 @@
 @message(217)
 @dataclass(frozen=True, slots=True)
 class HomeLoad:
-    """How long units of a group are expected to wait for a connection at a home proxy.
+    """Expected waiting times for a connection at a home proxy, for units of a group.
 
-    Both by priority, 0 first; the last stands for those after it.
+    Both are listed by priority, 0 first; the last value applies to all lower priorities.
 
-    :param writes_ms: units that need the primary
-    :param reads_ms: units that a replica serves too
+    :param writes_ms: for units that need the primary
+    :param reads_ms: for units that a replica may serve
     """
 
     writes_ms: tuple[int, ...] = ()
@@ -195,11 +195,11 @@
 @message(216)
 @dataclass(frozen=True, slots=True)
 class StatementUnitEnd:
-    """The whole answer to a forwarded statement.
+    """The complete answer to a forwarded statement.
 
-    :param status: of the client's transaction afterwards
-    :param written: up to where the session has written
-    :param load: of the home proxy; None where nothing waits, or it isn't told
+    :param status: state of the client's transaction afterwards
+    :param written: position of the session's last commit
+    :param load: load of the home proxy; None if nothing waits or it is not reported
     """
 
     stream: int
