--- a/limedyke/messages/work.py
+++ b/limedyke/messages/work.py
@@ -1,9 +1,8 @@
-"""A unit of work and its answer, inside a proxy and between proxies.  Kinds 90-99.
+"""Units of work and their answers, inside a proxy and between proxies.  Kinds 90-99.
 
-The client side of a proxy turns each batch of PostgreSQL messages (a simple
-query, or extended messages up to Sync) into a ``WorkUnit``.  The back-end side
-runs it on a member, here or at a home proxy over a link, and answers with
-``AnswerChunk`` messages and one ``AnswerEnd``.
+The client side of a proxy turns each batch of PostgreSQL messages (a simple query, or extended
+messages up to Sync) into a ``WorkUnit``.  The back-end side runs it on a member, locally or at a
+home proxy over a link, and answers with ``AnswerChunk`` messages and one ``AnswerEnd``.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 
 
 class Access(enum.StrEnum):
-    """What the statements of a unit may do."""
+    """Whether the statements of a unit may write."""
 
     READ = "read"
     WRITE = "write"
@@ -33,27 +32,26 @@
 @message(90)
 @dataclass(frozen=True, slots=True, order=True)
 class LogPosition:
-    """A place in a group's history: compared by term, then by position in bytes.
+    """A position in a group's log, ordered by term, then by position in bytes.
 
-    Note that a replica satisfies a required position only when its own term is
-    at least the required term and its position is at least the required one;
-    this is not the ordering of the pair.
+    A replica satisfies a required position only if both its term and its position are at least the
+    required ones; this differs from the ordering of the pair.
     """
 
     term: int = 0
     position: int = 0
 
     def satisfies(self, required: LogPosition) -> bool:
-        """Tell whether data at this place holds all that ``required`` acknowledges."""
+        """Return whether data at this position includes all commits up to ``required``."""
         return self.term >= required.term and self.position >= required.position
 
 
 @message(91)
 @dataclass(frozen=True, slots=True)
 class PreparedStatement:
-    """A named statement that the batch uses and the connection may not know yet.
+    """A named statement that the batch uses, and that may not be prepared on the connection yet.
 
-    :param name: the proxy's own name for the statement at the back end
+    :param name: the proxy's name for the statement at the back end
     """
 
     name: str
@@ -64,9 +62,9 @@
 @message(92)
 @dataclass(frozen=True, slots=True)
 class SessionSetting:
-    """A setting the client made with SET, replayed before its work.
+    """A setting that the client made with SET, applied to the connection before its work.
 
-    :param value: as for ``set_config(name, value, false)``; a list is one text with commas
+    :param value: as for ``set_config(name, value, false)``; lists are comma-separated
     """
 
     name: str
@@ -79,25 +77,25 @@
     """One batch to run on one member.
 
     :param stream: identifies the unit on its link; unique per link
-    :param transaction: non-zero names the open transaction the batch belongs to; the first
-        unit that opens one carries the number too, and stays on one connection until it ends
-    :param required: the position a replica must have reached
-    :param barrier: the session's position is unknown: read at the primary, or after its
-        present position
-    :param repeatable: the unit may run again elsewhere while nothing of its answer was relayed
-    :param once_key: key of a request that runs at most once, or empty
-    :param staleness_ms: oldest data allowed on a replica; 0 for no such bound
+    :param transaction: number of the open transaction that the batch belongs to, or 0; the unit
+        that opens a transaction carries the number too, and the transaction stays on one connection
+    :param required: the position that a replica must have reached
+    :param barrier: the session's position is unknown; read at the primary, or at a replica that has
+        reached the primary's current position
+    :param repeatable: the unit may run again elsewhere until part of its answer has been relayed
+    :param once_key: key of a request that must run at most once, or empty
+    :param staleness_ms: maximum age of data on a replica; 0 for no bound
     :param deadline_ms: time left for waiting and running
-    :param prepared: statements the batch uses by their name; parsed before ``data`` on a
-        connection that doesn't know them, the answers to that not relayed.  An error in it is
-        the answer to the unit.  A client's Parse of a named statement is not in ``data``
-    :param settings: the session's settings at the start of the transaction, set before ``data``
-        on a connection that has others, the answers to that not relayed; not for units inside
-        an open transaction
+    :param prepared: named statements that the batch uses. They are parsed before ``data`` if the
+        connection does not know them; the answers are not relayed, except that an error becomes the
+        answer to the unit.  A client's Parse of a named statement is not in ``data``
+    :param settings: the session's settings at the start of the transaction. They are set before
+        ``data`` if the connection has others, and the answers are not relayed; empty for units
+        inside an open transaction
     :param data: the PostgreSQL messages, ending in one Query or Sync; all answers to them
-        but ReadyForQuery are relayed
-    :param leaves_state: the batch may change settings or other state of its connection: once
-        the transaction has ended, discard all state before the connection serves another unit
+        except ReadyForQuery are relayed
+    :param leaves_state: the batch may change settings or other state of its connection; once the
+        transaction has ended, discard that state before the connection serves another unit
     """
 
     stream: int
@@ -130,15 +128,15 @@
 @message(95)
 @dataclass(frozen=True, slots=True)
 class AnswerEnd:
-    """End of the answer to a unit.
+    """The end of the answer to a unit.
 
     :param status: transaction state after the batch
-    :param position: for writes, a position at or after the commit; for reads, the one read at
+    :param position: for writes, a position at or after the commit; for reads, the position read at
     :param member: the member that served it, or empty
     :param by_replica: whether a replica served it
-    :param code: number of a result code when the proxy refuses or fails the unit, else 0
+    :param code: number of a result code if the proxy refuses or fails the unit, otherwise 0
     :param detail: detail of that code
-    :param retry_after_ms: when to come back, 0 when not known
+    :param retry_after_ms: delay before a retry; 0 if unknown
     """
 
     stream: int
@@ -154,7 +152,7 @@
 @message(96)
 @dataclass(frozen=True, slots=True)
 class AbandonWork:
-    """The client is gone or cancels: stop the unit and roll its transaction back."""
+    """Stop the unit and roll back its transaction: the client disconnected or cancelled."""
 
     stream: int
     transaction: int
@@ -164,7 +162,7 @@
 @message(97)
 @dataclass(frozen=True, slots=True)
 class AnswerCredit:
-    """The receiver of an answer has passed on ``size`` bytes of it and takes as many more."""
+    """Flow control: the receiver of an answer has relayed ``size`` bytes, and accepts as many more."""
 
     stream: int
     size: int
@@ -173,7 +171,7 @@
 @message(98)
 @dataclass(frozen=True, slots=True)
 class LinkProbe:
-    """Asks the other end of a forwarding link for a sign of life, or gives it."""
+    """Probes the other end of a forwarding link, or answers a probe."""
 
     sequence: int
     is_answer: bool
