--- a/limedyke/core/control/group_leases.py
+++ b/limedyke/core/control/group_leases.py
@@ -314,7 +314,7 @@
                     changes[(proxy, key)] = self._change(proxy, key, share.granted)
 
     def _grow_share(self, tenant: str, proxy: str, free: int, most: int) -> int:
-        """Grant connections missing from a share, up to ``most`` in total; return the number granted."""
+        """Grow a share by up to ``free`` connections, to at most ``most``; return the increase."""
         shares = self._shares.setdefault(tenant, {})
         share = shares.get(proxy) or Share()
         missing = min(most, self._wanted(tenant, proxy)) - share.granted
--- a/limedyke/messages/control.py
+++ b/limedyke/messages/control.py
@@ -208,8 +208,8 @@
     :param sequence: increases by one; echoed in ``QuorumStamp``
     :param control_index: last update synced to disk and in force
     :param leases: sent only after (re)connecting, so that a new leader can adopt them
-    :param demands: demands that changed considerably, or all after (re)connecting; None if the proxy
-        does not report demand
+    :param demands: demands that changed considerably, or all after (re)connecting; None if the
+        proxy does not report demand
     """
 
     sequence: int
@@ -244,7 +244,7 @@
 @message(29)
 @dataclass(frozen=True, slots=True)
 class LeaseUpdate:
-    """The changed leases of this proxy; others are unaffected. ``connections`` 0 revokes a lease."""
+    """The changed leases of this proxy; others stay. ``connections`` 0 revokes a lease."""
 
     leases: tuple[ConnectionLease, ...]
 
--- a/limedyke/messages/control_entries.py
+++ b/limedyke/messages/control_entries.py
@@ -83,7 +83,7 @@
 @message(154)
 @dataclass(frozen=True, slots=True)
 class GrantTerms:
-    """Raise the terms of groups to replace their primaries; they have none until the next record."""
+    """Raise the terms of groups to replace their primaries; they have none meanwhile."""
 
     grants: tuple[TermGrant, ...]
 
@@ -132,7 +132,7 @@
 @message(158)
 @dataclass(frozen=True, slots=True)
 class RecordProxies:
-    """Add or update proxies; records with an incarnation lower than the recorded one are ignored."""
+    """Add or update proxies; an incarnation lower than the recorded one is ignored."""
 
     proxies: tuple[ProxyRecord, ...]
 
--- a/limedyke/messages/declaration.py
+++ b/limedyke/messages/declaration.py
@@ -120,7 +120,7 @@
     :param slots: maximum number of concurrent statements at a member
     :param admin_secret: secret of the ``limedyke_admin`` login used for probes and promotion
     :param announced: members announce themselves instead of being declared
-    :param synchronous_replicas: number of replicas that must hold a commit before it is acknowledged
+    :param synchronous_replicas: replicas that must hold a commit before it is acknowledged
     :param member_caps: operators' connection limits for announced members. A declaration that is
         applied by version contains none and leaves them unchanged
     """
--- a/limedyke/messages/handshake.py
+++ b/limedyke/messages/handshake.py
@@ -25,8 +25,8 @@
     """Opens a link; sent by both sides.
 
     :param nonce: 16 random bytes
-    :param compresses: the sender accepts messages compressed with the preceding ones as the
-        dictionary; earlier versions do not set the field, and ignore it
+    :param compresses: the sender accepts messages compressed against the preceding ones;
+        earlier versions do not set the field, and ignore it
     :param zone: the sender's zone; empty if not set
     :param region: the sender's region; empty if not set
     :param answers_probes: the sender answers ``LinkProbe`` on any link
--- a/limedyke/messages/limits.py
+++ b/limedyke/messages/limits.py
@@ -44,8 +44,8 @@
 
     :param granted: operations granted to the proxy, or run without a leader, in each time slot of
         ``core/limits/use_window.py``; the current slot first
-    :param alone_per_minute: rate allowed to the proxy while it has no leader, as set by the previous
-        leader
+    :param alone_per_minute: rate allowed to the proxy while it cannot reach a leader, as set by the
+        previous leader
     :param alone_of_per_minute: the same rate for all proxies together
     """
 
@@ -92,13 +92,13 @@
 
     :param operations: number granted, at most the requested ones including those ahead
     :param retry_after_ms: when the rest may be granted; 0 if all were granted
-    :param alone_per_minute: the proxy's share of the limit, allowed while it has no leader
+    :param alone_per_minute: the proxy's share of the limit, allowed while it cannot reach a leader
     :param waits_ms: delays after this answer at which further operations may run; ascending
     :param returns: retry times of refused operations whose priority was reported
     :param alone_of_per_minute: rate allowed to all proxies together without a leader; 0 if not
         reported
-    :param alone_tenths: operations that the proxy may run immediately once it has no leader, in
-        tenths of an operation
+    :param alone_tenths: operations that the proxy may run immediately when it loses its leader,
+        in tenths of an operation
     """
 
     tenant: str
--- a/limedyke/messages/operator.py
+++ b/limedyke/messages/operator.py
@@ -72,7 +72,7 @@
 @message(65)
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A refusal with a result code; for conflicts, ``revision`` is the one that was confirmed first."""
+    """A refusal with a result code; for conflicts, ``revision`` is the confirmed one."""
 
     request_id: str
     code: int
--- a/limedyke/messages/statements.py
+++ b/limedyke/messages/statements.py
@@ -33,7 +33,7 @@
     :param request_id: the client's identifier of this attempt
     :param text: the raw statement, decoded as Latin-1
     :param name: name of the setting or prepared statement
-    :param value: value of the setting, shape of the prepared statement, or arguments of the execution
+    :param value: value of the setting, shape of the prepared statement, or execution arguments
     :param writes: for ``PREPARE``, whether the prepared statement writes
     """
 
--- a/limedyke/messages/work.py
+++ b/limedyke/messages/work.py
@@ -162,7 +162,7 @@
 @message(97)
 @dataclass(frozen=True, slots=True)
 class AnswerCredit:
-    """Flow control: the receiver of an answer has relayed ``size`` bytes, and accepts as many more."""
+    """Flow control: the receiver has relayed ``size`` bytes of an answer and accepts as many more."""
 
     stream: int
     size: int
