--- a/limedyke/messages/work.py
+++ b/limedyke/messages/work.py
@@ -162,7 +162,7 @@
 @message(97)
 @dataclass(frozen=True, slots=True)
 class AnswerCredit:
-    """Flow control: the receiver has relayed ``size`` bytes of an answer and accepts as many more."""
+    """Flow control: the receiver has relayed ``size`` bytes of an answer, and accepts more."""
 
     stream: int
     size: int
