--- a/features/control_failover.feature
+++ b/features/control_failover.feature
@@ -1,9 +1,9 @@
-Feature: Terms and primaries as the leading controller decides them
-  A higher term is granted when a majority of a group's home proxies finds the primary gone.
+Feature: Failover of primaries by the leading controller
+  The leader grants a higher term when a majority of a group's home proxies reports the primary as failed.
 
-  Scenario Outline: failover: who must find the primary gone
+  Scenario Outline: failover: which reports cause a failover
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
-    When failover: "<silent>" are no longer heard
+    When failover: "<silent>" fall silent
     And failover: "<gone>" report m1 as <health>
     And failover: <ms> ms pass
     Then failover: the recorded term is <term>
@@ -23,9 +23,9 @@
       | a     | unreachable | c      | 3000 | 5    |
       | a b   | unreachable | c      | 200  | 6    |
 
-  Scenario Outline: failover: who reaches no majority of the members is no witness, rule <rule>
+  Scenario Outline: failover: a proxy that reaches no majority of the members has no vote, rule <rule>
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
-    And failover: the rule on blind witnesses is <rule>
+    And failover: the rule on blind proxies is <rule>
     When failover: "<blind>" report m2 as unreachable
     And failover: "<blind>" report m3 as unreachable
     And failover: "<gone>" report m1 as unreachable
@@ -43,11 +43,11 @@
       | on   | a b   | a b c | 1500 | 6    |
       | on   | a     | b c   | 200  | 6    |
 
-  Scenario Outline: failover: after <n> failovers without a calm the doubt must last <ms> ms
+  Scenario Outline: failover: after <n> failovers in a row a suspicion must last <ms> ms
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
     When failover: <n> failovers follow each other
     And failover: <calm> ms pass
-    And failover: "a b c" find the primary gone
+    And failover: "a b c" stop reaching the primary
     And failover: <ms> ms pass
     Then failover: the recorded term is <term>
 
@@ -61,7 +61,7 @@
       | 4 | 0     | 1000 | 10   |
       | 4 | 21000 | 200  | 10   |
 
-  Scenario: failover: a doubt that ends in time changes nothing
+  Scenario: failover: a suspicion that ends in time has no effect
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
     When failover: "a b c" report m1 as unreachable
     And failover: 50 ms pass
@@ -69,7 +69,7 @@
     And failover: 3000 ms pass
     Then failover: the recorded term is 5
 
-  Scenario: failover: a whole failover
+  Scenario: failover: a complete failover
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
     When failover: "a b" report m1 as unreachable
     And failover: 200 ms pass
@@ -77,10 +77,10 @@
     When failover: the ordered proxy answers that m2 is the primary
     Then failover: m2 is the primary under term 6
 
-  Scenario Outline: failover: who gets the order
+  Scenario Outline: failover: which proxy gets the promotion order
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
     When failover: "<cut>" reach no member but m1
-    And failover: "<silent>" are no longer heard
+    And failover: "<silent>" fall silent
     And failover: "a b c" report m1 as unreachable
     And failover: 3000 ms pass without answer to orders
     Then failover: the first order went to one of "<executors>"
@@ -92,13 +92,13 @@
       | a b |        | c         |
       | a   | b      | c         |
 
-  Scenario Outline: failover: an order that fails is given again under a higher term
+  Scenario Outline: failover: a failed order is repeated under a higher term
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
     When failover: "a b c" report m1 as unreachable
     And failover: 200 ms pass
     And failover: the ordered proxy <fails>
     And failover: 4000 ms pass without answer to orders
-    Then failover: the orders had rising terms and no term was ordered twice
+    Then failover: the orders had increasing terms and no term was ordered twice
     And failover: the second order went to another proxy than the first
 
     Examples:
@@ -107,14 +107,14 @@
       | answers that it fails |
       | loses its link       |
 
-  Scenario: failover: each further order may take longer, up to four times
+  Scenario: failover: the timeout of each further order grows, up to a factor of four
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
     When failover: "a b c" report m1 as unreachable
     And failover: 40000 ms pass without answer to orders
-    Then failover: the orders may take 1400 2900 4400 5900 5900 ms
-    And failover: no order is given while an earlier one may still be carried out
+    Then failover: the timeouts of the orders are 1400 2900 4400 5900 5900 ms
+    And failover: no order is given while an earlier one may still be running
 
-  Scenario: failover: reports from before a promotion do not end it
+  Scenario: failover: reports from before a promotion do not undo it
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
     When failover: "a b" report m1 as unreachable
     And failover: 200 ms pass
@@ -125,21 +125,21 @@
     And failover: 3000 ms pass
     Then failover: m2 is the primary under term 6
 
-  Scenario: failover: a late answer to a replaced order changes nothing
+  Scenario: failover: a late answer to a replaced order has no effect
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
     When failover: "a b c" report m1 as unreachable
     And failover: 4000 ms pass without answer to orders
     And failover: the first ordered proxy answers that m2 is the primary of term 6
     Then failover: group "g" has no primary
 
-  Scenario: failover: a promotion whose answer was lost is seen by its effect
+  Scenario: failover: a promotion whose answer was lost is detected from reports
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
     When failover: "a b c" report m1 as unreachable
     And failover: 200 ms pass
     And failover: "c" reports m3 as the primary of term 6
     Then failover: m3 is the primary under term 6
 
-  Scenario: failover: a primary on its way through the log is not outrun by a higher term
+  Scenario: failover: no higher term is granted while a primary is being recorded
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
     When failover: "a b c" report m1 as unreachable
     And failover: 200 ms pass
@@ -149,7 +149,7 @@
     And failover: 3000 ms pass
     Then failover: m3 is the primary under term 6
 
-  Scenario: failover: a lost proposal of a primary is made again
+  Scenario: failover: a lost proposal of a primary is repeated
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
     When failover: "a b c" report m1 as unreachable
     And failover: 200 ms pass
@@ -159,25 +159,25 @@
     And failover: 1500 ms pass
     Then failover: m2 is the primary under term 6
 
-  Scenario: failover: the replaced primary is never the preferred one
+  Scenario: failover: the replaced primary is never preferred
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
     When failover: "a b" report m1 as unreachable
     And failover: "c" still sees m1 far ahead of the others
     And failover: 200 ms pass
     Then failover: the order does not prefer m1
 
-  Scenario: failover: a zone of proxies dies, and with it a third of the primaries
+  Scenario: failover: a zone of proxies fails together with a third of the primaries
     Given failover: 600 groups with primary m1, watched by 12 proxies
     When failover: the proxies of zone z0 are lost, and the others report m1 of each third group
     And failover: every order is answered within 200 ms
     Then failover: each third group has a new primary, and no other group has
     And failover: no event took the leader longer than 50 ms
 
-  Scenario Outline: failover: a new leader goes on where the old one stood
+  Scenario Outline: failover: a new leader continues a promotion of its predecessor
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
     When failover: "a b c" report m1 as unreachable
     And failover: 200 ms pass
-    And failover: another controller begins to lead and all proxies report anew, <seen>
+    And failover: another controller becomes the leader and all proxies report again, <seen>
     And failover: 4000 ms pass <answers>
     Then failover: <result>
 
@@ -185,19 +185,19 @@
       | seen                        | answers                     | result                                              |
       | m2 as the primary of term 6 | without answer to orders    | m2 is the primary under term 6                      |
       | no primary                  | and orders make m2 primary  | m2 is the primary under term 7                      |
-      | no primary                  | without answer to orders    | the orders had rising terms and no term was ordered twice |
+      | no primary                  | without answer to orders    | the orders had increasing terms and no term was ordered twice |
 
-  Scenario: failover: a new leader does not wait long for an order that was perhaps never sent
+  Scenario: failover: a new leader does not wait long for an order that may never have been sent
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
     When failover: "a b c" report m1 as unreachable
     And failover: 200 ms pass
-    And failover: another controller begins to lead and all proxies report anew, no primary
+    And failover: another controller becomes the leader and all proxies report again, no primary
     And failover: 600 ms pass
     Then failover: the recorded term is 6
     When failover: 600 ms pass and orders make m2 primary
     Then failover: m2 is the primary under term 7
 
-  Scenario Outline: failover: following what a group exposes
+  Scenario Outline: failover: the recorded primary follows the one that a group exposes
     Given failover: group "g" in <mode> mode with nothing recorded, watched by "a b c"
     When failover: "<seers>" reports m2 as the primary of term <exposed>
     And failover: <ms> ms pass
@@ -210,7 +210,7 @@
       | controllers | a b   | 9       | 100  | m2 is the primary under term 9  |
       | controllers | a     | 9       | 50   | the recorded term is 0          |
 
-  Scenario: failover: in external mode nothing is promoted from here
+  Scenario: failover: in external mode the controllers promote nothing
     Given failover: group "g" in external mode with nothing recorded, watched by "a b c"
     When failover: "a b c" reports m2 as the primary of term 9
     And failover: "a b c" report m2 as unreachable
@@ -230,7 +230,7 @@
   Scenario Outline: failover: a planned switchover pauses writes first
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
     When failover: <cause>
-    Then failover: writes are asked to pause under term 5
+    Then failover: home proxies are asked to pause writes under term 5
     When failover: "<paused>" say that writes have paused
     And failover: <ms> ms pass
     Then failover: the recorded term is <term>
@@ -242,7 +242,7 @@
       | a switchover to m3 is confirmed   |        | 2500 | 6    |
       | m1 is declared leaving            | a b c  | 100  | 6    |
 
-  Scenario: failover: the order goes to a proxy that misses the primary, not to one cut off with it
+  Scenario: failover: the order goes to a proxy that cannot reach the primary, not to one partitioned off with it
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
     When failover: "b" report m1 as unreachable
     And failover: "c" report m1 as unreachable
@@ -253,15 +253,15 @@
     Then failover: the second order went to another proxy than the first
     And failover: no order went to "a"
 
-  Scenario: failover: a switchover orders the member that was asked for
+  Scenario: failover: a switchover promotes the requested member
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
     When failover: a switchover to m3 is confirmed
     And failover: "a b c" say that writes have paused
     And failover: 100 ms pass
     Then failover: the order prefers m3
-    And failover: the order is of a planned move
+    And failover: the order is for a planned switchover
 
-  Scenario: failover: a lost zone's primaries are replaced within bounds, all of them
+  Scenario: failover: all primaries of a lost zone are replaced within the limits
     Given failover: 600 groups with primary m1, watched by 12 proxies
     When failover: all home proxies report m1 as unreachable at once
     Then failover: at most 256 promotions are under way, and at most 16 at one proxy
--- a/features/steps/control_failover_steps.py
+++ b/features/steps/control_failover_steps.py
@@ -1,4 +1,4 @@
-"""Steps on terms and primaries."""
+"""Steps for the failover of primaries."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
         self.lead()
 
     def lead(self) -> None:
-        """Begin to lead; all proxies connect."""
+        """Become the leader; all proxies connect."""
         generator = random.Random(7)
         timing = ControlTiming(suspicion_s=1e9)
         self.decisions = LeaderDecisions(self.test.state, timing, 3, generator, self.now)
@@ -79,19 +79,19 @@
             self.heartbeat(name, first=True)
 
     def _hello_of(self, name: str) -> ProxyHello:
-        """Return a proxy's hello, which says what is recorded of it."""
+        """Return a proxy's hello, with the values recorded for it."""
         record = self.test.state.proxies[name]
         return ProxyHello(
             name, record.incarnation, record.address, record.zone, 0, 0, record.folder_id
         )
 
     def heartbeat(self, name: str, first: bool = False) -> None:
-        """Let a proxy send a heartbeat."""
+        """Deliver a heartbeat of a proxy."""
         beat = ProxyHeartbeat(1, 0, 0, ProxyState.SERVING, 0)
         self.post(HeartbeatReceived(name, beat, first))
 
     def post(self, event: object) -> None:
-        """Hand an event in and carry out what follows."""
+        """Handle an event and execute the resulting commands."""
         started = time.process_time()
         self.decisions.handle(event, self.now)
         commands = self.decisions.take_commands()
@@ -109,7 +109,7 @@
             self.answer(proxy, order)
 
     def propose(self, entry: object) -> None:
-        """Apply an entry and tell the leader, at once or after the log's delay."""
+        """Apply an entry and notify the leader, immediately or after the log's delay."""
         if self.proposals_to_lose:
             self.proposals_to_lose -= 1
         elif self.log_delay_s:
@@ -136,12 +136,12 @@
         group: str = "g",
         position: int = 0,
     ) -> None:
-        """Let a proxy report on a member."""
+        """Deliver a proxy's report on a member."""
         report = MemberReport(group, member, health, term, position, primary)
         self.post(MemberReported(proxy, report))
 
     def wait(self, seconds: float) -> None:
-        """Let time pass; those that are heard go on with heartbeats."""
+        """Advance the clock; proxies that are not silent send heartbeats."""
         end = self.now + seconds
         beat_at = self.now
         while self.now < end:
@@ -155,7 +155,7 @@
             self.post(TimePassed())
 
     def primary(self, group: str = "g"):
-        """Return what is recorded of a group."""
+        """Return the recorded primary of a group."""
         return self.test.state.primaries.get(group)
 
 
@@ -177,7 +177,7 @@
     context.leader = FailoverUnderTest([group], proxies.split(), "", 0)
 
 
-@given("failover: the rule on blind witnesses is {state:w}")
+@given("failover: the rule on blind proxies is {state:w}")
 def _(context, state):
     if state == "off":
         patch = mock.patch.object(GroupReports, "sees_majority", lambda self, proxy: True)
@@ -185,7 +185,7 @@
         context.add_cleanup(patch.stop)
 
 
-@when('failover: "{names:Anything}" are no longer heard')
+@when('failover: "{names:Anything}" fall silent')
 def _(context, names):
     context.leader.silent = set(names.split())
     if names:
@@ -235,7 +235,7 @@
     leader.wait(ms / 1000)
 
 
-def _primary_gone(leader: FailoverUnderTest, names: list[str]) -> None:
+def _report_primary_unreachable(leader: FailoverUnderTest, names: list[str]) -> None:
     primary = leader.primary()
     for name in names:
         leader.report(name, primary.primary, MemberHealth.UNREACHABLE, primary.term)
@@ -246,7 +246,7 @@
     leader = context.leader
     for _number in range(count):
         old = leader.primary()
-        _primary_gone(leader, leader.proxies)
+        _report_primary_unreachable(leader, leader.proxies)
         while leader.primary().term == old.term:
             leader.wait(STEP_S)
         proxy, order = leader.orders[-1]
@@ -257,9 +257,9 @@
                 leader.report(name, member, term=order.term, primary=member == follower)
 
 
-@when('failover: "{names}" find the primary gone')
+@when('failover: "{names}" stop reaching the primary')
 def _(context, names):
-    _primary_gone(context.leader, names.split())
+    _report_primary_unreachable(context.leader, names.split())
 
 
 @when("failover: the ordered proxy answers that {member:w} is the primary")
@@ -314,7 +314,7 @@
     context.leader.post(ProxyDisconnected(proxy))
 
 
-@when("failover: another controller begins to lead and all proxies report anew, {seen}")
+@when("failover: another controller becomes the leader and all proxies report again, {seen}")
 def _(context, seen):
     leader = context.leader
     leader.lead()
@@ -343,7 +343,7 @@
         context.leader.post(WritesPausedReported(name, "g", 5))
 
 
-@then("failover: writes are asked to pause under term {term:d}")
+@then("failover: home proxies are asked to pause writes under term {term:d}")
 def _(context, term):
     primary = context.leader.primary()
     assert (primary.term, primary.primary, primary.switching_over) == (term, "m1", True), primary
@@ -382,14 +382,14 @@
     assert context.leader.orders[0][0] in names.split(), context.leader.orders
 
 
-@then("failover: the orders may take {times} ms")
+@then("failover: the timeouts of the orders are {times} ms")
 def _(context, times):
     expected = [int(time_ms) for time_ms in times.split()]
     found = [order.timeout_ms for _, order in context.leader.orders]
     assert found[: len(expected)] == expected, found
 
 
-@then("failover: no order is given while an earlier one may still be carried out")
+@then("failover: no order is given while an earlier one may still be running")
 def _(context):
     leader = context.leader
     ends = [
@@ -399,7 +399,7 @@
     assert all(end < at for end, at in zip(ends, leader.ordered_at[1:], strict=False)), ends
 
 
-@then("failover: the order is of a planned move")
+@then("failover: the order is for a planned switchover")
 def _(context):
     assert context.leader.orders[-1][1].planned, context.leader.orders
 
@@ -409,7 +409,7 @@
     assert name not in [proxy for proxy, _ in context.leader.orders], context.leader.orders
 
 
-@then("failover: the orders had rising terms and no term was ordered twice")
+@then("failover: the orders had increasing terms and no term was ordered twice")
 def _(context):
     terms = [order.term for _, order in context.leader.orders]
     assert len(terms) >= 2 and terms == sorted(set(terms)), terms
