--- a/features/control_homes.feature
+++ b/features/control_homes.feature
@@ -1,13 +1,13 @@
 Feature: Home proxies of groups
-  Every process computes the same home proxies from the same membership.
+  All processes compute the same home proxies from the same membership.
 
-  Scenario: homes: kept up to date by changes, they are what is computed from nothing
-    Then homes: in 200 random histories of joining, leaving and silent proxies both agree
+  Scenario: homes: incremental updates give the same result as a full computation
+    Then homes: both agree in 200 random histories of joining, leaving and silent proxies
 
-  Scenario: homes: a controller that follows the log has what a whole state gives
-    Then homes: 200 random updates one after the other give what their whole gives
+  Scenario: homes: a controller that follows the log has the same result as one with a snapshot
+    Then homes: 200 random updates give the same result as the final state
 
-  Scenario Outline: homes: how duty is spread
+  Scenario Outline: homes: how home duty is distributed
     Given homes: <proxies> proxies in <zones> zones, and <groups> groups with <count> home proxies
     Then homes: each group has <homes> home proxies in <spread> zones
     And homes: no proxy has more than <most> times the mean duty
@@ -19,7 +19,7 @@
       | 2       | 1     | 50     | 3     | 2     | 1      | 1.0  |
       | 0       | 1     | 50     | 3     | 0     | 0      | 1.0  |
 
-  Scenario Outline: homes: a change moves little
+  Scenario Outline: homes: a change moves few duties
     Given homes: 60 proxies in 6 zones, and 900 groups with 3 home proxies
     When homes: <event>
     Then homes: at most <share> % of the duties have moved
@@ -31,13 +31,13 @@
       | a zone is silent         | 35    |
       | a proxy restarts at once | 0     |
 
-  Scenario: homes: each change costs a leader at the size aimed for a short moment
+  Scenario: homes: at the target size each change costs a leader little
     Given homes: 850 proxies in 6 zones, and 1800 groups with 3 home proxies
-    Then homes: a joining proxy is weighed with at most one score for a group, and few rankings
+    Then homes: a joining proxy costs at most one score for a group, and few rankings
 
-  Scenario Outline: homes: few connections make few home proxies
+  Scenario Outline: homes: groups with few connections have few home proxies
     Given homes: 60 proxies in 6 zones, and 1 groups with <count> home proxies
-    When homes: the group's members take <connections> connections each
+    When homes: the group's members accept <connections> connections each
     Then homes: each group has <homes> home proxies in <spread> zones
 
     Examples:
--- a/features/steps/control_homes_steps.py
+++ b/features/steps/control_homes_steps.py
@@ -1,4 +1,4 @@
-"""Steps on home proxies."""
+"""Steps for the choice of home proxies from the membership."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     known[proxy.name] = proxy
 
 
-@then("homes: in {count:d} random histories of joining, leaving and silent proxies both agree")
+@then("homes: both agree in {count:d} random histories of joining, leaving and silent proxies")
 def _(context, count):
     for seed in range(count):
         generator = random.Random(seed)
@@ -80,7 +80,7 @@
     )
 
 
-@then("homes: {count:d} random updates one after the other give what their whole gives")
+@then("homes: {count:d} random updates give the same result as the final state")
 def _(context, count):
     generator = random.Random(1)
     view = ControlViewBuilder()
@@ -116,7 +116,7 @@
         context.directory.add_group(name)
 
 
-@when("homes: the group's members take {connections:d} connections each")
+@when("homes: the group's members accept {connections:d} connections each")
 def _(context, connections):
     before = context.directory.homes(context.groups[0])
     changed = context.directory.add_group(context.groups[0], connections)
@@ -167,7 +167,7 @@
     assert moved <= share / 100 * len(context.before), (moved, len(context.before))
 
 
-@then("homes: a joining proxy is weighed with at most one score for a group, and few rankings")
+@then("homes: a joining proxy costs at most one score for a group, and few rankings")
 def _(context):
     score, rank = home._score, home.home_proxies
     with (
