--- a/features/control_leases.feature
+++ b/features/control_leases.feature
@@ -1,24 +1,24 @@
 Feature: Connection leases
   The sum of what proxies may hold never exceeds a budget or a group's limit.
 
-  Scenario: leases: in every history the sums stay within budgets and limits
+  Scenario: leases: in random histories the sums stay within budgets and limits
     Then leases: 150 random histories of leaders and holders stay within budgets and limits
 
-  Scenario Outline: leases: without a safeguard some history breaks a limit
-    Then leases: without "<safeguard>" one of 240 random histories breaks a limit
+  Scenario Outline: leases: without a safeguard some history exceeds a limit
+    Then leases: without "<safeguard>" one of 240 random histories exceeds a limit
 
     Examples:
       | safeguard                                                  |
-      | a share taken back waits for its return                    |
-      | an ended link leaves the lease running                     |
+      | a revoked share is reused only after its return                    |
+      | a lease outlives its link                     |
       | a lease counts from the heartbeat's sending                |
-      | a grant read after the end of its lease is not used        |
-      | a new leader waits until all is reported                   |
-      | a name passes on only after its leases                     |
-      | a silent holder keeps its share until its lease has ended  |
+      | a grant read after its lease has expired is not used        |
+      | a new leader waits for all reports                   |
+      | a name is reused only after its leases have expired                     |
+      | a silent holder keeps its share until its lease has expired  |
 
-  Scenario Outline: leases: a share is reissued only after the slowest clock has ended its lease
-    Then leases: a lease of <lease> s is over by every clock within <percent> % when reissued
+  Scenario Outline: leases: a share is reissued only after its lease has expired by the slowest clock
+    Then leases: a lease of <lease> s has expired by every clock within <percent> % when reissued
 
     Examples:
       | lease | percent |
@@ -27,10 +27,10 @@
       | 30    | 1       |
       | 300   | 1       |
 
-  Scenario: leases: a margin for drift is needed
-    Then leases: without a margin a lease of 30 s is not over by every clock within 1 %
+  Scenario: leases: a margin for clock drift is needed
+    Then leases: without a margin a lease of 30 s has not expired by every clock within 1 %
 
-  Scenario Outline: leases: when a share goes to another proxy
+  Scenario Outline: leases: when a share is granted to another proxy
     Given leases: a group of 40 connections with a budget of 30 for t, at home on "a b"
     And leases: a and b hold their shares
     When leases: a is replaced as a home proxy by c
@@ -48,14 +48,14 @@
       | a goes on with heartbeats             | 30      | 0  |
       | a's link ends                         | 4.9     | 0  |
       | a's link ends                         | 5.5     | 15 |
-      | a's process is proven ended           | 0.1     | 15 |
-      | a comes with a new disk               | 4.9     | 0  |
-      | a comes with a new disk               | 5.5     | 15 |
-      | a leaves and says it is done          | 0.1     | 15 |
-      | a comes with an older process         | 4.9     | 0  |
-      | a comes with an older process         | 5.5     | 15 |
-
-  Scenario Outline: leases: who may take a name over
+      | a's process is proven to have ended           | 0.1     | 15 |
+      | a reconnects with a new disk               | 4.9     | 0  |
+      | a reconnects with a new disk               | 5.5     | 15 |
+      | a leaves and reports that it is done          | 0.1     | 15 |
+      | an older process of a connects         | 4.9     | 0  |
+      | an older process of a connects         | 5.5     | 15 |
+
+  Scenario Outline: leases: which process may take over a name
     Then leases: over incarnation <known> on disk "<disk>", <hello> on disk "<its disk>" is <verdict>
 
     Examples:
@@ -70,10 +70,10 @@
       | 5     |      | 6     |          | refused  |
       | 0     |      | 1     | d2       | admitted |
 
-  Scenario Outline: leases: a new leader first learns who holds what
+  Scenario Outline: leases: a new leader first waits for reports of held leases
     Given leases: a group of 40 connections with a budget of 30 for t, at home on "a b"
     And leases: a and b hold their shares
-    When leases: another controller begins to lead
+    When leases: another controller becomes the leader
     And leases: <seconds> s pass in which <reports> report
     Then leases: a, b and c hold "<held>" connections of t
 
@@ -85,20 +85,20 @@
       | c       | 0.1     | 0 0 0   |
       | b       | 5.5     | 0 15 0  |
 
-  Scenario: leases: the end of an adoption is worked off in parts, and whole in the end
-    Given leases: a leader that adopts the leases of 1800 groups, and hears the last proxy
+  Scenario: leases: the grants at the end of an adoption are made in batches
+    Given leases: a leader that adopts the leases of 1800 groups, and has the last proxy's report
     Then leases: it grants for at most 256 groups at once, and for all in 8 calls
 
-  Scenario: leases: a raised budget waits for the lowered one
+  Scenario: leases: a raised budget waits for the returns of a lowered one
     Given leases: a group of 40 connections with a budget of 30 for t, at home on "a b"
     And leases: a and b hold their shares
     When leases: the budget of t becomes 5 and that of u 30
     Then leases: no more than 40 connections are leased
-    When leases: all return what is above their shares
+    When leases: all return connections above their shares
     Then leases: a and b hold 30 connections of u together
     And leases: no more than 40 connections are leased
 
-  Scenario Outline: leases: where little is free nobody is left with nothing
+  Scenario Outline: leases: when few connections are free each home proxy gets one
     Then leases: of a limit of <limit> with budgets of <t> for t and <u> for u, 3 homes get "<shares>"
 
     Examples:
@@ -108,7 +108,7 @@
       | 4     | 8  | 9  | t 1 1 1 u 1 0 0     |
       | 40    | 8  | 9  | t 3 3 2 u 3 3 3     |
 
-  Scenario Outline: leases: a budget is shared evenly, the first home proxies get the rest
+  Scenario Outline: leases: a budget is shared equally, and the first home proxies get the remainder
     Then leases: a budget of <budget> over <homes> home proxies gives "<shares>"
 
     Examples:
--- a/features/lease_demand.feature
+++ b/features/lease_demand.feature
@@ -111,7 +111,7 @@
 
     Examples:
       | safeguard                                       |
-      | a share taken back waits for its return         |
+      | a revoked share is reused only after its return         |
       | what is reported counts as granted at both ends |
 
   Scenario Outline: lease demand: what a home proxy tells when <load>
--- a/features/steps/control_leases_steps.py
+++ b/features/steps/control_leases_steps.py
@@ -1,4 +1,4 @@
-"""Steps on connection leases."""
+"""Steps for connection leases."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class LeaderUnderTest:
-    """A leader's decisions with proxies that take every lease and keep what they hold."""
+    """A leader with proxies that accept every lease and return nothing on their own."""
 
     def __init__(self, state_under_test, now: float = 0.0) -> None:
         self.test = state_under_test
@@ -49,12 +49,12 @@
         self.lead()
 
     def lead(self) -> None:
-        """Begin to lead."""
+        """Become the leader."""
         timing = ControlTiming(lease_s=LEASE_S, suspicion_s=1e9)
         self.decisions = LeaderDecisions(self.test.state, timing, 3, None, self.now)
 
     def post(self, event: object) -> None:
-        """Hand an event in and let the proxies take their leases."""
+        """Handle an event and deliver the resulting leases."""
         self.decisions.handle(event, self.now)
         for command in self.decisions.take_commands():
             if isinstance(command, SendToProxy) and isinstance(command.message, LeaseUpdate):
@@ -62,12 +62,12 @@
                     self.held[(command.proxy, lease.tenant)] = lease.connections
 
     def heartbeat(self, proxy: str, first: bool = False, leases: tuple = ()) -> None:
-        """Let a proxy send a heartbeat."""
+        """Deliver a heartbeat of a proxy."""
         beat = ProxyHeartbeat(1, 0, 0, ProxyState.SERVING, 0, leases)
         self.post(HeartbeatReceived(proxy, beat, first))
 
     def connect(self, proxy: str, incarnation: int = 1, folder_id: str = "", held: int = 0) -> None:
-        """Let a proxy connect and report what it holds of t."""
+        """Connect a proxy, which reports the connections that it holds for tenant t."""
         folder_id = folder_id or f"disk-{proxy}"
         self.post(ProxyConnected(ProxyHello(proxy, incarnation, "", "z1", 0, 0, folder_id)))
         leases = (ConnectionLease("g", "t", held),) if held else ()
@@ -78,7 +78,7 @@
         self.decisions.leases.set_homes("g", names)
 
     def wait(self, seconds: float, *alive: str) -> None:
-        """Let time pass; the proxies named go on with heartbeats."""
+        """Advance the clock; the named proxies send heartbeats."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(end, self.now + 0.5)
@@ -87,7 +87,7 @@
             self.post(TimePassed())
 
     def of(self, proxy: str, tenant: str = "t") -> int:
-        """Return the lease a proxy was told last."""
+        """Return the last lease sent to a proxy."""
         return self.held.get((proxy, tenant), 0)
 
 
@@ -101,27 +101,31 @@
     assert granting == count, granting
 
 
-@then('leases: without "{safeguard}" one of {count:d} random histories breaks a limit')
+@then('leases: without "{safeguard}" one of {count:d} random histories exceeds a limit')
 def _(context, safeguard, count):
     assert finds_violation(safeguard, count, STEPS_IN_A_HISTORY)
 
 
-def _is_over_by_every_clock(lease_s: float, percent: float) -> bool:
-    """Compare the leader's wait with the slowest holder's lease, on the fastest leader's clock."""
+def _has_expired_by_every_clock(lease_s: float, percent: float) -> bool:
+    """Return whether the wait on the fastest leader's clock covers the slowest holder's lease."""
     drift = percent / 100
     longest_s = lease_s * (1 + drift) / (1 - drift)
     return lease_table.reissue_after_s(lease_s) > longest_s
 
 
-@then("leases: a lease of {lease:g} s is over by every clock within {percent:g} % when reissued")
+@then(
+    "leases: a lease of {lease:g} s has expired by every clock within {percent:g} % when reissued"
+)
 def _(context, lease, percent):
-    assert _is_over_by_every_clock(lease, percent)
+    assert _has_expired_by_every_clock(lease, percent)
 
 
-@then("leases: without a margin a lease of {lease:g} s is not over by every clock within {n:g} %")
+@then(
+    "leases: without a margin a lease of {lease:g} s has not expired by every clock within {n:g} %"
+)
 def _(context, lease, n):
     with mock.patch.multiple(lease_table, DRIFT_MARGIN_RATIO=0.0, DRIFT_MARGIN_S=0.0):
-        assert not _is_over_by_every_clock(lease, n)
+        assert not _has_expired_by_every_clock(lease, n)
 
 
 @then(
@@ -178,13 +182,13 @@
             alive.append("a")
         case "a's link ends":
             leader.post(ProxyDisconnected("a"))
-        case "a comes with an older process":
+        case "an older process of a connects":
             leader.connect("a", incarnation=0)
-        case "a's process is proven ended":
+        case "a's process is proven to have ended":
             leader.connect("a", incarnation=2)
-        case "a comes with a new disk":
+        case "a reconnects with a new disk":
             leader.connect("a", incarnation=2, folder_id="new-disk")
-        case "a leaves and says it is done":
+        case "a leaves and reports that it is done":
             leader.post(ProxyLeft("a", done=True))
     leader.wait(seconds, *alive)
 
@@ -194,7 +198,9 @@
     assert context.leader.of("c") == count, context.leader.held
 
 
-@given("leases: a leader that adopts the leases of {count:d} groups, and hears the last proxy")
+@given(
+    "leases: a leader that adopts the leases of {count:d} groups, and has the last proxy's report"
+)
 def _(context, count):
     context.groups = count
     context.lease_table = LeaseTable(LEASE_S, 3, 0.0, {"a"})
@@ -217,7 +223,7 @@
     assert not context.lease_table.take_changes()
 
 
-@when("leases: another controller begins to lead")
+@when("leases: another controller becomes the leader")
 def _(context):
     context.before = dict(context.leader.held)
     context.leader.held = {}
@@ -260,7 +266,7 @@
     assert held <= limit, held
 
 
-@when("leases: all return what is above their shares")
+@when("leases: all return connections above their shares")
 def _(context):
     leader = context.leader
     for proxy in "abc":
--- a/features/support/demand_world.py
+++ b/features/support/demand_world.py
@@ -1,4 +1,4 @@
-"""Random histories of connection leases whose holders tell their demand at each member."""
+"""Random histories of connection leases whose holders report their demand at each member."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class DemandWorld(LeaseWorld):
-    """A history in which members come and go, and demand moves at random."""
+    """A history in which members are added and removed, and demand changes at random."""
 
     caps: tuple[MemberCap, ...] = ()
 
@@ -67,21 +67,21 @@
             self.test.apply(RecordMembers(tuple(a_member(name, GROUP) for name in MEMBERS)))
         return update
 
-    def _disturb(self) -> None:
-        super()._disturb()
+    def _inject_fault(self) -> None:
+        super()._inject_fault()
         if self.generator.random() < 0.01:
             self._change_members()
         if self.generator.random() < 0.01:
             self._change_caps()
 
     def _change_caps(self) -> None:
-        """Cap a member, or lift the cap; the limits stay as they are."""
+        """Cap a member, or remove the cap; the limits are unchanged."""
         limit, budgets = self._limits[-1][1:]
         bound = self.generator.choice((0, 2, 12, 30))
         self.caps = (MemberCap(self.generator.choice(MEMBERS), bound),) if bound else ()
         update = self._declare(limit, budgets)
         if update is not None:
-            self._tell(UpdateApplied(update))
+            self._notify_leader(UpdateApplied(update))
 
     def _change_members(self) -> None:
         name = self.generator.choice(MEMBERS)
@@ -91,7 +91,7 @@
             entry = RecordMembers((a_member(name, GROUP),))
         update = self.test.apply(entry).update
         if update is not None:
-            self._tell(UpdateApplied(update))
+            self._notify_leader(UpdateApplied(update))
 
     def _send_heartbeat(self, holder: Holder, clock: float) -> None:
         holder.sequence += 1
@@ -109,7 +109,7 @@
         holder.first = False
 
     def check(self) -> None:
-        """Raise when the sum of what may be open at a member is over a budget or the limit."""
+        """Raise if the connections that may be open at a member exceed a budget or the limit."""
         held = self._held()
         for name, allowed in self._allowed().items():
             for member in MEMBERS:
@@ -119,7 +119,7 @@
         self._last_held = defaultdict(int, held)
 
     def _held(self) -> Counter[tuple[str, str]]:
-        """Return what may be open of a budget, or of all, at each member."""
+        """Return the connections that may be open at each member, by budget and in total."""
         held: Counter[tuple[str, str]] = Counter()
         for holder in self.holders:
             if holder.clock(self.now) >= holder.leases.expires_at:
@@ -135,12 +135,14 @@
 
 
 def _report_without_granting(leases: HeldLeases) -> tuple[ConnectionLease, ...]:
-    """Report what is held, and go on giving back what an earlier leader took back."""
+    """Report the held connections, and continue to return those that an earlier leader revoked."""
     return leases.holdings()
 
 
 SAFEGUARDS = {
-    "a share taken back waits for its return": MUTANTS["a share taken back waits for its return"],
+    "a revoked share is reused only after its return": MUTANTS[
+        "a revoked share is reused only after its return"
+    ],
     "what is reported counts as granted at both ends": lambda: mock.patch.object(
         HeldLeases, "report", _report_without_granting
     ),
@@ -148,7 +150,7 @@
 
 
 def breaks_without(safeguard: str, histories: int, steps: int) -> bool:
-    """Tell whether some history breaks a limit while a safeguard is patched out."""
+    """Return whether some history exceeds a limit without a safeguard."""
     with SAFEGUARDS[safeguard]():
         for seed in range(histories):
             try:
--- a/features/support/lease_mutants.py
+++ b/features/support/lease_mutants.py
@@ -1,4 +1,4 @@
-"""Safeguards of the connection leases, each patched out in turn."""
+"""Mutants of the connection leases, each without one safeguard."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def _shrink_at_once(group: GroupLeases, reachable: set[str]) -> list[LeaseChange]:
-    """Count what is taken back as free before its holder returned it."""
+    """Treat revoked connections as free before their holder has returned them."""
     changes = _SHRINK(group, reachable)
     for shares in group._shares.values():
         for share in shares.values():
@@ -28,56 +28,56 @@
 
 
 def _disconnect_frees(table: LeaseTable, proxy: str) -> None:
-    """Take the end of a link for the end of a lease."""
+    """Free the leases of a proxy when its link closes."""
     table._reachable.discard(proxy)
     table._drop_holdings(proxy)
 
 
 def _renew_from_arrival(leases: HeldLeases, sequence: int, duration_s: float) -> None:
-    """Count a lease from the arrival of the answer, which may come that much later."""
+    """Count a lease from the arrival of the answer, up to a round trip after the heartbeat."""
     sent_at = leases._sent_at.pop(sequence, None)
     if sent_at is not None:
         leases.expires_at = max(leases.expires_at, sent_at + duration_s + ROUND_TRIP_S)
 
 
 def _use_late_grants(leases: HeldLeases, update: tuple[ConnectionLease, ...], now: float) -> bool:
-    """Take a grant that was read only after the lease had run out."""
+    """Accept a grant that was read after the lease had expired."""
     leases.expires_at = max(leases.expires_at, now + LEASE_S / 2)
     return _UPDATE(leases, update, now)
 
 
 @contextmanager
 def _no_adoption() -> Iterator[None]:
-    """Let a new leader grant before it knows what its predecessor granted."""
+    """Let a new leader grant before it knows the leases of its predecessor."""
     with mock.patch.object(LeaseTable, "is_adopting", False):
         yield
 
 
 MUTANTS = {
-    "a share taken back waits for its return": lambda: mock.patch.object(
+    "a revoked share is reused only after its return": lambda: mock.patch.object(
         GroupLeases, "shrink", _shrink_at_once
     ),
-    "an ended link leaves the lease running": lambda: mock.patch.object(
+    "a lease outlives its link": lambda: mock.patch.object(
         LeaseTable, "disconnected", _disconnect_frees
     ),
     "a lease counts from the heartbeat's sending": lambda: mock.patch.object(
         HeldLeases, "renewed", _renew_from_arrival
     ),
-    "a grant read after the end of its lease is not used": lambda: mock.patch.object(
+    "a grant read after its lease has expired is not used": lambda: mock.patch.object(
         HeldLeases, "update", _use_late_grants
     ),
-    "a new leader waits until all is reported": _no_adoption,
-    "a name passes on only after its leases": lambda: mock.patch.object(
+    "a new leader waits for all reports": _no_adoption,
+    "a name is reused only after its leases have expired": lambda: mock.patch.object(
         leader, "may_connect", lambda known, hello: True
     ),
-    "a silent holder keeps its share until its lease has ended": lambda: mock.patch.object(
+    "a silent holder keeps its share until its lease has expired": lambda: mock.patch.object(
         lease_table, "reissue_after_s", lambda duration_s: duration_s / 2
     ),
 }
 
 
 def finds_violation(name: str, histories: int, steps: int) -> bool:
-    """Tell whether some history breaks a limit while a safeguard is patched out."""
+    """Return whether some history exceeds a limit without a safeguard."""
     with MUTANTS[name]():
         for seed in range(histories):
             try:
--- a/features/support/lease_world.py
+++ b/features/support/lease_world.py
@@ -1,8 +1,8 @@
-"""A small world of one leader after another and several holders of connection leases.
+"""Simulates successive leaders and several holders of connection leases on virtual time.
 
-Time is virtual.  Links delay, and break with all that is on its way.  Clocks drift.  Processes
-freeze, are cut off, end and start again, with their disk or on another machine under the same
-name.  Limits change by confirmed plans.  Proposals may be lost with their leader.
+Links delay messages, and lose those in transit when they break.  Clocks drift.  Processes freeze,
+are partitioned, and restart with their disk or on another machine under the same name.  Limits
+change by confirmed plans.  Proposals may be lost with their leader.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 CONFIRMED_AT = 1_010
 LIMITS = ((40, {"t": 20, "u": 14}), (40, {"t": 8, "u": 26}), (20, {"t": 10, "u": 4}))
 IN_FLIGHT_S = 2 * LEASE_S
-"""A grant made under an earlier limit is used or dead after this time."""
+"""Time after which a grant made under an earlier limit has been used or has expired."""
 
 
 class OverBudgetError(AssertionError):
@@ -60,7 +60,7 @@
 
 @dataclass
 class Holder:
-    """One process of a proxy with its own clock and leases."""
+    """A proxy process with its own clock and leases."""
 
     name: str
     zone: str
@@ -100,20 +100,20 @@
         self.leader = self._new_leader()
 
     def run(self, steps: int) -> None:
-        """Run some steps."""
+        """Run a number of steps."""
         for _ in range(steps):
             self.now += STEP_S
-            self._disturb()
+            self._inject_fault()
             self._commit()
             for holder in list(self.holders):
                 self._step(holder)
-            self._tell(TimePassed())
+            self._notify_leader(TimePassed())
             self.check()
 
     def check(self) -> None:
-        """Raise when the sum of what may be open is over a budget or the limit.
+        """Raise if the connections that may be open exceed a budget or the limit.
 
-        After a limit was lowered, holders may keep what is busy, but the sum must not grow.
+        After a limit was lowered, holders may keep busy connections, but the sum must not grow.
         """
         held: defaultdict[str, int] = defaultdict(int)
         for holder in self.holders:
@@ -129,7 +129,7 @@
         self._last_held = held
 
     def _allowed(self) -> dict[str, int]:
-        """Return the largest limit and budgets that grants still under way may stem from."""
+        """Return the largest limit and budgets on which unexpired grants may be based."""
         while len(self._limits) > 1 and self._limits[1][0] < self.now - IN_FLIGHT_S:
             del self._limits[0]
         allowed = {"limit": max(limit for _, limit, _ in self._limits)}
@@ -138,7 +138,7 @@
         return allowed
 
     def _declare(self, limit: int, budgets: dict[str, int]) -> ControlUpdate | None:
-        """Confirm a plan with these limits; return the update, None when nothing changes."""
+        """Confirm a plan with these limits; return the update, or None if nothing changes."""
         self._limits.append((self.now, limit, budgets))
         declaration = a_declaration(a_group(GROUP, limit, budgets))
         plan = self.test.plan(declaration, f"plan {self.now}")
@@ -158,7 +158,7 @@
         generator = random.Random(self.generator.random())
         return LeaderDecisions(self.test.state, timing, HOMES, generator, self.now)
 
-    def _disturb(self) -> None:
+    def _inject_fault(self) -> None:
         generator = self.generator
         holder = generator.choice(self.holders)
         event = generator.random()
@@ -178,7 +178,7 @@
             self._change_limits()
 
     def _change_leader(self) -> None:
-        """Lose the leader, and with it some of what it proposed last."""
+        """Replace the leader, and lose some of its last proposals."""
         kept = self.generator.randint(0, len(self._proposed))
         for _, entry in list(self._proposed)[:kept]:
             self.test.apply(entry)
@@ -190,13 +190,13 @@
         self.leader = self._new_leader()
 
     def _restart(self, holder: Holder) -> None:
-        """End a process, and start the next one on its data folder."""
+        """End a process, and start another one on its data folder."""
         self._break(holder)
         self.holders.remove(holder)
         self.holders.append(self._start(holder.name, holder.folder_id))
 
     def _replace_machine(self, holder: Holder) -> None:
-        """Start the same name on an empty disk, while the earlier process still runs, cut off."""
+        """Start a process of the same name on an empty disk; the earlier one runs on, partitioned."""
         holder.cut_until = self.now + self.generator.uniform(4.0, 12.0)
         newer = [other for other in self.holders if other.name == holder.name]
         if len(newer) == 1:
@@ -206,7 +206,7 @@
     def _change_limits(self) -> None:
         update = self._declare(*self.generator.choice(LIMITS))
         if update is not None:
-            self._tell(UpdateApplied(update))
+            self._notify_leader(UpdateApplied(update))
 
     def _break(self, holder: Holder) -> None:
         if not holder.linked:
@@ -214,7 +214,7 @@
         holder.linked = False
         holder.to_leader.clear()
         holder.to_holder.clear()
-        self._tell(ProxyDisconnected(holder.name))
+        self._notify_leader(ProxyDisconnected(holder.name))
 
     def _step(self, holder: Holder) -> None:
         if self.now < holder.cut_until:
@@ -245,7 +245,7 @@
             if other.name == holder.name:
                 self._break(other)
         holder.linked, holder.first, holder.next_heartbeat_at = True, True, clock
-        self._tell(ProxyConnected(hello))
+        self._notify_leader(ProxyConnected(hello))
 
     def _send_heartbeat(self, holder: Holder, clock: float) -> None:
         holder.sequence += 1
@@ -257,7 +257,7 @@
         holder.first = False
 
     def _give_back(self, holder: Holder) -> None:
-        """Close some connections, as far as the lease asks for it."""
+        """Close some of the connections that were revoked."""
         granted = {(le.group, le.tenant): le.connections for le in holder.leases.leases()}
         for lease in holder.leases.holdings():
             kept = granted.get((lease.group, lease.tenant), 0)
@@ -281,7 +281,7 @@
 
     def _deliver_to_leader(self, holder: Holder) -> None:
         for event in self._due(holder.to_leader):
-            self._tell(event)
+            self._notify_leader(event)
 
     def _deliver_to_holder(self, holder: Holder, clock: float) -> None:
         for message in self._due(holder.to_holder):
@@ -291,7 +291,7 @@
                 self._break(holder)
                 return
 
-    def _tell(self, event: LeaderEvent) -> None:
+    def _notify_leader(self, event: LeaderEvent) -> None:
         self.leader.handle(event, self.now)
         for command in self.leader.take_commands():
             self._execute(command)
@@ -321,4 +321,4 @@
             _, entry = self._proposed.popleft()
             update = self.test.apply(entry).update
             if update is not None:
-                self._tell(UpdateApplied(update))
+                self._notify_leader(UpdateApplied(update))
