--- a/features/control_membership.feature
+++ b/features/control_membership.feature
@@ -1,9 +1,9 @@
 Feature: Membership of proxies
-  A proxy is judged by its own messages; the platform's list only shortens the patience.
+  A proxy's state follows from its own messages; the platform's list only shortens the suspicion timeout.
 
-  Scenario Outline: membership: what becomes of a proxy
-    Given membership: a proxy that serves, with leases of 30 s
-    When membership: the platform's list calls it <listed>
+  Scenario Outline: membership: how the state of a proxy changes
+    Given membership: a serving proxy with leases of 30 s
+    When membership: the platform lists it as <listed>
     And membership: it <does> for <seconds> s
     Then membership: it is <state>
 
@@ -17,7 +17,7 @@
       | live    | loses its link  | 6       | suspected |
       | live    | goes on         | 40      | serving   |
 
-    Examples: the list may be old: it neither cuts off nor keeps
+    Examples: the list may be outdated, and neither removes nor keeps a proxy
       | listed  | does            | seconds | state     |
       | leaving | goes on         | 40      | serving   |
       | leaving | falls silent    | 1.5     | serving   |
@@ -25,15 +25,15 @@
       | leaving | falls silent    | 30.5    | suspected |
       | live    | falls silent    | 40      | forgotten |
 
-    Examples: its own word
+    Examples: messages of the proxy itself
       | listed  | does            | seconds | state     |
       | live    | drains          | 1       | draining  |
       | live    | has drained     | 1       | forgotten |
 
-  Scenario Outline: membership: a suspected proxy comes back
-    Given membership: a proxy that serves, with leases of 30 s
+  Scenario Outline: membership: a suspected proxy reconnects
+    Given membership: a serving proxy with leases of 30 s
     When membership: it falls silent for <seconds> s
-    And membership: it connects again <how>
+    And membership: it reconnects <how>
     Then membership: it is <state>
 
     Examples:
@@ -43,18 +43,18 @@
       | 6       | from another machine  | suspected |
       | 32      | from another machine  | serving   |
 
-  Scenario Outline: membership: hundreds that start at once are recorded in parts, <groups> groups
+  Scenario Outline: membership: hundreds of proxies that start at once are recorded in batches, <groups> groups
     When membership: 850 proxies connect within one decision, with <groups> groups declared
     Then membership: within <seconds> s all are recorded, by entries of at most 64, <apart> s apart
 
-    Examples: the more groups there are to look at, the slower
+    Examples: more groups make the batches less frequent
       | groups | seconds | apart |
       | 1800   | 3       | 0.2   |
       | 3      | 0.3     | 0.02  |
 
-  Scenario: membership: of many changes those that take proxies out of service go first
-    When membership: 200 proxies connect and then 10 others are found silent
-    Then membership: the first entry after that names the silent ones
+  Scenario: membership: changes that take proxies out of service are recorded first
+    When membership: 200 proxies connect and then 10 others are silent
+    Then membership: the next entry names the silent ones
 
   Scenario Outline: membership: the platform's list
     Then membership: the list <body> names <leaving> as leaving
@@ -65,7 +65,7 @@
       | []                                                              | nobody  |
       | [{"name":"a","state":"gone"}]                                   | nobody  |
 
-  Scenario Outline: membership: a list that can't be read is no hint
+  Scenario Outline: membership: an invalid list is refused
     Then membership: the list <body> is refused
 
     Examples:
--- a/features/steps/control_membership_steps.py
+++ b/features/steps/control_membership_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the membership of proxies."""
+"""Steps for the membership of proxies."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class MembershipUnderTest:
-    """A leader whose proposals are applied at once."""
+    """A leader whose proposals are applied immediately."""
 
     def __init__(self, lease_s: float, groups: int = 1) -> None:
         self.test = StateUnderTest()
@@ -41,7 +41,7 @@
         self.sequence = 0
 
     def post(self, *events: object) -> None:
-        """Hand events in, and apply what is proposed."""
+        """Handle events, and apply the resulting proposals."""
         for event in events:
             self.leader.handle(event, self.now)
         while True:
@@ -55,7 +55,7 @@
                     self.leader.handle(UpdateApplied(update), self.now)
 
     def connect(self, name: str, incarnation: int = 1, folder_id: str = "disk") -> None:
-        """Let a proxy connect and send its first heartbeat."""
+        """Connect a proxy, which sends its first heartbeat."""
         hello = ProxyHello(name, incarnation, "127.9.9.9:1", "z1", 0, 0, folder_id)
         self.post(ProxyConnected(hello))
         self.post(self.heartbeat(name, first=True))
@@ -67,7 +67,7 @@
         return HeartbeatReceived(name, beat, first)
 
     def wait(self, seconds: float, goes_on: bool) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(end, self.now + STEP_S)
@@ -76,13 +76,13 @@
             self.post(TimePassed())
 
 
-@given("membership: a proxy that serves, with leases of {lease:g} s")
+@given("membership: a serving proxy with leases of {lease:g} s")
 def _(context, lease):
     context.membership = MembershipUnderTest(lease)
     context.membership.connect("p")
 
 
-@when("membership: the platform's list calls it {listed}")
+@when("membership: the platform lists it as {listed}")
 def _(context, listed):
     leaving = frozenset({"p"}) if listed == "leaving" else frozenset()
     context.membership.post(PlatformListed(leaving))
@@ -101,7 +101,7 @@
     membership.wait(seconds, goes_on=does == "goes on")
 
 
-@when("membership: it connects again {how}")
+@when("membership: it reconnects {how}")
 def _(context, how):
     match how:
         case "as the same process":
@@ -137,14 +137,14 @@
         before = len(membership.test.state.proxies)
         membership.now += apart / 2
         membership.post(TimePassed())
-        assert len(membership.test.state.proxies) == before, "not paced"
+        assert len(membership.test.state.proxies) == before, "not rate-limited"
         membership.now += apart / 2 + 0.001
         membership.post(TimePassed())
         assert before < len(membership.test.state.proxies) <= before + most
     assert membership.now <= seconds, membership.now
 
 
-@when("membership: {count:d} proxies connect and then {silent:d} others are found silent")
+@when("membership: {count:d} proxies connect and then {silent:d} others are silent")
 def _(context, count, silent):
     context.membership = membership = MembershipUnderTest(30.0)
     for number in range(silent):
@@ -158,7 +158,7 @@
     context.silent = silent
 
 
-@then("membership: the first entry after that names the silent ones")
+@then("membership: the next entry names the silent ones")
 def _(context):
     proposed = [c for c in context.membership.leader.take_commands() if isinstance(c, Propose)]
     states = [record.state for record in proposed[0].entry.proxies[: context.silent]]
