--- a/features/steps/control_news_steps.py
+++ b/features/steps/control_news_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the news that the leader sends to proxies."""
+"""Steps for the control updates that the leader sends to proxies."""
 
 from __future__ import annotations
 
@@ -26,41 +26,41 @@
 PIECES = (1, 7, 1_000)
 
 
-class BoardUnderTest:
-    """A state, its updates and the news board over them."""
+class CacheUnderTest:
+    """A state, its updates and the cache over them."""
 
     def __init__(self, kept: int) -> None:
         self.test = StateUnderTest()
         self.ring = UpdateRing(kept)
-        self.board = UpdateCache(self.test.state, self.ring)
+        self.cache = UpdateCache(self.test.state, self.ring)
 
     def change(self, number: int) -> None:
-        """Record a proxy that is not known yet."""
+        """Record a new proxy."""
         update = self.test.apply(RecordProxies((a_proxy(f"p{number}"),))).update
         if update is not None:
             self.ring.add(update)
 
 
 class Follower:
-    """A proxy that takes what the board gives."""
+    """A proxy that follows the cache."""
 
-    def __init__(self, board: UpdateCache) -> None:
-        self._board = board
+    def __init__(self, cache: UpdateCache) -> None:
+        self._cache = cache
         self.builder = ControlViewBuilder()
         self.snapshots = 0
         self.updates = 0
 
     @property
     def index(self) -> int:
-        """The index it has."""
+        """The control index of its state."""
         return self.builder.view.control_index if self.builder.view else 0
 
     def follow(self) -> None:
-        """Take all that is new."""
-        while (news := self._board.since(self.index)) is not None:
-            (data,) = FrameReader().feed(news.framed)
+        """Apply all new updates."""
+        while (cached := self._cache.since(self.index)) is not None:
+            (data,) = FrameReader().feed(cached.framed)
             message = decode(data).unwrap()
-            assert message.control_index == news.control_index > self.index
+            assert message.control_index == cached.control_index > self.index
             if isinstance(message, ControlSnapshot):
                 self.snapshots += 1
                 self.builder.take_snapshot(message)
@@ -70,13 +70,13 @@
 
 
 @then(
-    "news: in {histories:d} histories with {kept:d} updates kept, all views become the present one"
+    "news: in {histories:d} histories with {kept:d} updates kept, all views become the current one"
 )
 def _(context, histories, kept):
     for seed in range(histories):
         generator = random.Random(seed)
-        under_test = BoardUnderTest(kept)
-        followers = [Follower(under_test.board) for _ in range(4)]
+        under_test = CacheUnderTest(kept)
+        followers = [Follower(under_test.cache) for _ in range(4)]
         for number in range(STEPS):
             under_test.change(number)
             generator.choice(followers).follow()
@@ -86,21 +86,21 @@
             assert follower.builder.view == whole
 
 
-def _board(context, groups: int, kept: int) -> None:
-    context.under_test = BoardUnderTest(kept)
+def _declare_groups(context, groups: int, kept: int) -> None:
+    context.under_test = CacheUnderTest(kept)
     declaration = a_declaration(*(a_group(f"g{number}") for number in range(groups)))
     context.under_test.test.bring_into_force(declaration)
 
 
 @given("news: a state with nothing declared")
 def _(context):
-    context.under_test = BoardUnderTest(ALL_KEPT)
+    context.under_test = CacheUnderTest(ALL_KEPT)
 
 
 @when("news: a proxy without state connects")
 def _(context):
-    context.follower = Follower(context.under_test.board)
-    first = context.under_test.board.since(0)
+    context.follower = Follower(context.under_test.cache)
+    first = context.under_test.cache.since(0)
     assert first.control_index == 0
     (data,) = FrameReader().feed(first.framed)
     context.follower.builder.take_snapshot(decode(data).unwrap())
@@ -122,12 +122,12 @@
 
 @given("news: a state with {groups:d} groups, and {kept:d} updates kept")
 def _(context, groups, kept):
-    _board(context, groups, kept)
+    _declare_groups(context, groups, kept)
 
 
 @given("news: a state with {groups:d} groups")
 def _(context, groups):
-    _board(context, groups, ALL_KEPT)
+    _declare_groups(context, groups, ALL_KEPT)
 
 
 @when("news: {count:d} proxies without state connect, each after another change")
@@ -136,7 +136,7 @@
     context.followers = []
     for number in range(count):
         under_test.change(number)
-        follower = Follower(under_test.board)
+        follower = Follower(under_test.cache)
         follower.follow()
         context.followers.append(follower)
         assert follower.index == under_test.test.state.control_index
@@ -144,12 +144,12 @@
 
 @then("news: {count:d} snapshot was encoded")
 def _(context, count):
-    assert context.under_test.board.snapshots_encoded == count
+    assert context.under_test.cache.snapshots_encoded == count
 
 
 @then("news: at least {fewest:d} and at most {most:d} snapshots were encoded")
 def _(context, fewest, most):
-    encoded = context.under_test.board.snapshots_encoded
+    encoded = context.under_test.cache.snapshots_encoded
     assert fewest <= encoded <= most, encoded
 
 
@@ -159,16 +159,16 @@
     assert taken == {(snapshots, True)}, taken
 
 
-@then("news: the snapshot's frame is less than a fifth of the message, and is read as the message")
+@then("news: the snapshot's frame is less than a fifth of the message, and decodes to it")
 def _(context):
     under_test = context.under_test
     context.message = encode(under_test.test.state.snapshot_for_proxies())
-    context.framed = under_test.board.since(0).framed
+    context.framed = under_test.cache.since(0).framed
     assert len(context.framed) < len(context.message) / 5
     assert FrameReader().feed(context.framed) == [context.message]
 
 
-@then("news: that holds however the frame is cut into pieces")
+@then("news: the same holds if the frame arrives in pieces")
 def _(context):
     for size in PIECES:
         reader, read = FrameReader(), []
@@ -179,14 +179,14 @@
 
 @when("news: the snapshot's frame {damage}")
 def _(context, damage):
-    framed = bytearray(context.under_test.board.since(0).framed)
+    framed = bytearray(context.under_test.cache.since(0).framed)
     match damage:
         case "has a flipped byte":
             framed[len(framed) // 2] ^= 0xFF
-        case "has lost its end":
+        case "is truncated":
             size = (len(framed) - 4 - 10) | 0x8000_0000
             framed = bytearray(size.to_bytes(4, "big")) + framed[4:-10]
-        case "holds more than a frame may hold":
+        case "exceeds the maximum frame size":
             framed = bytearray(compressed_frame(bytes(MAXIMUM_FRAME_BYTES + 1)))
     context.framed = bytes(framed)
 
