--- a/features/support/lease_world.py
+++ b/features/support/lease_world.py
@@ -196,7 +196,7 @@
         self.holders.append(self._start(holder.name, holder.folder_id))
 
     def _replace_machine(self, holder: Holder) -> None:
-        """Start a process of the same name on an empty disk; the earlier one runs on, partitioned."""
+        """Start a process of the same name on an empty disk; the earlier one is partitioned."""
         holder.cut_until = self.now + self.generator.uniform(4.0, 12.0)
         newer = [other for other in self.holders if other.name == holder.name]
         if len(newer) == 1:
