--- a/features/steps/control_operators_steps.py
+++ b/features/steps/control_operators_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the operator's commands, run against real controllers and a proxy."""
+"""Steps for the operator's commands, run against real controllers and a proxy."""
 
 from __future__ import annotations
 
@@ -95,7 +95,7 @@
     context.done = context.lab.run("confirm", plan_id, operator=operator)
 
 
-@when("operators: anna and bert confirm their plans at the same moment")
+@when("operators: anna and bert confirm their plans concurrently")
 def _(context):
     lab = context.lab
     under_way = [
@@ -165,7 +165,7 @@
     lab.freeze(followers(lab, context.leader))
 
 
-@when("operators: the other controllers go on")
+@when("operators: the other controllers resume")
 def _(context):
     context.lab.thaw(followers(context.lab, context.leader))
 
@@ -189,7 +189,7 @@
     context.plans["anna"] = found.group(1)
 
 
-@then("operators: the proxy ends with 0")
+@then("operators: the proxy exits with 0")
 def _(context):
     assert context.done.returncode == 0, context.done
     process = context.lab.processes[PROXY]
@@ -198,7 +198,7 @@
     context.lab.json("confirm", plan["plan_id"])
 
 
-@when("operators: a follower loses its disk and comes back")
+@when("operators: a follower loses its disk and restarts")
 def _(context):
     lab = context.lab
     context.follower = followers(lab, lab.leader())[0]
@@ -217,7 +217,7 @@
     wait_for(lambda: role in _roles(context), f"{context.follower} is {role}")
 
 
-@when("operators: anna has it added as a learner, and the old voter replaced by it")
+@when("operators: anna adds it as a learner, and replaces the old voter by it")
 def _(context):
     lab, name = context.lab, context.follower
     context.done = lab.run("controller", "add", name)
--- a/features/support/operators_lab.py
+++ b/features/support/operators_lab.py
@@ -1,4 +1,4 @@
-"""The lab of real controllers and a proxy that the operators' commands are run against."""
+"""The real controllers and proxy against which the operators' commands run."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def shared_lab() -> ControllerLab:
-    """Return the lab of this test process, started at first use."""
+    """Return the lab of this test process, started on first use."""
     if not _lab:
         folder = Path(tempfile.mkdtemp(prefix="limedyke-operators-"))
         lab = ControllerLab(folder)
@@ -43,7 +43,7 @@
 
 
 def declaration_file(lab: ControllerLab, groups: int, name: str = "") -> str:
-    """Write a declaration of so many groups; return its path."""
+    """Write a declaration with a number of groups; return its path."""
     declared = {
         "tenants": [{"name": "t", "users": [{"name": "u", "verifier": _VERIFIER}]}],
         "groups": [_group(number) for number in range(1, groups + 1)],
@@ -76,7 +76,7 @@
 
 
 def proxy_metric(lab: ControllerLab, name: str) -> int:
-    """Return a gauge of the proxy, -1 while it does not answer."""
+    """Return a gauge of the proxy; -1 while it does not answer."""
     try:
         with urllib.request.urlopen(f"http://{lab.proxy_status}/metrics", timeout=5) as answer:
             text = answer.read().decode()
@@ -87,7 +87,7 @@
 
 
 def page(lab: ControllerLab, name: str, page: str) -> str:
-    """Return a status page of a controller, empty while it does not answer."""
+    """Return a status page of a controller; empty while it does not answer."""
     try:
         url = f"http://{lab.status_addresses[name]}/{page}"
         with urllib.request.urlopen(url, timeout=5) as answer:
@@ -97,19 +97,19 @@
 
 
 def followers(lab: ControllerLab, leader: str) -> list[str]:
-    """Return the names of the controllers that do not lead."""
+    """Return the names of all controllers except the leader."""
     return [name for name in lab.addresses if name != leader]
 
 
 def close_each_connection(listener: socket.socket) -> None:
-    """Accept connections and close each at once, for as long as the process lives."""
+    """Accept connections and close each one immediately, forever."""
     while True:
         client, _ = listener.accept()
         client.close()
 
 
 def send_startup_packet(address: str) -> bytes:
-    """Speak PostgreSQL to an address; return what comes back."""
+    """Send a PostgreSQL startup packet to an address; return the answer."""
     body = b"\x00\x03\x00\x00user\x00u\x00database\x00t/g1\x00\x00"
     with socket.create_connection(split_address(address), timeout=SILENCE_S) as sock:
         sock.sendall((len(body) + 4).to_bytes(4, "big") + body)
@@ -121,7 +121,7 @@
 
 
 async def ask_as(address: str, identity: LinkIdentity, request: object) -> object | None:
-    """Return the answer to a request under an identity, or None."""
+    """Send a request under an identity; return the answer, or None."""
     key = SECRETS["cluster"].encode()
     dialled = await dial(address, identity, lambda role, name: key)
     if dialled.is_err():
