--- a/features/control_plans.feature
+++ b/features/control_plans.feature
@@ -1,13 +1,13 @@
-Feature: Plans, confirmations and the history on the replicated state
-  Nothing takes effect before a confirmation, and a confirmation takes effect once.
+Feature: Plans, confirmations and the history in the replicated state
+  A plan takes effect only when it is confirmed, and only once.
 
-  Scenario: plans: a plan alone changes nothing
+  Scenario: plans: an unconfirmed plan has no effect
     Given plans: revision 1 with groups "g1"
     When plans: "anna" plans groups "g1 g2" as "p"
     Then plans: the plan "p" shows "add group g2"
     And plans: revision 1 with groups "g1" is in force
 
-  Scenario Outline: plans: of two confirmations on one base exactly one wins
+  Scenario Outline: plans: of two plans on the same base revision exactly one can be confirmed
     Given plans: revision 1 with groups "g1"
     And plans: "anna" plans groups "g1 g2" as "a"
     And plans: "bert" plans groups "g1 g3" as "b"
@@ -25,20 +25,20 @@
       | a     | b      | yes     | g1 g2  |
       | b     | a      | yes     | g1 g3  |
 
-  Scenario: plans: in every history one of equals wins, once, and answers stay as they were
-    Then plans: 100 random histories of racing operators keep the rules
+  Scenario: plans: in random histories one plan per base revision wins, once, and answers never change
+    Then plans: 100 random histories of concurrent operators keep the rules
 
-  Scenario Outline: plans: without a safeguard some history breaks the rules
-    Then plans: without "<safeguard>" one of 20 random histories breaks the rules
+  Scenario Outline: plans: without a safeguard some history violates the rules
+    Then plans: without "<safeguard>" one of 20 random histories violates the rules
 
     Examples:
       | safeguard                              |
-      | of plans on one base one wins          |
+      | of plans on one base revision one wins          |
       | a resent request gets its first answer |
       | plans expire                           |
       | a conflict names the winner            |
 
-  Scenario Outline: plans: a confirmation sent again gets its first answer
+  Scenario Outline: plans: a repeated confirmation gets the first answer
     Given plans: revision 1 with groups "g1"
     And plans: "anna" plans groups "g1 g2" as "a"
     And plans: "bert" plans groups "g1 g3" as "b"
@@ -48,7 +48,7 @@
     And plans: a controller restarts from its snapshot <restart>
     When plans: <plan> is confirmed again with <request>
     Then plans: the answer is the first one of <plan>
-    And plans: nothing has changed by it
+    And plans: the state is unchanged
 
     Examples:
       | plan | request               | later | restart |
@@ -61,7 +61,7 @@
       | b    | another request       | 5     | no      |
       | b    | another request       | 5     | yes     |
 
-  Scenario Outline: plans: what can't be confirmed
+  Scenario Outline: plans: plans that cannot be confirmed
     Given plans: revision 1 with groups "g1"
     And plans: the primary of "g1" is "m1"
     And plans: "anna" plans <change> as "a"
@@ -76,7 +76,7 @@
       | groups "g1 g2"           | an unknown plan  | 1     | PLAN_UNKNOWN        |
       | "g1" without member "m1" | a                | 1     | DECLARATION_INVALID |
 
-  Scenario: plans: an expired plan may be made again
+  Scenario: plans: an expired plan can be created again
     Given plans: revision 1 with groups "g1"
     And plans: "anna" plans groups "g1 g2" as "a"
     When plans: a is confirmed 100 s later
@@ -84,30 +84,30 @@
     And plans: again is confirmed 210 s later
     Then plans: revision 2 with groups "g1 g2" is in force
 
-  Scenario: plans: a slower clock of a later leader does not bring an expired plan back
+  Scenario: plans: an expired plan stays expired under a later leader with a slower clock
     Given plans: revision 1 with groups "g1"
     And plans: "anna" plans groups "g1 g2" as "a"
     When plans: an unknown plan is confirmed 5000 s later
     And plans: a is confirmed 1 s later
     Then plans: the answer is "PLAN_EXPIRED"
 
-  Scenario: plans: a plan without changes makes no revision
+  Scenario: plans: a plan without changes creates no revision
     Given plans: revision 1 with groups "g1"
     And plans: "anna" plans groups "g1" as "a"
     When plans: a is confirmed
     Then plans: a is answered "Confirmed" at revision 1
     And plans: the history has 1 entries
 
-  Scenario: plans: the history says who confirmed what
+  Scenario: plans: the history names the operator and the change
     Given plans: revision 1 with groups "g1"
     And plans: "anna" plans groups "g1 g2" as "a"
     When plans: "bert" confirms a
     Then plans: the newest history entry is revision 2 by "bert" and says "add group g2"
 
-  Scenario Outline: plans: the history also holds operations that make no revision
+  Scenario Outline: plans: the history also records operations that create no revision
     Given plans: revision 1 with groups "g1"
     And plans: the primary of "g1" is "m1"
-    When plans: "anna" confirms <operation>, and the request comes twice
+    When plans: "anna" confirms <operation>, and the request arrives twice
     Then plans: the newest history entry is revision 1 by "anna" and says "<words>"
     And plans: the history has 2 entries
 
@@ -116,16 +116,16 @@
       | a switchover of g1 to m2 | switchover of g1 to m2    |
       | a change of controllers  | controllers: remove c3    |
 
-  Scenario: plans: an id never looks like a number
-    Then plans: the ids of 2000 plans are text to a command line
+  Scenario: plans: a plan id never parses as a number
+    Then plans: the ids of 2000 plans are parsed as text by the command line
 
-  Scenario: plans: two controllers that apply the same entries hold the same bytes
-    Then plans: any entries give equal states, with a restart from a snapshot anywhere between
+  Scenario: plans: controllers that apply the same entries have identical states
+    Then plans: any entries give equal states, also with a restart from a snapshot in between
 
-  Scenario: plans: a merged update does what its parts do
-    Then plans: any changes bring a proxy to the same view in one update or in many
+  Scenario: plans: a merged update has the same effect as its parts
+    Then plans: any changes give a proxy the same view in one update or in many
 
-  Scenario Outline: plans: what a plan says it causes
+  Scenario Outline: plans: the effects shown by a plan
     Given plans: revision 1 with groups "g1"
     And plans: the primary of "g1" is "m1"
     When plans: "anna" plans <change> as "a"
--- a/features/mutants/control_state.py
+++ b/features/mutants/control_state.py
@@ -1,4 +1,4 @@
-"""Mutants of control: leases and plans without one safeguard, against their worlds."""
+"""Mutants of control: leases and plans, each without one safeguard, in random histories."""
 
 from __future__ import annotations
 
--- a/features/steps/control_plans_steps.py
+++ b/features/steps/control_plans_steps.py
@@ -1,4 +1,4 @@
-"""Steps on plans and the replicated control state."""
+"""Steps for plans and the replicated control state."""
 
 from __future__ import annotations
 
@@ -157,7 +157,7 @@
     assert context.answer == first, (context.answer, first)
 
 
-@then("plans: nothing has changed by it")
+@then("plans: the state is unchanged")
 def _(context):
     assert context.test.state.snapshot_for_proxies() == context.before
 
@@ -198,7 +198,7 @@
     assert words in newest.summary, newest
 
 
-@when('plans: "{operator}" confirms {operation}, and the request comes twice')
+@when('plans: "{operator}" confirms {operation}, and the request arrives twice')
 def _(context, operator, operation):
     if operation == "a switchover of g1 to m2":
         entry = BeginSwitchover("s", operator, "g1", 1, "m2", START)
@@ -209,7 +209,7 @@
     assert answers[0] == answers[1], answers
 
 
-@then("plans: the ids of {count:d} plans are text to a command line")
+@then("plans: the ids of {count:d} plans are parsed as text by the command line")
 def _(context, count):
     change = DeclarationChange()
     ids = [plan_id_of(revision, change) for revision in range(count)]
@@ -217,19 +217,19 @@
     assert all(DefaultParseValue(plan_id) == plan_id for plan_id in ids)
 
 
-@then("plans: {count:d} random histories of racing operators keep the rules")
+@then("plans: {count:d} random histories of concurrent operators keep the rules")
 def _(context, count):
     for seed in range(count):
         PlanWorld(seed).run(STEPS_IN_A_HISTORY)
 
 
-@then('plans: without "{safeguard}" one of {count:d} random histories breaks the rules')
+@then('plans: without "{safeguard}" one of {count:d} random histories violates the rules')
 def _(context, safeguard, count):
     assert finds_violation(safeguard, count, STEPS_IN_A_HISTORY)
 
 
 def _random_entry(test: StateUnderTest, generator: random.Random) -> object:
-    """Return an entry that may or may not fit the present state."""
+    """Return an entry that may or may not be valid in the current state."""
     names = [f"g{i}" for i in range(4)]
     group = generator.choice(names)
     recorded = test.state.primaries.get(group)
@@ -265,7 +265,7 @@
         test.apply(_random_entry(test, generator))
 
 
-@then("plans: any entries give equal states, with a restart from a snapshot anywhere between")
+@then("plans: any entries give equal states, also with a restart from a snapshot in between")
 def _(context):
     @settings(max_examples=60, deadline=None, derandomize=True, database=None)
     @with_values(strategies.integers(0, 2**32), strategies.integers(0, 40))
@@ -284,7 +284,7 @@
     check()
 
 
-@then("plans: any changes bring a proxy to the same view in one update or in many")
+@then("plans: any changes give a proxy the same view in one update or in many")
 def _(context):
     @settings(max_examples=60, deadline=None, derandomize=True, database=None)
     @with_values(strategies.integers(0, 2**32), strategies.integers(0, 30))
--- a/features/support/control_builders.py
+++ b/features/support/control_builders.py
@@ -1,4 +1,4 @@
-"""Declarations and log entries for the tests of control."""
+"""Builders of declarations and log entries for the tests of the control state."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
     def plan(
         self, declaration: Declaration, request_id: str, operator: str = "anna", now: int = 1_000
     ) -> object:
-        """Record a plan on the present revision; return the answer."""
+        """Record a plan on the current revision; return the answer."""
         state = self.state
         change = state.declared.change_to(declaration)
         entry = RecordPlan(
@@ -99,5 +99,5 @@
         return self.confirm(plan.plan_id, f"confirm-{number}-{self.index}")
 
     def restart(self) -> None:
-        """Go on from the bytes of a snapshot, as a restarted controller does."""
+        """Reload the state from a snapshot, as a restarted controller does."""
         self.state = ControlState.from_bytes(self.state.to_bytes())
--- a/features/support/plan_world.py
+++ b/features/support/plan_world.py
@@ -1,7 +1,7 @@
-"""A world of operators who race each other, lose answers and resend; and its safeguards.
+"""Simulates concurrent operators who lose answers and resend requests, and mutants of the rules.
 
-Every controller applies the same log.  A request may reach it twice, by way of two leaders;
-the leaders' calendar clocks differ.  Controllers restart from their snapshot at any moment.
+Every controller applies the same log.  A request may enter it twice, through two leaders, whose
+wall clocks differ.  Controllers restart from their snapshot at any time.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 
 
 class PlanViolationError(AssertionError):
-    """Something took effect that must not, or an answer changed."""
+    """A change took effect that must not have, or an answer changed."""
 
 
 @dataclass
 class Sent:
-    """A confirmation that was sent, and the first answer the log gave to it."""
+    """A confirmation that was sent, and the first answer to it."""
 
     operator: str
     request_id: str
@@ -57,7 +57,7 @@
     now: int = START
 
     def run(self, steps: int) -> None:
-        """Run some steps."""
+        """Run a number of steps."""
         generator = random.Random(self.seed)
         for number in range(steps):
             self.now += generator.randrange(LONGEST_PAUSE_S)
@@ -125,7 +125,7 @@
         self._check_loser(first)
 
     def _check_loser(self, sent: Sent) -> None:
-        """A conflict names the revision that the winner of the same base made."""
+        """Check that a conflict names the revision created by the winner on the same base."""
         answer = sent.answer
         if isinstance(answer, Confirmed) or not answer.revision:
             return
@@ -138,7 +138,7 @@
 
 
 def _decide_on_any_base(state: ControlState, index: int, entry: object) -> tuple:
-    """Let a plan win whatever came into force since it was made."""
+    """Let a plan win regardless of revisions confirmed since it was made."""
     plan = state.plans.plan(entry.plan_id)
     if plan is not None:
         moved = dataclasses.replace(plan, base_revision=state.revision)
@@ -147,11 +147,11 @@
 
 
 def _never_expire(state: ControlState, time: int) -> None:
-    """Leave the log's clock where it is."""
+    """Do not advance the log's clock."""
 
 
 MUTANTS: dict[str, Callable[[], AbstractContextManager]] = {
-    "of plans on one base one wins": lambda: mock.patch.object(
+    "of plans on one base revision one wins": lambda: mock.patch.object(
         ControlState, "_decide_plan", _decide_on_any_base
     ),
     "a resent request gets its first answer": lambda: mock.patch.object(
@@ -163,7 +163,7 @@
 
 
 def finds_violation(name: str, histories: int, steps: int) -> bool:
-    """Tell whether some history is wrong while a safeguard is patched out."""
+    """Return whether some history violates the rules without a safeguard."""
     with MUTANTS[name]():
         for seed in range(histories):
             try:
