--- a/features/control_proxies.feature
+++ b/features/control_proxies.feature
@@ -1,27 +1,27 @@
-Feature: A proxy and the controllers
-  A proxy uses only a leader with a live quorum, and only state that its disk keeps.
+Feature: A proxy's connection to the controllers
+  A proxy uses only a leader with a live quorum, and only state that is synced to its disk.
 
   Scenario Outline: proxies: which controller a proxy uses
     Given proxies: a controller c1 that <script>, and a controller c2 that leads
-    When proxies: a proxy starts with the present state on its disk and finds c1 first
-    Then proxies: it is with c2 within 3 s, and has never gone back
+    When proxies: a proxy starts with the current state on its disk and finds c1 first
+    Then proxies: it is connected to c2 within 3 s, and has never used an older state
 
     Examples:
       | script                                   |
-      | answers with a stamp that stands still   |
+      | answers with a stamp that does not advance   |
       | answers with a stamp of an older term    |
       | answers no heartbeat                     |
-      | says that the other leads                |
+      | redirects to the other controller                |
       | refuses the proxy for a while            |
       | sends an older snapshot                  |
       | sends an update that does not follow     |
-      | grants leases after they have run out    |
+      | grants leases after they have expired    |
       | does not run                             |
 
-  Scenario Outline: proxies: a controller that <script> holds up nobody
+  Scenario Outline: proxies: a controller that <script> does not delay the proxy
     Given proxies: a controller c1 that <script>, and a controller c2 that leads
-    When proxies: a proxy starts with the present state on its disk and finds c1 first
-    Then proxies: it was with c2 within 400 ms, and has left nothing open at c1
+    When proxies: a proxy starts with the current state on its disk and finds c1 first
+    Then proxies: it was connected to c2 within 400 ms, and has left no link open at c1
 
     Examples:
       | script                       |
@@ -29,22 +29,22 @@
       | hangs after the hello        |
       | refuses the proxy for a long while |
 
-  Scenario Outline: proxies: it stays where all is well, and would stay wrongly without the limit
+  Scenario Outline: proxies: it leaves a controller without a live quorum, because of the silence limit
     Given proxies: a controller c1 that <script>, and a controller c2 that leads
     When proxies: a proxy with a silence limit of <limit> ms finds c1 first
-    Then proxies: it is with <controller> after 1 s
+    Then proxies: it is connected to <controller> after 1 s
 
     Examples:
       | script                                 | limit | controller |
       | leads                                  | 300   | c1         |
-      | answers with a stamp that stands still | 300   | c2         |
-      | answers with a stamp that stands still | 60000 | c1         |
+      | answers with a stamp that does not advance | 300   | c2         |
+      | answers with a stamp that does not advance | 60000 | c1         |
       | answers no heartbeat                   | 60000 | c1         |
 
-  Scenario Outline: proxies: one with something urgent to say leaves a silent leader sooner
+  Scenario Outline: proxies: a proxy with an unanswered report leaves a silent leader sooner
     Given proxies: a controller c1 that <script>, and a controller c2 that leads
     When proxies: a proxy with a silence limit of 60000 ms finds c1 first, and <reports> there
-    Then proxies: it is with <controller> after 2 s
+    Then proxies: it is connected to <controller> after 2 s
 
     Examples:
       | script       | reports                     | controller |
@@ -52,12 +52,12 @@
       | falls silent | reports nothing             | c1         |
       | leads        | reports a member            | c1         |
 
-  Scenario: proxies: one whose leases ran out on an open link tells the leader
-    Given proxies: a controller c1 that lets leases run out, and a controller c2 that leads
+  Scenario: proxies: a proxy whose leases expire on an open link reconnects
+    Given proxies: a controller c1 that lets leases expire, and a controller c2 that leads
     When proxies: a proxy with a silence limit of 60000 ms finds c1 first, and reports nothing there
-    Then proxies: it has left c1 since, having been granted leases there
+    Then proxies: it has left c1 after leases were granted there
 
-  Scenario Outline: proxies: when an unanswered report is the reason to leave
+  Scenario Outline: proxies: when an unanswered report is a reason to leave
     Then proxies: after "<events>" the leader may be silent for <seconds> s
 
     Examples:
@@ -71,22 +71,22 @@
       | 0 report, 1 left, 2 report, 10.5 report  | inf     |
       | 0 report, 1 left, 11.5 report            | 1       |
 
-  Scenario Outline: proxies: what it uses is on its disk, whenever it crashes
+  Scenario Outline: proxies: state in force is on disk, whenever the proxy crashes
     Given proxies: a proxy with <disk>
     When proxies: it takes a snapshot at 20 and updates up to <last>, and may crash at each
     Then proxies: the disk always held <verdict>
 
     Examples:
       | disk                             | last | verdict            |
-      | a disk that syncs                | 30   | what was in force  |
-      | a disk that syncs                | 300  | what was in force  |
-      | a store that writes nothing      | 30   | less than that     |
-      | a store that syncs after its use | 30   | less than that     |
+      | a disk that syncs                | 30   | the state in force  |
+      | a disk that syncs                | 300  | the state in force  |
+      | a store that writes nothing      | 30   | an older state     |
+      | a store that syncs after applying | 30   | an older state     |
 
-  Scenario Outline: proxies: one that lost its disk puts nothing old in force
+  Scenario Outline: proxies: a proxy that lost its disk applies no outdated state
     Given proxies: a controller c1 that <script>, and a controller c2 that leads
     When proxies: a proxy with an empty disk finds c1 first
-    Then proxies: it puts <indexes> in force, and its disk then holds 20
+    Then proxies: it applies <indexes>, and its disk then holds 20
 
     Examples:
       | script                                          | indexes   |
@@ -95,32 +95,32 @@
       | breaks off after a kept snapshot                | 20        |
       | sends a kept snapshot as if it were the newest  | 12 and 20 |
 
-  Scenario Outline: proxies: a restart never goes back
+  Scenario Outline: proxies: a restart never uses an older state
     Given proxies: a proxy accepted a snapshot at 20 and updates up to 25
     When proxies: its journal <damage>
     Then proxies: a restart <outcome>
 
     Examples:
       | damage                              | outcome                                    |
-      | is whole                            | uses 25 at once, and asks from 25          |
+      | is whole                            | uses 25 immediately, and asks from 25          |
       | lost the last byte                  | uses nothing yet, and asks from 24         |
       | lost the whole last frame but 1 byte| uses nothing yet, and asks from 24         |
       | has a flipped bit in its last frame | uses nothing yet, and asks from 24         |
       | has a flipped bit in its snapshot   | uses nothing yet, and asks from 0          |
       | is gone                             | uses nothing yet, and asks from 0          |
-      | has a half-written successor        | uses 25 at once, and asks from 25          |
+      | has a partially written replacement        | uses 25 immediately, and asks from 25          |
 
-  Scenario: proxies: an incarnation grows with each start, and a folder keeps its id
-    Then proxies: 5 starts on one folder have rising incarnations and one id
+  Scenario: proxies: the incarnation increases with each start, and a folder keeps its id
+    Then proxies: 5 starts on one folder have increasing incarnations and one id
     And proxies: a second process on the folder is refused
     And proxies: another folder has another id
 
-  Scenario Outline: proxies: an order to drain is followed only when the leader confirms it
-    Given proxies: a proxy whose disk says that it drains
+  Scenario Outline: proxies: a stored order to drain is followed only once the leader confirms it
+    Given proxies: a proxy whose stored state orders it to drain
     When proxies: it starts and <event>
     Then proxies: the order is <verdict>
 
     Examples:
       | event                                | verdict       |
-      | hears no controller                  | not confirmed |
-      | hears that its state is the present  | confirmed     |
+      | reaches no controller                  | not confirmed |
+      | learns that its state is current  | confirmed     |
--- a/features/steps/control_proxies_steps.py
+++ b/features/steps/control_proxies_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a proxy's control client and its small disk."""
+"""Steps for a proxy's control client and its control store."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 async def _save(folder: Path, index: int, updates: range) -> None:
-    """Accept a snapshot and the updates after it, as an earlier process did."""
+    """Store a snapshot and updates, as an earlier process would have."""
     store = ControlStore(folder)
     store.open().unwrap()
     await store.save_snapshot(a_snapshot(index))
@@ -50,7 +50,7 @@
 def _run_from_c1(
     context, until, timeout_s: float, silence_ms: int = 300, has_state: bool = True, report=None
 ) -> None:
-    """Run a client whose first choice is c1; c1's successor in the settings is c2."""
+    """Run a client that tries c1 first, then c2."""
     folder = context.folder / "proxy"
     if has_state:
         curio.run(_save, folder, PRESENT, range(0))
@@ -66,12 +66,12 @@
         )
 
 
-@when("proxies: a proxy starts with the present state on its disk and finds c1 first")
+@when("proxies: a proxy starts with the current state on its disk and finds c1 first")
 def _(context):
     _run_from_c1(context, lambda client: context.c2.heartbeats >= 3, timeout_s=3.0)
 
 
-@then("proxies: it is with c2 within 3 s, and has never gone back")
+@then("proxies: it is connected to c2 within 3 s, and has never used an older state")
 def _(context):
     assert context.held, (len(context.c1.hellos), len(context.c2.hellos))
     assert not context.runs_first or context.c1.hellos
@@ -79,7 +79,7 @@
     assert indexes and set(indexes) == {PRESENT}, indexes
 
 
-@then("proxies: it was with c2 within {limit:d} ms, and has left nothing open at c1")
+@then("proxies: it was connected to c2 within {limit:d} ms, and has left no link open at c1")
 def _(context, limit):
     assert context.held, (len(context.c1.hellos), len(context.c2.hellos))
     assert context.c2.first_hello_s < limit / 1_000, context.c2.first_hello_s
@@ -100,7 +100,7 @@
     _run_from_c1(context, lambda client: False, 2.0, silence_ms=limit, report=report)
 
 
-@then("proxies: it has left c1 since, having been granted leases there")
+@then("proxies: it has left c1 after leases were granted there")
 def _(context):
     assert context.c1.heartbeats > 1
     assert context.c2.hellos, len(context.c1.hellos)
@@ -123,8 +123,8 @@
     assert silence.remaining_s(now) == float(seconds), silence.remaining_s(now)
 
 
-@then("proxies: it is with {name:w} after 2 s")
-@then("proxies: it is with {name:w} after 1 s")
+@then("proxies: it is connected to {name:w} after 2 s")
+@then("proxies: it is connected to {name:w} after 1 s")
 def _(context, name):
     beats = {"c1": context.c1.heartbeats, "c2": context.c2.heartbeats}
     assert beats["c1"] > 0 and (beats["c2"] > 0) == (name == "c2"), beats
@@ -139,7 +139,7 @@
     assert context.held
 
 
-@then("proxies: it puts {indexes} in force, and its disk then holds {last:d}")
+@then("proxies: it applies {indexes}, and its disk then holds {last:d}")
 def _(context, indexes, last):
     used = [str(view.control_index) for view in context.handler.views]
     assert " and ".join(used) == indexes, used
@@ -156,7 +156,7 @@
 
 @contextlib.contextmanager
 def _store_that_syncs_late():
-    """Write a message only when the next one comes."""
+    """Write each message only when the next one arrives."""
     late = []
     append = control_store._append_file
 
@@ -174,7 +174,7 @@
     context.disk = {
         "a disk that syncs": contextlib.nullcontext,
         "a store that writes nothing": _store_without_writes,
-        "a store that syncs after its use": _store_that_syncs_late,
+        "a store that syncs after applying": _store_that_syncs_late,
     }[disk]
 
 
@@ -186,7 +186,7 @@
 
 
 def _index_on(image: Path) -> int:
-    """Return the index that a start on an image of the disk would use."""
+    """Return the index that a proxy would use after a start from an image of the disk."""
     store = ControlStore(image)
     stored = store.open().unwrap()
     store.close()
@@ -215,7 +215,7 @@
 
 @then("proxies: the disk always held {verdict}")
 def _(context, verdict):
-    assert (not context.lost) == (verdict == "what was in force"), context.lost
+    assert (not context.lost) == (verdict == "the state in force"), context.lost
 
 
 @given("proxies: a proxy accepted a snapshot at {snapshot:d} and updates up to {last:d}")
@@ -241,7 +241,7 @@
         case "is gone":
             journal.unlink()
             return
-        case "has a half-written successor":
+        case "has a partially written replacement":
             journal.with_suffix(journal.suffix + ".new").write_bytes(HALF_WRITTEN)
     journal.write_bytes(bytes(data))
 
@@ -252,12 +252,12 @@
     stored = store.open().unwrap()
     store.close()
     view = view_of(stored)
-    assert (view is not None) == (used == "25 at once"), view
+    assert (view is not None) == (used == "25 immediately"), view
     asked = stored.builder.view.control_index if stored.builder.view else 0
     assert asked == index, asked
 
 
-@then("proxies: {count:d} starts on one folder have rising incarnations and one id")
+@then("proxies: {count:d} starts on one folder have increasing incarnations and one id")
 def _(context, count):
     context.starts = []
     for _ in range(count):
@@ -285,7 +285,7 @@
     assert other.folder_id not in ("", context.starts[0].folder_id)
 
 
-@given("proxies: a proxy whose disk says that it drains")
+@given("proxies: a proxy whose stored state orders it to drain")
 def _(context):
     context.proxy_folder = context.folder / "proxy"
     curio.run(_save, context.proxy_folder, PRESENT, range(0))
@@ -294,7 +294,7 @@
 @when("proxies: it starts and {event}")
 def _(context, event):
     controllers = (ScriptedController("c1"),)
-    if event == "hears no controller":
+    if event == "reaches no controller":
         controllers[0].run = curio.Event().wait
     context.handler = RecordingHandler()
     confirmed = []
@@ -315,7 +315,7 @@
             controllers,
             context.handler,
             lambda client: client.view_confirmed,
-            SHORT_S if event == "hears no controller" else 3.0,
+            SHORT_S if event == "reaches no controller" else 3.0,
         )
 
 
--- a/features/support/scripted_controller.py
+++ b/features/support/scripted_controller.py
@@ -1,4 +1,4 @@
-"""Controllers that follow a script, and a real control client in front of them, in one kernel."""
+"""Controllers that follow a script, and a real control client connected to them."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 def a_snapshot(index: int, groups: int = 1) -> ControlSnapshot:
-    """Return a state at an index; its revision is the same number."""
+    """Return a state at an index; the revision is the same number."""
     declaration = a_declaration(*(a_group(f"g{number}") for number in range(groups)))
     return ControlSnapshot(index, index, declaration, (), ())
 
@@ -60,10 +60,10 @@
 
 @dataclass
 class ScriptedController:
-    """A controller that leads, or does one thing wrong.
+    """A controller that behaves as a leader, or deviates in one way.
 
-    :param script: what it does; empty for all that a leader does
-    :param hellos: what proxies said first
+    :param script: the deviation; empty for none
+    :param hellos: the hellos received from proxies
     """
 
     name: str
@@ -102,7 +102,7 @@
                 await self._answer(link, message)
 
     async def _wait_for_end(self, link: Link) -> None:
-        """Say nothing until the proxy closes the link."""
+        """Send nothing until the proxy closes the link."""
         try:
             await link.receive()
         finally:
@@ -110,7 +110,7 @@
 
     def _first_messages(self, hello: ProxyHello) -> list[object]:
         match self.script:
-            case "says that the other leads":
+            case "redirects to the other controller":
                 return [NotLeader(self.leader)]
             case "refuses the proxy for a while":
                 return [ProxyRefused(4009, "taken", HEARTBEAT_MS)]
@@ -139,23 +139,23 @@
         match self.script:
             case "answers no heartbeat":
                 return
-            case "lets leases run out":
-                return await self._let_leases_run_out(link, heartbeat)
+            case "lets leases expire":
+                return await self._let_leases_expire(link, heartbeat)
             case "falls silent":
                 if self.heartbeats > 2:
                     return
-            case "answers with a stamp that stands still":
+            case "answers with a stamp that does not advance":
                 stamp = (TERM, 1)
             case "answers with a stamp of an older term":
                 stamp = (TERM if self.heartbeats < 3 else TERM - 1, self.counter)
-            case "grants leases after they have run out":
+            case "grants leases after they have expired":
                 lease = ConnectionLease("g0", "t", 3)
                 await link.send(LeaseUpdate((lease,)))
         answer = QuorumStamp(heartbeat.sequence, *stamp, PRESENT, LEASE_MS)
         await link.send(answer)
 
-    async def _let_leases_run_out(self, link: Link, heartbeat: ProxyHeartbeat) -> None:
-        """Grant for a short time, answer again only when that has passed, then go on."""
+    async def _let_leases_expire(self, link: Link, heartbeat: ProxyHeartbeat) -> None:
+        """Grant a short lease, and answer heartbeats again only after it has expired."""
         answer = QuorumStamp(heartbeat.sequence, TERM, self.counter, PRESENT, SHORT_LEASE_MS)
         if self.heartbeats == 1:
             await link.send(answer)
@@ -167,9 +167,9 @@
 
 @dataclass
 class RecordingHandler:
-    """Takes views as a proxy does, and notes them.
+    """Receives views as a proxy does, and records them.
 
-    :param seen: called with each view at the moment it comes into force
+    :param seen: called with each view at the moment it takes effect
     """
 
     seen: Callable[[ControlView], None] = lambda view: None
@@ -177,12 +177,12 @@
     leases: list[tuple[ConnectionLease, ...]] = field(default_factory=list)
 
     async def control_changed(self, view: ControlView) -> None:
-        """Note a view."""
+        """Record a view."""
         self.views.append(view)
         self.seen(view)
 
     async def leases_changed(self, leases: tuple[ConnectionLease, ...], expires_at: float) -> None:
-        """Note the leases."""
+        """Record the leases."""
         self.leases.append(leases)
 
     async def promote(self, order: PromoteOrder) -> PromoteResult:
@@ -191,7 +191,7 @@
 
 
 def client_settings(folder: Path, addresses: tuple[str, ...], silence_ms: int) -> ProxySettings:
-    """Return a proxy's settings with short times."""
+    """Return a proxy's settings with short intervals and timeouts."""
     return ProxySettings(
         name="p1",
         zone="z1",
@@ -216,7 +216,7 @@
     silence_ms: int = SILENCE_MS,
     report: MemberReport | None = None,
 ) -> tuple[ControlClient, bool]:
-    """Run a control client in front of controllers until a condition holds or time is over.
+    """Run a control client against controllers until a condition holds or the timeout expires.
 
     :returns: the client, and whether the condition held
     """
@@ -238,7 +238,7 @@
 
 
 def keep_image(folder: Path, image: Path) -> None:
-    """Copy what a crash at this moment would leave."""
+    """Copy the files that a crash at this moment would leave."""
     shutil.rmtree(image, ignore_errors=True)
     shutil.copytree(folder, image)
 
