--- a/features/steps/control_scale_steps.py
+++ b/features/steps/control_scale_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what a leader of many groups looks at."""
+"""Steps for the cost of a leader's evaluations with many groups."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 from limedyke.messages.databases import MemberState
 from limedyke.messages.declaration import Declaration, Group, PromotionMode, TenantAccess
 
-LOOK_S = 0.05
+EVALUATION_INTERVAL_S = 0.05
 HOMES = 3
 
 
 class _CountedMembers(dict):
-    """Members by identity that count how many records are read."""
+    """Members by identity; counts the records that are read."""
 
     read = 0
 
@@ -39,14 +39,14 @@
         return super().get(identity, default)
 
     def values(self) -> Iterator:
-        """Count all that are gone through."""
+        """Count all records that are iterated over."""
         for value in super().values():
             self.read += 1
             yield value
 
 
 class _ManyGroups:
-    """A leader of many groups whose proposals are applied at once."""
+    """A leader of many groups whose proposals are applied immediately."""
 
     def __init__(self, groups: int, proxies: int) -> None:
         self.now = 100.0
@@ -107,29 +107,29 @@
     context.world = _ManyGroups(groups, proxies)
 
 
-@when("control scale: 1 s passes, with a look each 50 ms")
+@when("control scale: 1 s passes, with an evaluation every 50 ms")
 def step_pass(context):
     context.world.counted.read = 0
-    context.looks = 20
-    for _ in range(context.looks):
-        context.world.now += LOOK_S
+    context.evaluations = 20
+    for _ in range(context.evaluations):
+        context.world.now += EVALUATION_INTERVAL_S
         context.world.post(TimePassed())
 
 
-@then("control scale: at each look it read at most {most:d} records of members a group")
+@then("control scale: each evaluation read at most {most:d} member records per group")
 def step_read(context, most):
-    each = context.world.counted.read / context.looks / context.groups
+    each = context.world.counted.read / context.evaluations / context.groups
     assert each <= most, each
 
 
-@when("control scale: one member of each group says that it drains")
+@when("control scale: one member of each group announces that it drains")
 def step_drain(context):
     context.world.counted.read = 0
     for member in context.world.members[1::3]:
         context.world.announce(replace(member, state=MemberState.DRAINING), 2)
 
 
-@then("control scale: for each change it read at most {most:d} records of members")
+@then("control scale: each change read at most {most:d} member records")
 def step_read_changes(context, most):
     each = context.world.counted.read / context.groups
     assert each <= most, each
