--- a/features/steps/announced_members_steps.py
+++ b/features/steps/announced_members_steps.py
@@ -1,4 +1,4 @@
-"""Steps on members that announce themselves, and on their promotion by an authority."""
+"""Steps for members that announce themselves, and their promotion by an authority."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 NOW = 50.0
 
 
-@given('announced: members "{members}" of a group, heard')
-def step_book(context, members):
+@given('announced: members "{members}" of a group have announced themselves')
+def step_tracker(context, members):
     roles = dict(member.split(":") for member in members.split())
     context.members = {name: a_member(name, role) for name, role in roles.items()}
     context.displaced = DisplacedMembers()
-    context.book = AnnouncementTracker(context.members, context.displaced, NOW)
+    context.tracker = AnnouncementTracker(context.members, context.displaced, NOW)
     for member in context.members.values():
-        assert context.book.announced(member, 1, NOW) is None
-    context.learned = None
+        assert context.tracker.announced(member, 1, NOW) is None
+    context.recorded = None
 
 
-def take(context, entry: RecordMembers | None) -> None:
+def apply_entry(context, entry: RecordMembers | None) -> None:
     """Apply an entry to the recorded members, as the log does."""
-    context.learned = entry
+    context.recorded = entry
     if entry is None:
         return
     context.displaced.apply(entry, context.members)
@@ -44,66 +44,69 @@
 
 @when("announced: {name:w} says {role}, number {number:d}, after {seconds:g} s")
 def step_says(context, name, role, number, seconds):
-    take(context, context.book.announced(a_member(name, role), number, NOW + seconds))
+    apply_entry(context, context.tracker.announced(a_member(name, role), number, NOW + seconds))
 
 
 @when("announced: {name:w} drains, then says {role}")
 def step_drains_then(context, name, role):
-    take(context, context.book.announced(a_member(name, "draining replica"), 2, NOW + 1))
-    take(context, context.book.announced(a_member(name, role), 3, NOW + 2))
+    apply_entry(context, context.tracker.announced(a_member(name, "draining replica"), 2, NOW + 1))
+    apply_entry(context, context.tracker.announced(a_member(name, role), 3, NOW + 2))
 
 
 @when("announced: {name:w} says {role} at the address of {other:w}")
 def step_address(context, name, role, other):
     member = with_address_of(a_member(name, role), context.members[other])
-    take(context, context.book.announced(member, 1, NOW + 1))
+    apply_entry(context, context.tracker.announced(member, 1, NOW + 1))
 
 
 @when("announced: d takes the address of b, {later}")
 def step_taken_then(context, later):
     address = context.members["b"]
-    take(context, context.book.announced(with_address_of(a_member("d", "replica"), address), 1, 51))
+    apply_entry(
+        context,
+        context.tracker.announced(with_address_of(a_member("d", "replica"), address), 1, 51),
+    )
     if "a new leader, " in later:
         context.displaced = DisplacedMembers(context.displaced.recorded())
-        context.book = AnnouncementTracker(context.members, context.displaced, 52.0)
+        context.tracker = AnnouncementTracker(context.members, context.displaced, 52.0)
     b = a_member("b", "primary")
     if "from elsewhere" in later:
         b = with_address_of(b, a_member("e", "replica"))
     number = int(later.rpartition("number ")[2])
-    take(context, context.book.announced(b, number, 52.5))
+    apply_entry(context, context.tracker.announced(b, number, 52.5))
 
 
 @when("announced: {name:w} withdraws")
 def step_withdraws(context, name):
-    take(context, context.book.withdrawn(name, NOW + 1))
+    apply_entry(context, context.tracker.withdrawn(name, NOW + 1))
 
 
 @when("announced: {name:w} withdraws, then says {role}")
 def step_withdraws_then(context, name, role):
-    take(context, context.book.withdrawn(name, NOW + 1))
-    take(context, context.book.announced(a_member(name, role), 9, NOW + 2))
+    apply_entry(context, context.tracker.withdrawn(name, NOW + 1))
+    apply_entry(context, context.tracker.announced(a_member(name, role), 9, NOW + 2))
 
 
-@then('announced: the log learns "{learned}"')
-def step_learned(context, learned):
-    entry = context.learned
+@then('announced: the log records "{recorded}"')
+def step_recorded(context, recorded):
+    entry = context.recorded
     parts = []
     if entry is not None:
         for member in entry.members:
             word = "primary" if member.is_primary else "replica"
             parts.append(f"{member.identity} {word if member.state == 'ready' else 'draining'}")
         parts += [f"without {name}" for name in entry.removed]
-    assert (", ".join(parts) or "-") == learned, parts
+    assert (", ".join(parts) or "-") == recorded, parts
 
 
-@given("authority: primary a, replicas b and c, proxies p q r that follow")
+@given("authority: primary a, replicas b and c, connected proxies p q r")
 def step_world(context):
     context.world = AnnouncedWorld({"a": "primary", "b": "replica", "c": "replica"})
     context.world.run(1.0)
     assert context.world.primary == "a", context.world.primary
 
 
-@given("authority: {count:d} more proxies that follow")
+@given("authority: {count:d} more connected proxies")
 def step_more_proxies(context, count):
     context.world.add_proxies(f"s{number}" for number in range(count))
     context.world.run(1.0)
@@ -115,7 +118,7 @@
     context.world.report(" ".join(homes[count:]), member, MemberHealth.UNREACHABLE)
 
 
-@when("authority: all that are no home proxies report {member:w} unreachable")
+@when("authority: all proxies except home proxies report {member:w} unreachable")
 def step_others_report(context, member):
     world = context.world
     others = [name for name in world.proxies if name not in world.home_proxies()]
@@ -192,7 +195,7 @@
     context.world.lead()
 
 
-@step("authority: another leader takes over, which only {name:w} has found")
+@step("authority: another leader takes over, to which only {name:w} has connected")
 def step_new_leader_found_by(context, name):
     others = [proxy for proxy in context.world.proxies if proxy != name]
     context.world.unconfirming.update(others)
@@ -222,18 +225,18 @@
     world.report(" ".join(heard_homes), member, MemberHealth.UNREACHABLE)
 
 
-@then("authority: promotion is not asked")
+@then("authority: no promotion is requested")
 def step_not_asked(context):
     assert not context.world.calls, context.world.calls
 
 
-@then("authority: promotion is asked of {name:w}")
+@then("authority: promotion is requested of {name:w}")
 def step_asked_of(context, name):
-    assert context.world.calls, "nothing was asked"
+    assert context.world.calls, "no promotion was requested"
     assert context.world.calls[-1].member == name, context.world.calls
 
 
-@then("authority: it was asked {count:d} times")
+@then("authority: promotions were requested {count:d} times")
 def step_asked_times(context, count):
     assert len(context.world.calls) == count, context.world.calls
 
--- a/features/support/announced_world.py
+++ b/features/support/announced_world.py
@@ -1,4 +1,4 @@
-"""A leader with one group of announced members and proxies that follow, on a clock of its own."""
+"""A leader with one group of announced members and connected proxies, on virtual time."""
 
 from __future__ import annotations
 
@@ -38,16 +38,16 @@
 
 
 def a_member(identity: str, role: str) -> AnnouncedMember:
-    """Return a member; ``role`` is primary or replica, with draining before it or not."""
+    """Return a member; ``role`` is primary or replica, optionally preceded by draining."""
     state = MemberState.DRAINING if "draining" in role else MemberState.READY
     address = f"127.0.0.{ord(identity)}:1"
     return AnnouncedMember(identity, GROUP, address, "z", "v1", 3, state, "primary" in role)
 
 
 class AnnouncedWorld:
-    """Proposals are applied at once; proxies confirm what is applied, unless told not to.
+    """Applies proposals immediately; proxies confirm them, except those in ``unconfirming``.
 
-    :param started_at_ms: when all members started; 0 when they do not tell
+    :param started_at_ms: start time of all members; 0 if they do not report it
     """
 
     def __init__(self, members: dict[str, str], started_at_ms: int = 0) -> None:
@@ -71,7 +71,7 @@
         self.lead()
 
     def lead(self, found_by: Iterable[str] | None = None) -> None:
-        """Let a new leader begin.
+        """Start a new leader.
 
         :param found_by: the proxies that connect to it; None for all
         """
@@ -83,7 +83,7 @@
             self.announce(name)
 
     def add_proxies(self, names: Iterable[str]) -> None:
-        """Let further proxies connect."""
+        """Connect further proxies."""
         for name in names:
             self.proxies.append(name)
             self._connect(name)
@@ -98,7 +98,7 @@
         return self.leader.homes.homes(GROUP)
 
     def post(self, *events: object) -> None:
-        """Hand events in, and carry out what is decided."""
+        """Handle events, and execute the resulting commands."""
         for event in events:
             self.leader.handle(event, self.now)
         while commands := self.leader.take_commands():
@@ -109,39 +109,39 @@
                     self.apply(command.entry)
 
     def apply(self, entry: object) -> None:
-        """Apply an entry, and tell the leader and the proxies."""
+        """Apply an entry, and notify the leader."""
         update = self.test.apply(entry).update
         if update is not None:
             self.leader.handle(UpdateApplied(update), self.now)
 
     def beat(self, proxy: str, first: bool = False) -> None:
-        """Let a proxy send a heartbeat that confirms what is applied, unless it doesn't."""
+        """Deliver a heartbeat; it confirms the applied index, unless the proxy is unconfirming."""
         self.heartbeats += 1
         index = 0 if proxy in self.unconfirming else self.test.state.control_index
         beat = ProxyHeartbeat(self.heartbeats, index, 0, ProxyState.SERVING, 0)
         self.post(HeartbeatReceived(proxy, beat, first))
 
     def announce(self, name: str, role: str | None = None) -> None:
-        """Let a member announce itself, its role changed or not."""
+        """Deliver an announcement of a member, with a new role if given."""
         if role is not None:
             started = self.members[name].started_at_ms if name in self.members else 0
             self.members[name] = replace(a_member(name, role), started_at_ms=started)
         self.sequences[name] = self.sequences.get(name, 0) + 1
-        book = self.leader.announcements
-        entry = book.announced(self.members[name], self.sequences[name], self.now)
+        tracker = self.leader.announcements
+        entry = tracker.announced(self.members[name], self.sequences[name], self.now)
         if entry is not None:
             self.apply(entry)
         self.post()
 
     def start_again(self, name: str, role: str, later_ms: int = 1_000) -> None:
-        """Let a member start anew under its identity, and announce itself."""
+        """Restart a member under its identity; it announces itself."""
         started = self.members[name].started_at_ms + later_ms
         self.members[name] = replace(a_member(name, role), started_at_ms=started)
         self.sequences[name] = 0
         self.announce(name)
 
     def withdraw(self, name: str) -> None:
-        """Let a member end."""
+        """Withdraw a member."""
         entry = self.leader.announcements.withdrawn(name, self.now)
         self.silent.add(name)
         if entry is not None:
@@ -158,10 +158,10 @@
         leads: bool | None = None,
         started_at_ms: int | None = None,
     ) -> None:
-        """Let proxies report on members, whose logs they have seen up to a position in a term.
+        """Deliver proxies' reports on members, with the position and term of their logs.
 
-        :param leads: whether they think that it leads; None for what is recorded
-        :param started_at_ms: of the incarnation that they have seen; None for the present one
+        :param leads: whether they report it as the primary; None for the recorded state
+        :param started_at_ms: start time of the observed incarnation; None for the current one
         """
         for proxy in proxies.split():
             for member in members.split():
@@ -178,12 +178,12 @@
                 self.post(MemberReported(proxy, report))
 
     def answer(self, outcome: AuthorityOutcome) -> None:
-        """Let the authority answer the newest call."""
+        """Deliver the outcome of the newest call to the authority."""
         call = self.calls[-1]
         self.post(AuthorityAnswered(call.group, call.fence, outcome))
 
     def run(self, seconds: float) -> None:
-        """Let time pass; members announce themselves and proxies send heartbeats meanwhile."""
+        """Advance the clock; members announce themselves and proxies send heartbeats."""
         end = self.now + seconds
         next_beat = self.now + INTERVAL_S
         while self.now < end - 1e-9:
@@ -206,5 +206,5 @@
 
 
 def with_address_of(member: AnnouncedMember, other: AnnouncedMember) -> AnnouncedMember:
-    """Return a member at another one's address."""
+    """Return a member with another one's address."""
     return replace(member, address=other.address)
