--- a/features/steps/member_incarnations_proxy_steps.py
+++ b/features/steps/member_incarnations_proxy_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a proxy whose members start again under their identities."""
+"""Steps for a proxy whose members restart under their identities."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 
 class _Reports:
-    """Keeps what the proxy reports of its members."""
+    """Records the proxy's reports on members."""
 
     def __init__(self) -> None:
         self.newest: dict[str, object] = {}
 
     async def report_member(self, report: object) -> None:
-        """Take a report."""
+        """Record a report."""
         self.newest[report.member] = report
 
     async def return_leases(self, leases: object) -> None:
-        """Take leases back."""
+        """Ignore returned leases."""
 
-    def says_it_cannot_lead(self, name: str) -> bool:
-        """Tell whether the newest report says that a member is no primary to use."""
+    def reports_unusable_primary(self, name: str) -> bool:
+        """Return whether the newest report says that a member is unusable as the primary."""
         report = self.newest.get(name)
         if report is None:
             return False
@@ -70,7 +70,7 @@
     assert context.path.runs_of("READ x")[-1] == "b", context.path.runs_of("READ x")
 
 
-@when("incarnation: {name:w} starts again empty, says that it {says:w}, and {told}")
+@when("incarnation: {name:w} restarts empty, says that it {says:w}, and {told}")
 def step_start_again(context, name, says, told):
     path = context.path
     run(context, path.group.start_again, name, says == "leads")
@@ -81,7 +81,7 @@
     context.runs_before = len(path.group.runs)
 
 
-@then("incarnation: reads of x and writes of y are not answered by what a holds now")
+@then("incarnation: reads of x and writes of y are not answered by the empty a")
 def step_not_answered(context):
     for number in range(ASKS):
         read = run(context, context.client.ask, "READ x")
@@ -92,10 +92,10 @@
     assert not ran, ran
 
 
-@then("incarnation: within {limit:d} ms the proxy reports that a can't lead")
+@then("incarnation: within {limit:d} ms the proxy reports that a cannot lead")
 def step_reported(context, limit):
     end = time.monotonic() + limit / 1_000
-    while not context.reports.says_it_cannot_lead("a"):
+    while not context.reports.reports_unusable_primary("a"):
         assert time.monotonic() < end, context.reports.newest
         run(context, curio.sleep, LOOK_S)
 
@@ -126,7 +126,7 @@
     run(context, path.tell_view)
 
 
-@then("incarnation: a has still the connection that it had")
+@then("incarnation: the connection to a is still the same")
 def step_same_connection(context):
     step_serves(context)
     assert context.path.group.members["a"].opened == context.opened_before
--- a/features/steps/member_incarnations_steps.py
+++ b/features/steps/member_incarnations_steps.py
@@ -1,4 +1,4 @@
-"""Steps on members that start again under their identities."""
+"""Steps for members that restart under their identities."""
 
 from __future__ import annotations
 
@@ -22,31 +22,31 @@
     return dict(member.split(":") for member in text.split())
 
 
-@given('incarnation: members "{members}" that tell when they started')
+@given('incarnation: members "{members}" that report their start time')
 def step_all_tell(context, members):
     roles = _roles(members)
     context.world = IncarnationsWorld(roles, set(roles))
 
 
-@given('incarnation: members "{members}" that do not tell when they started')
+@given('incarnation: members "{members}" that do not report their start time')
 def step_none_tells(context, members):
     context.world = IncarnationsWorld(_roles(members), set())
 
 
-@given('incarnation: members "{members}", of which {telling} tell when they started')
+@given('incarnation: members "{members}", of which {telling} report their start time')
 def step_some_tell(context, members, telling):
     names = set() if telling == "nobody" else set(telling.split())
     context.world = IncarnationsWorld(_roles(members), names)
 
 
-@when("incarnation: the leader hears: {events}")
+@when("incarnation: the events are: {events}")
 def step_events(context, events):
     for event in events.split("; "):
         _happen(context.world, event)
 
 
 def _happen(world: IncarnationsWorld, event: str) -> None:
-    """Bring one event about, after the time that it begins with."""
+    """Perform an event, after the delay that it starts with, if any."""
     later = re.fullmatch(r"([\d.]+) s later (.*)", event)
     if later is not None:
         world.now += float(later[1])
@@ -58,7 +58,7 @@
         world.lead()
     elif event == "the log is read from a snapshot":
         world.read_snapshot()
-    elif "starts again" in event:
+    elif "restarts" in event:
         world.start_again(name, elsewhere="elsewhere" in event)
     elif "takes the address of" in event:
         world.take_address(name, event[-1])
@@ -70,9 +70,9 @@
         world.announce(name, int(event.rpartition(" ")[2]), incarnation)
 
 
-@then('incarnation: the log learns "{learned}"')
-def step_learned(context, learned):
-    assert context.world.learned_text() == learned, context.world.learned_text()
+@then('incarnation: the log records "{recorded}"')
+def step_recorded(context, recorded):
+    assert context.world.recorded_text() == recorded, context.world.recorded_text()
 
 
 @given(
@@ -102,7 +102,7 @@
 
 
 def _happen_in_group(world: AnnouncedWorld, event: str) -> None:
-    again = re.fullmatch(r"(\w) starts again as (\w+)", event)
+    again = re.fullmatch(r"(\w) restarts as (\w+)", event)
     seen = re.fullmatch(r"([\w ]+?) sees? (\w)( of before)? at (\d+)", event)
     leads = re.fullmatch(r"([\w ]+?) sees? that (\w) (leads|does not lead)", event)
     lost = re.fullmatch(r"([\w ]+?) can't reach (\w)", event)
@@ -131,18 +131,18 @@
     context.group.run(milliseconds / 1_000)
 
 
-@then("incarnation: promotion is not asked")
+@then("incarnation: no promotion is requested")
 def step_not_asked(context):
     assert not context.group.calls, context.group.calls
 
 
-@then("incarnation: promotion is asked of {name:w}")
+@then("incarnation: promotion is requested of {name:w}")
 def step_asked_of(context, name):
-    assert context.group.calls, "nothing was asked"
+    assert context.group.calls, "no promotion was requested"
     assert context.group.calls[-1].member == name, context.group.calls
 
 
-@then("incarnation: the recorded primary is a, of its present incarnation")
+@then("incarnation: the recorded primary is a, of its current incarnation")
 def step_present(context):
     world = context.group
     recorded = world.test.state.primaries[GROUP]
--- a/features/support/incarnations_world.py
+++ b/features/support/incarnations_world.py
@@ -1,4 +1,4 @@
-"""Members of a leader's book that start again under their identities, on a clock of the test."""
+"""Members that restart under their identities, before a leader's announcement tracker."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 NOW = 50.0
 FIRST_START_MS = 1_790_000_000_000
 BETWEEN_STARTS_MS = 1_000
-NOT_TOLD = 0
+NOT_REPORTED = 0
 
 
 def start_of(incarnation: int) -> int:
-    """Return when an incarnation started; 0, for not told, of number 0."""
-    return FIRST_START_MS + incarnation * BETWEEN_STARTS_MS if incarnation else NOT_TOLD
+    """Return the start time of an incarnation; number 0 has none and gives 0."""
+    return FIRST_START_MS + incarnation * BETWEEN_STARTS_MS if incarnation else NOT_REPORTED
 
 
 def incarnation_of(started_at_ms: int) -> int:
-    """Return the number of the incarnation that started then."""
-    return (started_at_ms - FIRST_START_MS) // BETWEEN_STARTS_MS if started_at_ms else NOT_TOLD
+    """Return the number of the incarnation with this start time."""
+    return (started_at_ms - FIRST_START_MS) // BETWEEN_STARTS_MS if started_at_ms else NOT_REPORTED
 
 
 class IncarnationsWorld:
     """A leader's book over a control state; what the leader learns is applied at once.
 
     :param roles: primary or replica, by identity
-    :param telling: those that tell when they started
-    :ivar learned: the entry that the last event gave, None when it gave none
+    :param telling: those that report their start time
+    :ivar recorded: the entry that the last event caused, or None
     """
 
     def __init__(self, roles: dict[str, str], telling: set[str]) -> None:
         self.now = NOW
         self.test = StateUnderTest()
-        self.learned: RecordMembers | None = None
+        self.recorded: RecordMembers | None = None
         self.members = {
             name: replace(a_member(name, role), started_at_ms=start_of(int(name in telling)))
             for name, role in roles.items()
@@ -49,17 +49,17 @@
             self.announce(name, 5)
 
     def lead(self) -> None:
-        """Let another controller lead from now on."""
+        """Start a new leader."""
         state = self.test.state
-        self.book = AnnouncementTracker(state.announced, state.displaced, self.now, state.ended)
+        self.tracker = AnnouncementTracker(state.announced, state.displaced, self.now, state.ended)
 
     def read_snapshot(self) -> None:
-        """Have the controllers read their state from a snapshot, and one of them lead."""
+        """Reload the state from a snapshot, and start a new leader."""
         self.test.state = ControlState.from_bytes(self.test.state.to_bytes())
         self.lead()
 
     def start_again(self, name: str, elsewhere: bool) -> None:
-        """Start a member anew under its identity."""
+        """Restart a member under its identity."""
         known = self.members[name]
         started = start_of(incarnation_of(known.started_at_ms) + 1)
         address = f"127.9.9.{ord(name)}:1" if elsewhere else known.address
@@ -67,28 +67,28 @@
         self.members[name] = replace(again, started_at_ms=started, address=address)
 
     def take_address(self, name: str, other: str) -> None:
-        """Let a new member announce itself at the address of another one."""
+        """Announce a new member at the address of another one."""
         member = with_address_of(a_member(name, "replica"), self.members[other])
         self.members[name] = replace(member, started_at_ms=self.members[other].started_at_ms)
         self.announce(name, 1)
 
     def drain(self, name: str) -> None:
-        """Let a member say that it drains."""
+        """Announce that a member drains."""
         role = "draining primary" if self.members[name].is_primary else "draining replica"
         drained = replace(self.members[name], state=a_member(name, role).state)
-        self._take(self.book.announced(drained, 6, self.now))
+        self._take(self.tracker.announced(drained, 6, self.now))
 
     def announce(self, name: str, number: int, incarnation: int | None = None) -> None:
-        """Let a member announce itself, or an announcement of an earlier incarnation arrive."""
+        """Deliver an announcement of a member, or of an earlier incarnation of it."""
         member = self.members.get(name) or a_member(name, "replica")
         if incarnation is not None:
             member = self._of(name, incarnation)
-        self._take(self.book.announced(member, number, self.now))
+        self._take(self.tracker.announced(member, number, self.now))
 
     def withdraw(self, name: str, incarnation: int | None = None) -> None:
-        """Let a member tell that it ends."""
+        """Withdraw a member."""
         member = self.members[name] if incarnation is None else self._of(name, incarnation)
-        self._take(self.book.withdrawn(name, self.now, member.started_at_ms))
+        self._take(self.tracker.withdrawn(name, self.now, member.started_at_ms))
 
     def _of(self, name: str, incarnation: int) -> AnnouncedMember:
         member = self.members.get(name) or a_member(name, "replica")
@@ -96,13 +96,13 @@
         return replace(member, started_at_ms=start_of(incarnation), address=address)
 
     def _take(self, entry: RecordMembers | None) -> None:
-        self.learned = entry
+        self.recorded = entry
         if entry is not None:
             self.test.apply(entry)
 
-    def learned_text(self) -> str:
-        """Return what the log learned last, in few words."""
-        entry = self.learned
+    def recorded_text(self) -> str:
+        """Return a summary of the last recorded entry."""
+        entry = self.recorded
         if entry is None:
             return "-"
         parts = [f"{m.identity} of {incarnation_of(m.started_at_ms)}" for m in entry.members]
