--- a/features/announced_members.feature
+++ b/features/announced_members.feature
@@ -32,25 +32,25 @@
 
     Examples: when a primary is suspected
       | why                             | event                        | ms   | outcome      |
-      | all is well                     | nothing happens              | 3000 | not asked    |
-      | one proxy can't reach it        | p reports a unreachable      | 1000 | not asked    |
-      | most can't reach it             | p q report a unreachable     | 1000 | asked of b   |
-      | for a moment only               | p q report a unreachable     | 50   | not asked    |
-      | it drains                       | a says draining primary      | 1000 | asked of b   |
-      | it ends                         | a withdraws                  | 1000 | asked of b   |
-      | silent and unreachable          | a is silent, p can't reach it | 7000 | asked of b  |
-      | silent, but reached             | a is silent, p reaches it    | 7000 | not asked    |
+      | all is well                     | nothing happens              | 3000 | not requested |
+      | one proxy can't reach it        | p reports a unreachable      | 1000 | not requested |
+      | most can't reach it             | p q report a unreachable     | 1000 | requested of b |
+      | for a moment only               | p q report a unreachable     | 50   | not requested |
+      | it drains                       | a says draining primary      | 1000 | requested of b |
+      | it withdraws                    | a withdraws                  | 1000 | requested of b |
+      | silent and unreachable          | a is silent, p can't reach it | 7000 | requested of b |
+      | silent, but reached             | a is silent, p reaches it    | 7000 | not requested |
 
     Examples: which member is promoted
       | why                             | event                                         | ms   | outcome    |
-      | the one with the longest log    | c is ahead, p q report a unreachable          | 1000 | asked of c |
-      | not a draining one              | b says draining replica, p q report a unreachable | 1000 | asked of c |
-      | not an unreachable one          | p q report a and b unreachable                | 1000 | asked of c |
+      | the one with the longest log    | c is ahead, p q report a unreachable          | 1000 | requested of c |
+      | not a draining one              | b says draining replica, p q report a unreachable | 1000 | requested of c |
+      | not an unreachable one          | p q report a and b unreachable                | 1000 | requested of c |
 
     Examples: fencing
       | why                                 | event                                         | ms   | outcome    |
-      | a proxy has not confirmed           | r does not confirm, p q report a unreachable  | 1000 | not asked  |
-      | its lease has run out               | r does not confirm, p q report a unreachable  | 3000 | asked of b |
+      | a proxy has not confirmed           | r does not confirm, p q report a unreachable  | 1000 | not requested |
+      | its lease has expired               | r does not confirm, p q report a unreachable  | 3000 | requested of b |
 
   Scenario: authority: a majority of home proxies decides, regardless of the number of other proxies
     Given authority: primary a, replicas b and c, connected proxies p q r
@@ -67,8 +67,8 @@
 
     Examples:
       | why                              | event                                    | ms   | outcome    |
-      | one alone, which can't reach it  | only p is heard, p reports a unreachable | 3300 | not asked  |
-      | the same for longer              | only p is heard, p reports a unreachable | 6000 | asked of b |
+      | one alone, which can't reach it  | only p is heard, p reports a unreachable | 3300 | not requested |
+      | the same for longer              | only p is heard, p reports a unreachable | 6000 | requested of b |
 
   Scenario Outline: authority: a new leader waits for home proxies that are still connecting: <ms> ms
     Given authority: primary a, replicas b and c, connected proxies p q r
@@ -79,8 +79,8 @@
 
     Examples:
       | ms   | outcome    |
-      | 3300 | not asked  |
-      | 6000 | asked of b |
+      | 3300 | not requested |
+      | 6000 | requested of b |
 
   Scenario Outline: authority: a leader with few live proxies replaces a primary later: <why>
     Given authority: primary a, replicas b and c, connected proxies p q r
@@ -92,17 +92,17 @@
 
     Examples:
       | why               | others | ms   | outcome    |
-      | most are heard, too soon | 6 | 1500 | not asked |
-      | most are heard    | 6      | 2000 | asked of b |
-      | few are heard     | 3      | 3500 | not asked  |
-      | after a while all the same | 3 | 4500 | asked of b |
+      | most are heard, too soon | 6 | 1500 | not requested |
+      | most are heard    | 6      | 2000 | requested of b |
+      | few are heard     | 3      | 3500 | not requested |
+      | few are heard, after longer | 3 | 4500 | requested of b |
 
   Scenario: authority: proxies that are not home proxies have no vote
     Given authority: primary a, replicas b and c, connected proxies p q r
     And authority: 9 more connected proxies
     When authority: all proxies except home proxies report a unreachable
     And authority: 1000 ms pass
-    Then authority: no promotion is requested
+    Then authority: promotion is not requested
 
   Scenario: authority: a promoted member is recorded only once it leads
     Given authority: primary a, replicas b and c, connected proxies p q r
@@ -155,10 +155,10 @@
     And authority: <event>
     And authority: p q report b unreachable
     And authority: 1000 ms pass
-    Then authority: promotion is requested of <asked>
+    Then authority: promotion is requested of <requested>
 
     Examples:
-      | event                                    | asked |
+      | event                                    | requested |
       | nothing happens                          | c     |
       | a says primary                           | c     |
       | p reports c unreachable                  | c     |
--- a/features/member_incarnations.feature
+++ b/features/member_incarnations.feature
@@ -63,16 +63,16 @@
 
     Examples:
       | why                                       | event                                                         | ms   | outcome    |
-      | it announces that it leads                | a restarts as primary                                     | 300  | asked of b |
-      | it announces that it does not             | a restarts as replica                                     | 300  | asked of b |
-      | so did the replica that was ahead         | b restarts as replica; a restarts as primary          | 300  | asked of c |
-      | a late report on that replica             | b restarts as replica; p q r see b of before at 900; a restarts as primary | 300 | asked of c |
-      | the replica that was ahead has caught up  | b restarts as replica; p q r see b at 900; a restarts as primary | 300 | asked of b |
-      | partitioned from the leader, it tells proxies that it does not lead | p q see that a does not lead            | 2000 | asked of b |
-      | then it can't be reached any more         | p q r see that a does not lead; 300 ms pass; p q can't reach a | 300 | asked of b |
-      | it was unreachable for a moment before that | p q can't reach a; p q see that a does not lead             | 1000 | not asked  |
-      | a single proxy saw that                   | p sees that a does not lead                                   | 3000 | not asked  |
-      | for a moment only                         | p q see that a does not lead; 500 ms pass; p q see that a leads | 3000 | not asked |
+      | it announces that it leads                | a restarts as primary                                     | 300  | requested of b |
+      | it announces that it does not             | a restarts as replica                                     | 300  | requested of b |
+      | so did the replica that was ahead         | b restarts as replica; a restarts as primary          | 300  | requested of c |
+      | a late report on that replica             | b restarts as replica; p q r see b of before at 900; a restarts as primary | 300 | requested of c |
+      | the replica that was ahead has caught up  | b restarts as replica; p q r see b at 900; a restarts as primary | 300 | requested of b |
+      | partitioned from the leader, it tells proxies that it does not lead | p q see that a does not lead            | 2000 | requested of b |
+      | then it can't be reached any more         | p q r see that a does not lead; 300 ms pass; p q can't reach a | 300 | requested of b |
+      | it was unreachable for a moment before that | p q can't reach a; p q see that a does not lead             | 1000 | not requested |
+      | a single proxy saw that                   | p sees that a does not lead                                   | 3000 | not requested |
+      | for a moment only                         | p q see that a does not lead; 500 ms pass; p q see that a leads | 3000 | not requested |
 
   Scenario Outline: incarnation: a primary that is its group's only member restarts as <role>
     Given incarnation: a group with primary a alone, seen by proxies p q r
@@ -85,8 +85,8 @@
 
     Examples:
       | role    | outcome    | then                                       |
-      | primary | not asked  | nothing happens                            |
-      | replica | asked of a | the authority answers; a says primary      |
+      | primary | not requested | nothing happens                            |
+      | replica | requested of a | the authority answers; a says primary      |
 
   Scenario Outline: incarnation: a proxy uses no data of a primary that restarted empty: <consistency>, it <says>, <told>
   Guards against reads and writes at a restarted, empty primary until the proxy learns of the change of primary. "READ x"
--- a/features/steps/announced_members_steps.py
+++ b/features/steps/announced_members_steps.py
@@ -225,7 +225,7 @@
     world.report(" ".join(heard_homes), member, MemberHealth.UNREACHABLE)
 
 
-@then("authority: no promotion is requested")
+@then("authority: promotion is not requested")
 def step_not_asked(context):
     assert not context.world.calls, context.world.calls
 
--- a/features/steps/member_incarnations_steps.py
+++ b/features/steps/member_incarnations_steps.py
@@ -131,7 +131,7 @@
     context.group.run(milliseconds / 1_000)
 
 
-@then("incarnation: no promotion is requested")
+@then("incarnation: promotion is not requested")
 def step_not_asked(context):
     assert not context.group.calls, context.group.calls
 
