--- a/features/support/incarnations_world.py
+++ b/features/support/incarnations_world.py
@@ -28,10 +28,10 @@
 
 
 class IncarnationsWorld:
-    """A leader's book over a control state; what the leader learns is applied at once.
+    """An announcement tracker over a control state; its entries are applied immediately.
 
     :param roles: primary or replica, by identity
-    :param telling: those that report their start time
+    :param telling: members that report their start time
     :ivar recorded: the entry that the last event caused, or None
     """
 
