--- a/features/steps/lease_demand_steps.py
+++ b/features/steps/lease_demand_steps.py
@@ -1,4 +1,4 @@
-"""Steps on connections that follow the demand of a group's home proxies."""
+"""Steps for connections that follow the demand of a group's home proxies."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 
 
 class _Homes:
-    """A leader, and nine home proxies that give back at once what is taken from them."""
+    """A leader, and nine home proxies that return revoked connections immediately."""
 
     def __init__(self):
         self.now = 0.0
@@ -85,15 +85,15 @@
         self.demands = {name: dict.fromkeys(MEMBERS, 0) for name in HOMES}
         self.unsent = {name: {} for name in HOMES}
         self.held = {name: Counter() for name in HOMES}
-        self.told = 0
-        self.most = 0
+        self.leases_sent = 0
+        self.most_leased = 0
         self.keeps_returns = False
         self.ends = {}
         self.sequence = itertools.count(1)
         self.lead()
 
     def lead(self):
-        """Let a controller begin to lead, which hears all home proxies that live."""
+        """Start a new leader, to which all running home proxies connect."""
         timing = ControlTiming(lease_s=LEASE_S, suspicion_s=1e9)
         self.leader = LeaderDecisions(self.test.state, timing, len(HOMES), None, self.now)
         self.leader.leases.set_homes("g", HOMES)
@@ -102,7 +102,7 @@
                 self.connect(name)
 
     def connect(self, name):
-        """Open a link: the home proxy tells all that it holds and has use for."""
+        """Connect a home proxy, which reports all its leases and demands."""
         hello = ProxyHello(name, 1, "", "z1", 0, 0, f"disk-{name}")
         self.post(ProxyConnected(hello))
         held = tuple(ConnectionLease("g", key, count) for key, count in self.held[name].items())
@@ -110,7 +110,7 @@
         self.beat(name, first=True, leases=held)
 
     def beat(self, name, first=False, leases=()):
-        """Send a heartbeat."""
+        """Deliver a heartbeat."""
         demands = None
         if name not in self.old:
             changed = self.unsent[name].items()
@@ -121,22 +121,22 @@
         self.post(HeartbeatReceived(name, beat, first))
 
     def post(self, event):
-        """Hand an event in; carry out what follows."""
+        """Handle an event, and execute the resulting commands."""
         self.leader.handle(event, self.now)
         for command in self.leader.take_commands():
             if isinstance(command, SendToProxy) and isinstance(command.message, LeaseUpdate):
                 self.take(command.proxy, command.message.leases)
 
     def take(self, name, leases):
-        """Have a home proxy take its leases, and return what is above them."""
+        """Apply leases at a home proxy, which returns the connections above them."""
         returned = []
         for lease in leases:
-            self.told += 1
+            self.leases_sent += 1
             if lease.connections < self.held[name][lease.tenant]:
                 returned.append(lease)
             if not (self.keeps_returns and returned):
                 self.held[name][lease.tenant] = lease.connections
-        self.most = max(self.most, *(self.sum_at(member) for member in MEMBERS))
+        self.most_leased = max(self.most_leased, *(self.sum_at(member) for member in MEMBERS))
         if returned and not self.keeps_returns:
             self.post(LeasesReturned(name, tuple(returned)))
 
@@ -146,7 +146,7 @@
         return held["shared"] + held[member_budget("shared", member)]
 
     def sum_at(self, member):
-        """Return how many connections to a member may be open over all that hold leases."""
+        """Return how many connections to a member may be open over all holders."""
         return sum(
             count
             for held in self.held.values()
@@ -155,12 +155,12 @@
         )
 
     def take_update(self, update):
-        """Hand a change of the state in."""
+        """Pass a state update to the leader."""
         self.post(UpdateApplied(update))
         self.leader.leases.set_homes("g", HOMES)
 
     def want(self, member, text):
-        """Set the demand of all home proxies at a member; "-" leaves one as it is."""
+        """Set the demand of all home proxies at a member; "-" leaves one unchanged."""
         for name, count in zip(HOMES, text.split(), strict=False):
             if count == "-" or name not in self.alive:
                 continue
@@ -168,7 +168,7 @@
                 self.demands[name][member] = self.unsent[name][member] = int(count)
 
     def wait(self, seconds):
-        """Let time pass, with heartbeats."""
+        """Advance the clock, with heartbeats."""
         end = self.now + seconds
         while self.now < end - 1e-9:
             self.now += HEARTBEAT_S
@@ -180,7 +180,7 @@
             self.post(TimePassed())
 
 
-@given("lease demand: nine home proxies, members m1, m2 and m3 that take 56 connections each")
+@given("lease demand: nine home proxies, members m1, m2 and m3 that accept 56 connections each")
 def step_homes(context):
     context.homes = _Homes()
     context.homes.wait(1.0)
@@ -226,23 +226,23 @@
     assert context.homes.at(name, member) == count, context.homes.held[name]
 
 
-@when("lease demand: for {seconds:d} s the demand at each member wavers by {width:d}")
-def step_waver(context, seconds, width):
+@when("lease demand: for {seconds:d} s the demand at each member fluctuates by {width:d}")
+def step_fluctuate(context, seconds, width):
     homes = context.homes
-    homes.told = 0
+    homes.leases_sent = 0
     base = {name: dict(demands) for name, demands in homes.demands.items()}
     for beat in range(int(seconds / HEARTBEAT_S)):
         for index, name in enumerate(HOMES):
             for member in MEMBERS:
-                wavering = (beat * 7 + index * 5) % (width + 1)
-                homes.demands[name][member] = base[name][member] + wavering
-                homes.unsent[name][member] = base[name][member] + wavering
+                fluctuation = (beat * 7 + index * 5) % (width + 1)
+                homes.demands[name][member] = base[name][member] + fluctuation
+                homes.unsent[name][member] = base[name][member] + fluctuation
         homes.wait(HEARTBEAT_S)
 
 
-@then("lease demand: {count:d} leases were told meanwhile")
-def step_told(context, count):
-    assert context.homes.told == count, context.homes.told
+@then("lease demand: {count:d} leases were sent meanwhile")
+def step_sent(context, count):
+    assert context.homes.leases_sent == count, context.homes.leases_sent
 
 
 @when(
@@ -251,29 +251,29 @@
 )
 def step_swing(context, seconds, member, first, second, period):
     homes = context.homes
-    context.least, context.most_told = [], []
+    context.least, context.leases_sent_per_swing = [], []
     for swing in range(seconds // period):
         text = second if swing % 2 else first
-        homes.told = 0
+        homes.leases_sent = 0
         homes.want(member, text)
         homes.wait(1.0)
         wanted = [name for name, count in zip(HOMES, text.split(), strict=True) if count == "9"]
         context.least.append(min(homes.at(name, member) for name in wanted))
         homes.wait(period - 1.0)
-        context.most_told.append(homes.told)
+        context.leases_sent_per_swing.append(homes.leases_sent)
 
 
-@then("lease demand: never were more than {count:d} connections to a member leased")
+@then("lease demand: at no time were more than {count:d} connections to a member leased")
 def step_never(context, count):
-    assert context.homes.most <= count, context.homes.most
+    assert context.homes.most_leased <= count, context.homes.most_leased
 
 
-@then("lease demand: at most {count:d} leases were told for each swing")
-def step_told_each(context, count):
-    assert max(context.most_told) <= count, context.most_told
+@then("lease demand: at most {count:d} leases were sent for each swing")
+def step_sent_each(context, count):
+    assert max(context.leases_sent_per_swing) <= count, context.leases_sent_per_swing
 
 
-@then("lease demand: 1 s after each swing those who want 9 may hold at least {count:d}")
+@then("lease demand: 1 s after each swing home proxies that want 9 may hold at least {count:d}")
 def step_after_swing(context, count):
     assert min(context.least) >= count, context.least
 
@@ -286,7 +286,7 @@
     homes.post(ProxyDisconnected("h1"))
 
 
-@when("lease demand: the leader dies after taking back from h1")
+@when("lease demand: the leader dies after revoking connections of h1")
 def step_leader_dies(context):
     homes = context.homes
     homes.keeps_returns = True
@@ -305,7 +305,7 @@
     homes.connect("h4")
 
 
-@when("lease demand: h1's last report is old: its link stays, it tells nothing")
+@when("lease demand: h1 stays connected and reports no new demand")
 def step_old_report(context):
     context.homes.silent.add("h1")
 
@@ -324,7 +324,7 @@
 
 
 @then(
-    "lease demand: without the safeguard that {safeguard} one of {count:d} random histories breaks "
+    "lease demand: without the safeguard that {safeguard} one of {count:d} random histories exceeds "
     "the limit"
 )
 def step_mutant(context, safeguard, count):
@@ -336,7 +336,7 @@
     "{under_way:d} under way at once"
 )
 def step_requests(context, tenants, each, seconds, under_way):
-    context.use, context.news = ConnectionUse(), DemandReporter()
+    context.use, context.reporter = ConnectionUse(), DemandReporter()
     context.sent = []
     context.at = 100.0
     interval_s = 1.0 / (tenants * each)
@@ -346,43 +346,45 @@
         context.use.requested(f"t{number % tenants}", under_way, context.at)
         while next_beat_at <= context.at:
             next_beat_at += 1.0
-            _tell(context, context.at)
-    _tell(context, context.at)
+            _report(context, context.at)
+    _report(context, context.at)
 
 
-def _tell(context, now):
+def _report(context, now):
     wanted = ConnectionDemand("g", "m1", context.use.wanted(now))
-    told = context.news.take([wanted], whole=not context.sent)
-    if told:
-        context.sent.append(told[0].connections)
+    reported = context.reporter.take([wanted], whole=not context.sent)
+    if reported:
+        context.sent.append(reported[0].connections)
 
 
-@then("lease demand: {count:d} connections are told as wanted, in at most {messages:d} messages")
+@then(
+    "lease demand: {count:d} connections are reported as wanted, in at most {messages:d} messages"
+)
 def step_wanted(context, count, messages):
     assert abs(context.sent[-1] - count) <= 1, context.sent
     assert len(context.sent) <= messages, context.sent
 
 
-@then("lease demand: 4 s later at most 2 are told as wanted")
+@then("lease demand: 4 s later at most 2 are reported as wanted")
 def step_wanted_no_more(context):
     for _ in range(4):
         context.at += 1.0
-        _tell(context, context.at)
+        _report(context, context.at)
     assert context.sent[-1] <= 2, context.sent
 
 
 class _Returned:
-    """Takes what a home proxy gives back."""
+    """Records the leases that a home proxy returns."""
 
     def __init__(self):
         self.leases = {}
 
     async def return_leases(self, leases):
-        """Note it."""
+        """Record returned leases."""
         self.leases.update({lease.tenant: lease.connections for lease in leases})
 
     async def report_member(self, report):
-        """Take no report."""
+        """Ignore reports on members."""
 
 
 @when("lease demand: h1 has a lease of {count:d} connections, and of {more:d} more to {member:w}")
@@ -402,7 +404,7 @@
     assert (pools["a"].limit, pools["b"].limit) == (a, b)
 
 
-@then("lease demand: it has given back all but {count:d} of a's")
+@then("lease demand: it has returned all but {count:d} of a's")
 def step_given_back(context, count):
     assert context.returned.leases[member_budget("shared", "a")] == count
 
@@ -438,7 +440,7 @@
     run(context, write_all)
 
 
-@then("lease demand: members were opened {count:d} connections in all")
+@then("lease demand: {count:d} connections to members were opened in total")
 def step_opened(context, count):
     opened = sum(member.opened for member in context.path.group.members.values())
     assert opened == count, opened
@@ -457,8 +459,7 @@
 
 
 @when(
-    "lease demand: a declaration that tells no caps comes, with {count:d} connections in place of "
-    "56"
+    "lease demand: a declaration without caps is applied, with {count:d} connections in place of 56"
 )
 def step_version(context, count):
     homes = context.homes
@@ -467,8 +468,8 @@
 
 
 @then(
-    "lease demand: {count:d} connections to {member:w} may be open in all, and 1 at least by each "
-    "home proxy"
+    "lease demand: {count:d} connections to {member:w} may be open in total, and at least 1 by "
+    "each home proxy"
 )
 def step_open(context, count, member):
     homes = context.homes
@@ -479,7 +480,7 @@
     assert sum(got) == count and min(got) >= 1, got
 
 
-@then("lease demand: a plan to cap a declared member is refused, and says what can be done")
+@then("lease demand: a plan to cap a declared member is refused with advice on what to do")
 def step_refused(context):
     state = context.homes.test.state
     declared = a_declaration(a_group("g2", 40, {"t": 20}))
@@ -494,7 +495,7 @@
 )
 def step_varies(context, seconds, low, high, few, more):
     homes = context.homes
-    homes.told = 0
+    homes.leases_sent = 0
     generator = random.Random(1)
     for _ in range(seconds):
         for index, name in enumerate(HOMES):
@@ -508,9 +509,9 @@
         homes.wait(1.0)
 
 
-@then("lease demand: at most {count:d} leases were told meanwhile")
-def step_told_at_most(context, count):
-    assert context.homes.told <= count, context.homes.told
+@then("lease demand: at most {count:d} leases were sent meanwhile")
+def step_sent_at_most(context, count):
+    assert context.homes.leases_sent <= count, context.homes.leases_sent
 
 
 @given(
