--- a/features/steps/home_choice_steps.py
+++ b/features/steps/home_choice_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the choice of home proxies by distance and told wait."""
+"""Steps for the choice of home proxies by distance and reported wait."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from features.steps.statement_forwarding_steps import parse_homes, step_links
 from features.steps.statement_path_steps import begin, run
-from features.support.home_choice_world import LOOK_S, ChoiceWorld
+from features.support.home_choice_world import SAMPLE_INTERVAL_S, ChoiceWorld
 from features.support.statement_homes import ForwardingPath
 from features.support.statement_path import GROUP
 from limedyke.core import home_choice
@@ -48,7 +48,7 @@
 
 
 @then(
-    "home choice: of the last second's units {percent:d} % waited less than {wait:d} ms at their "
+    "home choice: {percent:d} % of the last second's units waited less than {wait:d} ms at their "
     "home proxy"
 )
 def step_waited(context, percent, wait):
@@ -57,7 +57,7 @@
     assert reached * 1_000 < wait, (reached, len(waits))
 
 
-@then("home choice: {percent:d} % of them at most went to another region")
+@then("home choice: at most {percent:d} % of them went to another region")
 def step_away(context, percent):
     units = _last(context.world)
     far = sum(unit.is_far for unit in units) / len(units)
@@ -65,11 +65,11 @@
 
 
 def _largest_swing(world):
-    """Return by how much a queue grew and fell again, or the reverse, within a short time."""
-    looks = int(SWING_S / LOOK_S)
+    """Return the largest change of a queue's length within ``SWING_S``."""
+    looks = int(SWING_S / SAMPLE_INTERVAL_S)
     largest = 0
     for home in world.homes.values():
-        lengths = home.lengths[-int(LAST_S / LOOK_S) :]
+        lengths = home.lengths[-int(LAST_S / SAMPLE_INTERVAL_S) :]
         for first in range(len(lengths) - looks):
             window = lengths[first : first + looks]
             largest = max(largest, max(window) - min(window))
@@ -88,7 +88,7 @@
     assert swing > count, swing
 
 
-@when('home choice: h1 told waits of "{writes}" ms for writes and "{reads}" ms for reads')
+@when('home choice: h1 reported waits of "{writes}" ms for writes and "{reads}" ms for reads')
 def step_told(context, writes, reads):
     context.loads = ReportedLoads()
     load = HomeLoad(
@@ -97,12 +97,12 @@
     context.loads.told("h1", "g", load, 10.0)
 
 
-@when("home choice: h1 tells no wait any more")
+@when("home choice: h1 reports no wait")
 def step_none(context):
     context.loads.told("h1", "g", None, 10.0)
 
 
-@then("home choice: the wait expected there is")
+@then("home choice: the expected wait at h1 is")
 def step_expected(context):
     for row in context.table:
         now = 10.0 + int(row["after_ms"]) / 1_000
@@ -143,25 +143,25 @@
 def step_write_in_turn(context, count):
     async def write_all():
         clients = [(await context.path.connect("db", f"key-{name}"))[0] for name in context.names]
-        told = []
+        answers = []
         for number in range(count):
             for name, client in zip(context.names, clients, strict=True):
-                told.append(await client.ask(f"WRITE {name}-{number} 1"))
-        return told
+                answers.append(await client.ask(f"WRITE {name}-{number} 1"))
+        return answers
 
-    context.all_told = run(context, write_all)
+    context.answers = run(context, write_all)
 
 
-@then('home choice: all are told "{told}"')
-def step_all_told(context, told):
-    assert set(context.all_told) == {told}, context.all_told
+@then('home choice: all are answered "{answer}"')
+def step_all_answered(context, answer):
+    assert set(context.answers) == {answer}, context.answers
 
 
-@then("home choice: each tenant's writes ran at one home proxy, of some at each")
+@then("home choice: each tenant's writes ran at one home proxy, and each home proxy ran some")
 def step_one_home(context):
     served = [context.path.served(name) for name in ("h1", "h2")]
-    assert min(served) > 0 and sum(served) < len(context.all_told), served
-    assert all(count % (len(context.all_told) // len(context.names)) == 0 for count in served)
+    assert min(served) > 0 and sum(served) < len(context.answers), served
+    assert all(count % (len(context.answers) // len(context.names)) == 0 for count in served)
 
 
 @then("home choice: no more than {most:d} connections to the primary were opened for 48 writes")
--- a/features/support/home_choice_world.py
+++ b/features/support/home_choice_world.py
@@ -1,4 +1,4 @@
-"""Dozens of proxies that choose home proxies at once, on virtual time and without a network."""
+"""Simulates many proxies that choose home proxies, on virtual time and without a network."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 NEAR_S = 0.002
 SAME_REGION_S = 0.005
 FAR_S = 0.04
-"""Both ways: within a zone, a region, and between regions."""
-LOOK_S = 0.01
+"""Round trip times between regions; ``NEAR_S`` is within a zone, ``SAME_REGION_S`` in a region."""
+SAMPLE_INTERVAL_S = 0.01
 
 
 @dataclass
 class _Home:
-    """A home proxy: units under way, and those that wait."""
+    """A home proxy with its running and waiting units."""
 
     zone: int
     under_way: int = 0
@@ -36,7 +36,7 @@
 
     @property
     def expected_wait_s(self) -> float:
-        """Return what a unit that came now would wait."""
+        """The wait of a unit that arrived now."""
         if self.under_way < CONNECTIONS:
             return 0.0
         return (len(self.waiting) + 1) * SERVICE_S / CONNECTIONS
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class _Served:
-    """A unit that was served: when it came, how long it waited, and whether far away."""
+    """A served unit: when it was sent, how long it waited, and whether in another region."""
 
     at: float
     wait_s: float
@@ -52,7 +52,7 @@
 
 
 class ChoiceWorld:
-    """Units of all proxies, their choices and what they wait for."""
+    """Simulates the units of all proxies, their routing and their waits."""
 
     def __init__(self, seed: int = 1) -> None:
         self.generator = random.Random(seed)
@@ -64,18 +64,18 @@
         self._number = itertools.count()
 
     def run(self, seconds: float, rates: tuple[float, ...]) -> None:
-        """Let time pass.
+        """Advance the clock.
 
-        :param rates: units a second of each region
+        :param rates: units per second of each region
         """
         end = self.now + seconds
         for region, rate in enumerate(rates):
             at = self.now
             while (at := at + self.generator.expovariate(rate)) < end:
                 self._at(at, self._send, self._proxy_in(region))
-        looks = int(seconds / LOOK_S)
+        looks = int(seconds / SAMPLE_INTERVAL_S)
         for look in range(looks):
-            self._at(self.now + look * LOOK_S, self._look)
+            self._at(self.now + look * SAMPLE_INTERVAL_S, self._sample)
         while self._events and self._events[0][0] < end:
             self.now, _, act, arguments = heapq.heappop(self._events)
             act(*arguments)
@@ -85,11 +85,11 @@
         heapq.heappush(self._events, (at, next(self._number), act, arguments))
 
     def _proxy_in(self, region: int) -> int:
-        """Return some proxy of a region: proxy p is in zone p modulo the number of zones."""
+        """Return a random proxy of a region; proxy p is in zone p modulo the number of zones."""
         number = self.generator.randrange(PROXIES)
         return number - (number % REGIONS) + region if number < PROXIES - 2 else region
 
-    def _look(self) -> None:
+    def _sample(self) -> None:
         for home in self.homes.values():
             home.lengths.append(len(home.waiting))
 
