--- a/features/foreign_records.feature
+++ b/features/foreign_records.feature
@@ -1,20 +1,21 @@
-Feature: A record of another writer names no member, and the others hold
-  A member's announcement, and a record of one in the log, a snapshot or on a link, may come from another writer: fields
-  missing or of another type, states that nobody knows, bytes that can't be read. An address without a port, an empty
-  service and a number written as text were taken; a blank in an identity would have reached members as a field of its
-  own, and each look at a member without a port crashed its task ("invalid literal for int() with base 10: ''").
+Feature: Invalid records of members are refused or ignored, without effect on other members
+  An announcement, or the record of a member in the log, a snapshot or a message, may come from another writer, with
+  missing fields, fields of another type, unknown states or unreadable bytes. Guards against accepting an address
+  without a port, an empty service or a number written as text. A blank in an identity would have split it into two
+  fields of the member protocol, and an address without a port crashed each task that used it ("invalid literal for
+  int() with base 10: ''").
 
-  Scenario: foreign records: an announcement as members make it
+  Scenario: foreign records: a valid announcement
     When foreign records: a member announces itself
-    Then foreign records: it is taken, with its start
+    Then foreign records: it is accepted, with its start time
 
-  Scenario: foreign records: an announcement of a platform whose members do not tell their start
+  Scenario: foreign records: an announcement of a platform whose members do not report their start time
     When foreign records: a member announces itself, without "born"
-    Then foreign records: it is taken, without its start
+    Then foreign records: it is accepted, without a start time
 
-  Scenario Outline: foreign records: an announcement without "<field>", or of another type there
-    Then foreign records: it is refused without "<field>", naming it
-    And foreign records: it is refused with each of <values> as "<field>", naming it
+  Scenario Outline: foreign records: an announcement without "<field>", or with another type
+    Then foreign records: it is refused without "<field>", naming the field
+    And foreign records: it is refused with each of <values> as "<field>", naming the field
 
     Examples:
       | field        | values                                        |
@@ -28,10 +29,10 @@
       | callSeq      | "4", 4.5, null, true                          |
       | warmupLeftMs | "0", null, -1                                 |
 
-  Scenario: foreign records: a start that is no whole number
-    Then foreign records: it is refused with each of "1790000000000", 1790000000000.5, null, true, -1, 0, [1] as "born", naming it
+  Scenario: foreign records: a start time that is not an integer
+    Then foreign records: it is refused with each of "1790000000000", 1790000000000.5, null, true, -1, 0, [1] as "born", naming the field
 
-  Scenario Outline: foreign records: bytes that are no announcement: <bytes>
+  Scenario Outline: foreign records: bytes that are not an announcement: <bytes>
     When foreign records: a member announces itself with "<bytes>"
     Then foreign records: it is refused
 
@@ -46,7 +47,7 @@
       | \xff\xfe\x00 |
       | {"service":  |
 
-  Scenario Outline: foreign records: an identity that is none: <identity>
+  Scenario Outline: foreign records: an invalid identity: <identity>
     When foreign records: a member announces itself as "<identity>"
     Then foreign records: it is refused
 
@@ -57,24 +58,24 @@
       | a\r\nb    |
       | a\x00     |
 
-  Scenario Outline: foreign records: a proxy whose view holds <record> serves by the other members
+  Scenario Outline: foreign records: a proxy whose view holds <record> serves with the other members
     Given foreign records: a proxy with primary a, replicas b and c, and <record> as a member of the group
-    When foreign records: a client writes and reads for 1500 ms, members silent for a moment
-    Then foreign records: every statement was done
-    And foreign records: no connection to the record was tried, and it was named once in the log
+    When foreign records: a client writes and reads for 1500 ms, one member silent for a moment
+    Then foreign records: every statement succeeded
+    And foreign records: no connection to the record was attempted, and it was logged once
 
     Examples:
       | record                          |
       | an address without a port       |
       | an address that is a name       |
       | an identity with a blank        |
-      | a state that nobody knows       |
+      | an unknown state       |
 
   Scenario: foreign records: a leader whose log holds a record without a port promotes another member
     Given foreign records: a leader whose group has primary a, replica c, and b with an address without a port
     When foreign records: a is reported unreachable by all
-    Then foreign records: promotion is asked of c
+    Then foreign records: promotion is requested of c
 
-  Scenario: foreign records: a state of a later version is read from a link, and takes no work
+  Scenario: foreign records: a state of a later version is read from a link, and its member gets no work
     When foreign records: a record in the state "paused" is read from a link
-    Then foreign records: it is no member to use, and the others of the message hold
+    Then foreign records: its member is not used, and the others of the message are valid
--- a/features/steps/foreign_records_steps.py
+++ b/features/steps/foreign_records_steps.py
@@ -1,4 +1,4 @@
-"""Steps on records of members that another writer made."""
+"""Steps for invalid records of members."""
 
 from __future__ import annotations
 
@@ -54,23 +54,23 @@
     context.read = _read({name: value for name, value in MESSAGE.items() if name != "born"})
 
 
-@then("foreign records: it is taken, with its start")
+@then("foreign records: it is accepted, with its start time")
 def step_taken(context):
     assert context.read.ok_value.born_ms == BORN_MS, context.read
 
 
-@then("foreign records: it is taken, without its start")
+@then("foreign records: it is accepted, without a start time")
 def step_taken_unborn(context):
     assert context.read.ok_value.born_ms == 0, context.read
 
 
-@then('foreign records: it is refused without "{field}", naming it')
+@then('foreign records: it is refused without "{field}", naming the field')
 def step_missing(context, field):
     read = _read({name: value for name, value in MESSAGE.items() if name != field})
     assert isinstance(read, Err) and field in read.err_value, (field, read)
 
 
-@then('foreign records: it is refused with each of {values} as "{field}", naming it')
+@then('foreign records: it is refused with each of {values} as "{field}", naming the field')
 def step_other_type(context, values, field):
     for value in json.loads(f"[{values}]"):
         read = _read({**MESSAGE, field: value})
@@ -94,9 +94,9 @@
 
 
 def _record(kind: str, port: int) -> AnnouncedMember:
-    """Return a record of the group's that can't be used.
+    """Return an invalid record of a member of the group.
 
-    :param port: where somebody listens
+    :param port: a port with a listener
     """
     good = AnnouncedMember(
         FOREIGN, GROUP, f"127.0.0.1:{port}", "z2", "v1", 3, MemberState.READY, False
@@ -108,7 +108,7 @@
             return dataclasses.replace(good, address=f"localhost:{port}")
         case "an identity with a blank":
             return dataclasses.replace(good, identity="d e")
-        case "a state that nobody knows":
+        case "an unknown state":
             return dataclasses.replace(good, state=MemberState("paused"))
     raise AssertionError(kind)
 
@@ -143,7 +143,9 @@
     run(context, watch)
 
 
-@when("foreign records: a client writes and reads for {period:d} ms, members silent for a moment")
+@when(
+    "foreign records: a client writes and reads for {period:d} ms, one member silent for a moment"
+)
 def step_load(context, period):
     run(context, _load, context, period / 1_000)
 
@@ -162,20 +164,20 @@
 
 
 async def _be_silent(path: StatementPath) -> None:
-    """Have the proxy look at members on its own: b answers nothing for a moment."""
+    """Make the proxy probe members: b does not answer for a moment."""
     await curio.sleep(SILENT_S)
     path.group.members["b"].faults.silent = True
     await curio.sleep(SILENT_S)
     path.group.members["b"].faults.silent = False
 
 
-@then("foreign records: every statement was done")
+@then("foreign records: every statement succeeded")
 def step_done(context):
     assert set(context.told) <= {"done I", "1 done I"}, set(context.told)
     assert not context.watching.terminated
 
 
-@then("foreign records: no connection to the record was tried, and it was named once in the log")
+@then("foreign records: no connection to the record was attempted, and it was logged once")
 def step_not_tried(context):
     assert context.record.identity not in context.path.groups.groups[GROUP].pools
     with context.listener.blocking() as raw:
@@ -208,7 +210,7 @@
     context.world.run(1.0)
 
 
-@then("foreign records: promotion is asked of {name:w}")
+@then("foreign records: promotion is requested of {name:w}")
 def step_asked_of(context, name):
     assert context.world.calls[-1].member == name, context.world.calls
 
@@ -222,7 +224,7 @@
     context.update = decode(data).unwrap()
 
 
-@then("foreign records: it is no member to use, and the others of the message hold")
+@then("foreign records: its member is not used, and the others of the message are valid")
 def step_others_hold(context):
     states = [member.state for member in context.update.announced]
     assert states == [MemberState.READY, MemberState.UNKNOWN], states
