--- a/features/steps/foundation_messages_steps.py
+++ b/features/steps/foundation_messages_steps.py
@@ -38,8 +38,8 @@
         "an empty message": b"",
         "a message cut in half": encode(HELLO)[:-9],
         "bytes that are not msgpack": b"\xc1\xc1\xc1",
-        "a kind that is not known": ormsgpack.packb((UNKNOWN_KIND, fields)),
-        "a field that is missing": ormsgpack.packb((HELLO_KIND, {"version": 1})),
+        "an unknown kind": ormsgpack.packb((UNKNOWN_KIND, fields)),
+        "a missing field": ormsgpack.packb((HELLO_KIND, {"version": 1})),
         "a field of another type": ormsgpack.packb((HELLO_KIND, {**fields, "version": "one"})),
         "a field that is not declared": ormsgpack.packb((HELLO_KIND, {**fields, "more": 1})),
         "a bare number": ormsgpack.packb(7),
@@ -88,7 +88,7 @@
     assert not context.differences, context.differences[0]
 
 
-@when("messages: a second class asks for kind 10")
+@when("messages: a second class registers kind 10")
 def step_second_class(context):
     context.error = None
     try:
@@ -138,7 +138,7 @@
         context.received += reader.feed(context.stream[start : start + piece])
 
 
-@then("messages: the frames come out whole and in order")
+@then("messages: the frames are read completely and in order")
 def step_frames_equal(context):
     assert context.received == context.frames
 
