--- a/features/steps/lease_demand_steps.py
+++ b/features/steps/lease_demand_steps.py
@@ -324,8 +324,8 @@
 
 
 @then(
-    "lease demand: without the safeguard that {safeguard} one of {count:d} random histories exceeds "
-    "the limit"
+    "lease demand: without the safeguard that {safeguard} one of {count:d} random histories "
+    "exceeds the limit"
 )
 def step_mutant(context, safeguard, count):
     assert breaks_without(safeguard, count, STEPS_IN_A_HISTORY)
--- a/features/support/home_choice_world.py
+++ b/features/support/home_choice_world.py
@@ -21,7 +21,7 @@
 NEAR_S = 0.002
 SAME_REGION_S = 0.005
 FAR_S = 0.04
-"""Round trip times between regions; ``NEAR_S`` is within a zone, ``SAME_REGION_S`` in a region."""
+"""Round trip times within a zone, within a region and between regions."""
 SAMPLE_INTERVAL_S = 0.01
 
 
