--- a/limedyke/core/control/group_leases.py
+++ b/limedyke/core/control/group_leases.py
@@ -159,9 +159,9 @@
         if self._declared is None:
             return False
         demands = {
-            proxy: told.connections
+            proxy: demand.connections
             for proxy in self.homes
-            if (told := self.demand_of(proxy, member)) is not None
+            if (demand := self.demand_of(proxy, member)) is not None
         }
         is_changed = False
         is_common = holds_common(self._declared, member)
--- a/limedyke/core/control/leader.py
+++ b/limedyke/core/control/leader.py
@@ -50,8 +50,13 @@
 CHECK_INTERVAL_S = 0.5
 MINIMUM_MEMBERSHIP_INTERVAL_S = 0.02
 MEMBERSHIP_INTERVAL_PER_GROUP_S = 0.2 / 1_800
+<<<<<<< HEAD
 """Minimum interval between membership changes, as each makes every controller visit all groups."""
 LEASES_RUN_OUT = "its leases have run out"
+=======
+"""Between two changes of the membership: each makes every controller look at all groups."""
+LEASES_EXPIRED = "its leases have run out"
+>>>>>>> renames
 EARLIER_PROCESS = "an earlier process of this name may still hold leases"
 
 
@@ -63,7 +68,7 @@
     :param generator: source of jitter
     :param now: when this controller became the leader
     :param homes: the home proxies of the state, if the caller maintains them
-    :param last_lead_began_at: when another controller last began to lead, as far as this one knows
+    :param last_lead_began_at: when another controller last became the leader, as far as known
     """
 
     def __init__(
@@ -242,7 +247,7 @@
             return
         self._next_check_at = now + CHECK_INTERVAL_S
         for proxy in self.leases.expire(now):
-            self._commands.append(DisconnectProxy(proxy, LEASES_RUN_OUT))
+            self._commands.append(DisconnectProxy(proxy, LEASES_EXPIRED))
         self.membership.judge(now, self.leases.holders())
         gone = self.announcements.remove_silent(self._timing.member_forgotten_s, now)
         if gone is not None:
--- a/limedyke/core/control/primaries/primary_evaluator.py
+++ b/limedyke/core/control/primaries/primary_evaluator.py
@@ -130,8 +130,8 @@
         primary still serves the other proxies. Replacing it would then disrupt most clients.
         """
         serving = [name for name, r in self._proxies.items() if r.state is ProxyState.SERVING]
-        heard = sum(self._membership.is_live(name, now) for name in serving)
-        return 2 * heard < len(serving)
+        live = sum(self._membership.is_live(name, now) for name in serving)
+        return 2 * live < len(serving)
 
     def candidates(
         self, group: str, state: AuthorityGroupState, leaving: str, now: float
--- a/limedyke/core/control/state.py
+++ b/limedyke/core/control/state.py
@@ -52,14 +52,14 @@
 
     :ivar applied_index: index of the last entry applied
     :ivar control_index: index of the last entry that changed anything for the proxies
-    :ivar revision: how many plans have come into force
-    :ivar time: the log's clock, seconds since the epoch; moves with operators' entries only
+    :ivar revision: number of declaration changes applied
+    :ivar time: the log's clock, seconds since the epoch; advanced by operators' entries only
     :ivar controllers: addresses of the controllers by name
-    :ivar version: of the whole declaration in force; 0 when there was none
+    :ivar version: version of the declaration in force; 0 if none was applied by version
     :ivar document: that declaration as the operator sent it
     :ivar announced: members that announced themselves, by identity
-    :ivar displaced: those of earlier times whose address has passed to another one
-    :ivar ended: their incarnations that said that they end
+    :ivar displaced: former members whose address now belongs to another member
+    :ivar ended: incarnations of members that have withdrawn
     """
 
     def __init__(self) -> None:
