--- a/limedyke/core/control/primaries/authority_failover.py
+++ b/limedyke/core/control/primaries/authority_failover.py
@@ -276,9 +276,9 @@
             if record.state is ProxyState.GONE:
                 continue
             session = self._membership.session(name)
-            heard_at = session.heard_at if session is not None else self._started_at
+            last_seen_at = session.heard_at if session is not None else self._started_at
             has_confirmed = session is not None and session.control_index >= fence
-            if not has_confirmed and now - heard_at < self._lease_expiry_s:
+            if not has_confirmed and now - last_seen_at < self._lease_expiry_s:
                 return False
         return True
 
