--- a/limedyke/core/control/leader.py
+++ b/limedyke/core/control/leader.py
@@ -50,13 +50,8 @@
 CHECK_INTERVAL_S = 0.5
 MINIMUM_MEMBERSHIP_INTERVAL_S = 0.02
 MEMBERSHIP_INTERVAL_PER_GROUP_S = 0.2 / 1_800
-<<<<<<< HEAD
 """Minimum interval between membership changes, as each makes every controller visit all groups."""
-LEASES_RUN_OUT = "its leases have run out"
-=======
-"""Between two changes of the membership: each makes every controller look at all groups."""
 LEASES_EXPIRED = "its leases have run out"
->>>>>>> renames
 EARLIER_PROCESS = "an earlier process of this name may still hold leases"
 
 
