--- a/features/steps/announced_members_steps.py
+++ b/features/steps/announced_members_steps.py
@@ -42,18 +42,18 @@
     context.members.update((member.identity, member) for member in entry.members)
 
 
-@when("announced: {name:w} says {role}, number {number:d}, after {seconds:g} s")
+@when("announced: {name:w} announces {role}, number {number:d}, after {seconds:g} s")
 def step_says(context, name, role, number, seconds):
     apply_entry(context, context.tracker.announced(a_member(name, role), number, NOW + seconds))
 
 
-@when("announced: {name:w} drains, then says {role}")
+@when("announced: {name:w} drains, then announces {role}")
 def step_drains_then(context, name, role):
     apply_entry(context, context.tracker.announced(a_member(name, "draining replica"), 2, NOW + 1))
     apply_entry(context, context.tracker.announced(a_member(name, role), 3, NOW + 2))
 
 
-@when("announced: {name:w} says {role} at the address of {other:w}")
+@when("announced: {name:w} announces {role} at the address of {other:w}")
 def step_address(context, name, role, other):
     member = with_address_of(a_member(name, role), context.members[other])
     apply_entry(context, context.tracker.announced(member, 1, NOW + 1))
@@ -81,7 +81,7 @@
     apply_entry(context, context.tracker.withdrawn(name, NOW + 1))
 
 
-@when("announced: {name:w} withdraws, then says {role}")
+@when("announced: {name:w} withdraws, then announces {role}")
 def step_withdraws_then(context, name, role):
     apply_entry(context, context.tracker.withdrawn(name, NOW + 1))
     apply_entry(context, context.tracker.announced(a_member(name, role), 9, NOW + 2))
@@ -141,13 +141,13 @@
     for part in proxies.split(", "):
         if part.endswith("does not confirm"):
             context.world.unconfirming.add(part[0])
-        elif part.endswith("is heard"):
+        elif part.endswith("is live"):
             others = [name for name in context.world.proxies if f" {name} " not in part]
             context.world.unconfirming.update(others)
         elif part.endswith("is ahead"):
             context.world.report("p q r", part[0], MemberHealth.REACHABLE, position=900)
-        elif " says " in part:
-            context.world.announce(part[0], part.partition(" says ")[2])
+        elif " announces " in part:
+            context.world.announce(part[0], part.partition(" announces ")[2])
         else:
             names = members.replace(" and ", " ")
             context.world.report(part, names, MemberHealth.UNREACHABLE)
@@ -158,7 +158,7 @@
     context.world.report("p q", member, MemberHealth.REACHABLE)
 
 
-@step("authority: {name:w} says {role}")
+@step("authority: {name:w} announces {role}")
 def step_world_says(context, name, role):
     context.world.announce(name, role)
 
@@ -203,7 +203,8 @@
 
 
 @given(
-    "authority: the silence of home proxies is {silence:d} ms, and few are heard for {hold:d} ms"
+    "authority: home proxies are live for {silence:d} ms after a message, and the hold time with "
+    "few live ones is {hold:d} ms"
 )
 def step_observer_times(context, silence, hold):
     world = context.world
@@ -213,16 +214,16 @@
 
 
 @when(
-    "authority: {homes:d} home proxy and {others:d} others are heard, and it reports "
+    "authority: {homes:d} home proxy and {others:d} others are live, and it reports "
     "{member:w} unreachable"
 )
-def step_few_heard(context, homes, others, member):
+def step_few_live(context, homes, others, member):
     world = context.world
-    heard_homes = world.home_proxies()[:homes]
+    live_homes = world.home_proxies()[:homes]
     rest = [name for name in world.proxies if name not in world.home_proxies()]
-    heard = {*heard_homes, *rest[:others]}
-    world.unconfirming.update(name for name in world.proxies if name not in heard)
-    world.report(" ".join(heard_homes), member, MemberHealth.UNREACHABLE)
+    live = {*live_homes, *rest[:others]}
+    world.unconfirming.update(name for name in world.proxies if name not in live)
+    world.report(" ".join(live_homes), member, MemberHealth.UNREACHABLE)
 
 
 @then("authority: promotion is not requested")
