--- a/features/steps/member_incarnations_proxy_steps.py
+++ b/features/steps/member_incarnations_proxy_steps.py
@@ -57,11 +57,11 @@
 
 @when("incarnation: a client writes 1 to x")
 def step_write(context):
-    told = run(context, context.client.ask, "WRITE x 1")
-    assert told == "done I", told
+    answer = run(context, context.client.ask, "WRITE x 1")
+    assert answer == "done I", answer
     run(context, curio.sleep, REPLICATION_S)
-    told = run(context, context.client.ask, "READ x")
-    assert told == "1 done I", told
+    answer = run(context, context.client.ask, "READ x")
+    assert answer == "1 done I", answer
 
 
 @when("incarnation: the client reads x at b")
@@ -70,11 +70,11 @@
     assert context.path.runs_of("READ x")[-1] == "b", context.path.runs_of("READ x")
 
 
-@when("incarnation: {name:w} restarts empty, says that it {says:w}, and {told}")
-def step_start_again(context, name, says, told):
+@when("incarnation: {name:w} restarts empty, says that it {says:w}, and {notified}")
+def step_start_again(context, name, says, notified):
     path = context.path
     run(context, path.group.start_again, name, says == "leads")
-    if told == "the proxy is told":
+    if notified == "the proxy is notified":
         path.primary_started_at_ms = path.starts[path.primary]
         path.starts[name] = start_of(2)
         run(context, path.tell_view)
@@ -100,7 +100,7 @@
         run(context, curio.sleep, LOOK_S)
 
 
-@when("incarnation: b leads, and the proxy is told")
+@when("incarnation: b leads, and the proxy is notified")
 def step_promoted(context):
     path = context.path
     path.group.promote("b")
@@ -118,7 +118,7 @@
     assert written == "done I", written
 
 
-@when("incarnation: the proxy is told that b drains")
+@when("incarnation: the proxy is notified that b drains")
 def step_drains(context):
     path = context.path
     context.opened_before = path.group.members["a"].opened
--- a/features/steps/member_incarnations_steps.py
+++ b/features/steps/member_incarnations_steps.py
@@ -120,7 +120,7 @@
         world.run(int(passes[1]) / 1_000)
     elif event == "the authority answers":
         world.answer(AuthorityOutcome.PROMOTED)
-    elif event == "a says primary":
+    elif event == "a announces primary":
         world.announce("a", "primary")
     else:
         assert event == "nothing happens", event
