--- a/features/control_failover.feature
+++ b/features/control_failover.feature
@@ -102,10 +102,10 @@
     And failover: the second order went to another proxy than the first
 
     Examples:
-      | fails                |
-      | answers nothing      |
+      | fails                 |
+      | answers nothing       |
       | answers that it fails |
-      | loses its link       |
+      | loses its link        |
 
   Scenario: failover: the timeout of each further order grows, up to a factor of four
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
@@ -182,10 +182,10 @@
     Then failover: <result>
 
     Examples:
-      | seen                        | answers                     | result                                              |
-      | m2 as the primary of term 6 | without answer to orders    | m2 is the primary under term 6                      |
-      | no primary                  | and orders make m2 primary  | m2 is the primary under term 7                      |
-      | no primary                  | without answer to orders    | the orders had increasing terms and no term was ordered twice |
+      | seen                        | answers                    | result                                                        |
+      | m2 as the primary of term 6 | without answer to orders   | m2 is the primary under term 6                                |
+      | no primary                  | and orders make m2 primary | m2 is the primary under term 7                                |
+      | no primary                  | without answer to orders   | the orders had increasing terms and no term was ordered twice |
 
   Scenario: failover: a new leader does not wait long for an order that may never have been sent
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
@@ -204,11 +204,11 @@
     Then failover: <result>
 
     Examples:
-      | mode        | seers | exposed | ms   | result                          |
-      | external    | a b   | 9       | 100  | m2 is the primary under term 9  |
-      | external    | a     | 9       | 9000 | the recorded term is 0          |
-      | controllers | a b   | 9       | 100  | m2 is the primary under term 9  |
-      | controllers | a     | 9       | 50   | the recorded term is 0          |
+      | mode        | seers | exposed | ms   | result                         |
+      | external    | a b   | 9       | 100  | m2 is the primary under term 9 |
+      | external    | a     | 9       | 9000 | the recorded term is 0         |
+      | controllers | a b   | 9       | 100  | m2 is the primary under term 9 |
+      | controllers | a     | 9       | 50   | the recorded term is 0         |
 
   Scenario: failover: in external mode the controllers promote nothing
     Given failover: group "g" in external mode with nothing recorded, watched by "a b c"
@@ -236,11 +236,11 @@
     Then failover: the recorded term is <term>
 
     Examples:
-      | cause                             | paused | ms   | term |
-      | a switchover to m3 is confirmed   | a b    | 1000 | 5    |
-      | a switchover to m3 is confirmed   | a b c  | 100  | 6    |
-      | a switchover to m3 is confirmed   |        | 2500 | 6    |
-      | m1 is declared leaving            | a b c  | 100  | 6    |
+      | cause                           | paused | ms   | term |
+      | a switchover to m3 is confirmed | a b    | 1000 | 5    |
+      | a switchover to m3 is confirmed | a b c  | 100  | 6    |
+      | a switchover to m3 is confirmed |        | 2500 | 6    |
+      | m1 is declared leaving          | a b c  | 100  | 6    |
 
   Scenario: failover: the order goes to a proxy that cannot reach the primary, not to one partitioned off with it
     Given failover: group "g" with primary m1 under term 5, watched by "a b c"
--- a/features/control_leases.feature
+++ b/features/control_leases.feature
@@ -8,14 +8,14 @@
     Then leases: without "<safeguard>" one of 240 random histories exceeds a limit
 
     Examples:
-      | safeguard                                                  |
-      | a revoked share is reused only after its return                    |
-      | a lease outlives its link                     |
-      | a lease counts from the heartbeat's sending                |
+      | safeguard                                                   |
+      | a revoked share is reused only after its return             |
+      | a lease outlives its link                                   |
+      | a lease counts from the heartbeat's sending                 |
       | a grant read after its lease has expired is not used        |
-      | a new leader waits for all reports                   |
-      | a name is reused only after its leases have expired                     |
-      | a silent holder keeps its share until its lease has expired  |
+      | a new leader waits for all reports                          |
+      | a name is reused only after its leases have expired         |
+      | a silent holder keeps its share until its lease has expired |
 
   Scenario Outline: leases: a share is reissued only after its lease has expired by the slowest clock
     Then leases: a lease of <lease> s has expired by every clock within <percent> % when reissued
@@ -38,22 +38,22 @@
     Then leases: c holds <c> connections of t
 
     Examples:
-      | event                                 | seconds | c  |
-      | nothing happens                       | 1       | 0  |
-      | a returns all                         | 1       | 15 |
-      | a returns down to 5                   | 1       | 10 |
-      | a falls silent                        | 4.9     | 0  |
-      | a falls silent                        | 5.2     | 0  |
-      | a falls silent                        | 5.5     | 15 |
-      | a goes on with heartbeats             | 30      | 0  |
-      | a's link ends                         | 4.9     | 0  |
-      | a's link ends                         | 5.5     | 15 |
-      | a's process is proven to have ended           | 0.1     | 15 |
-      | a reconnects with a new disk               | 4.9     | 0  |
-      | a reconnects with a new disk               | 5.5     | 15 |
-      | a leaves and reports that it is done          | 0.1     | 15 |
-      | an older process of a connects         | 4.9     | 0  |
-      | an older process of a connects         | 5.5     | 15 |
+      | event                                | seconds | c  |
+      | nothing happens                      | 1       | 0  |
+      | a returns all                        | 1       | 15 |
+      | a returns down to 5                  | 1       | 10 |
+      | a falls silent                       | 4.9     | 0  |
+      | a falls silent                       | 5.2     | 0  |
+      | a falls silent                       | 5.5     | 15 |
+      | a goes on with heartbeats            | 30      | 0  |
+      | a's link ends                        | 4.9     | 0  |
+      | a's link ends                        | 5.5     | 15 |
+      | a's process is proven to have ended  | 0.1     | 15 |
+      | a reconnects with a new disk         | 4.9     | 0  |
+      | a reconnects with a new disk         | 5.5     | 15 |
+      | a leaves and reports that it is done | 0.1     | 15 |
+      | an older process of a connects       | 4.9     | 0  |
+      | an older process of a connects       | 5.5     | 15 |
 
   Scenario Outline: leases: which process may take over a name
     Then leases: over incarnation <known> on disk "<disk>", <hello> on disk "<its disk>" is <verdict>
@@ -102,11 +102,11 @@
     Then leases: of a limit of <limit> with budgets of <t> for t and <u> for u, 3 homes get "<shares>"
 
     Examples:
-      | limit | t  | u  | shares              |
-      | 14    | 8  | 9  | t 3 3 2 u 3 2 1     |
-      | 6     | 8  | 9  | t 1 1 1 u 1 1 1     |
-      | 4     | 8  | 9  | t 1 1 1 u 1 0 0     |
-      | 40    | 8  | 9  | t 3 3 2 u 3 3 3     |
+      | limit | t | u | shares          |
+      | 14    | 8 | 9 | t 3 3 2 u 3 2 1 |
+      | 6     | 8 | 9 | t 1 1 1 u 1 1 1 |
+      | 4     | 8 | 9 | t 1 1 1 u 1 0 0 |
+      | 40    | 8 | 9 | t 3 3 2 u 3 3 3 |
 
   Scenario Outline: leases: a budget is shared equally, and the first home proxies get the remainder
     Then leases: a budget of <budget> over <homes> home proxies gives "<shares>"
--- a/features/control_news.feature
+++ b/features/control_news.feature
@@ -38,7 +38,7 @@
     Then news: reading it fails with <code>
 
     Examples:
-      | damage                              | code               |
-      | has a flipped byte                  | PROTOCOL_VIOLATION |
-      | is truncated                    | PROTOCOL_VIOLATION |
-      | exceeds the maximum frame size    | MESSAGE_TOO_LARGE  |
+      | damage                         | code               |
+      | has a flipped byte             | PROTOCOL_VIOLATION |
+      | is truncated                   | PROTOCOL_VIOLATION |
+      | exceeds the maximum frame size | MESSAGE_TOO_LARGE  |
--- a/features/control_plans.feature
+++ b/features/control_plans.feature
@@ -33,7 +33,7 @@
 
     Examples:
       | safeguard                              |
-      | of plans on one base revision one wins          |
+      | of plans on one base revision one wins |
       | a resent request gets its first answer |
       | plans expire                           |
       | a conflict names the winner            |
@@ -51,15 +51,15 @@
     And plans: the state is unchanged
 
     Examples:
-      | plan | request               | later | restart |
-      | a    | the same request      | 0     | no      |
-      | a    | the same request      | 5     | yes     |
-      | a    | another request       | 0     | no      |
-      | a    | another request       | 5     | yes     |
-      | a    | another operator      | 5     | no      |
-      | b    | the same request      | 0     | yes     |
-      | b    | another request       | 5     | no      |
-      | b    | another request       | 5     | yes     |
+      | plan | request          | later | restart |
+      | a    | the same request | 0     | no      |
+      | a    | the same request | 5     | yes     |
+      | a    | another request  | 0     | no      |
+      | a    | another request  | 5     | yes     |
+      | a    | another operator | 5     | no      |
+      | b    | the same request | 0     | yes     |
+      | b    | another request  | 5     | no      |
+      | b    | another request  | 5     | yes     |
 
   Scenario Outline: plans: plans that cannot be confirmed
     Given plans: revision 1 with groups "g1"
@@ -70,11 +70,11 @@
     And plans: revision 1 with groups "g1" is in force
 
     Examples:
-      | change                   | what             | after | code                |
-      | groups "g1 g2"           | a                | 100   | PLAN_EXPIRED        |
-      | groups "g1 g2"           | a                | 5000  | PLAN_EXPIRED        |
-      | groups "g1 g2"           | an unknown plan  | 1     | PLAN_UNKNOWN        |
-      | "g1" without member "m1" | a                | 1     | DECLARATION_INVALID |
+      | change                   | what            | after | code                |
+      | groups "g1 g2"           | a               | 100   | PLAN_EXPIRED        |
+      | groups "g1 g2"           | a               | 5000  | PLAN_EXPIRED        |
+      | groups "g1 g2"           | an unknown plan | 1     | PLAN_UNKNOWN        |
+      | "g1" without member "m1" | a               | 1     | DECLARATION_INVALID |
 
   Scenario: plans: an expired plan can be created again
     Given plans: revision 1 with groups "g1"
@@ -112,9 +112,9 @@
     And plans: the history has 2 entries
 
     Examples:
-      | operation                | words                     |
-      | a switchover of g1 to m2 | switchover of g1 to m2    |
-      | a change of controllers  | controllers: remove c3    |
+      | operation                | words                  |
+      | a switchover of g1 to m2 | switchover of g1 to m2 |
+      | a change of controllers  | controllers: remove c3 |
 
   Scenario: plans: a plan id never parses as a number
     Then plans: the ids of 2000 plans are parsed as text by the command line
@@ -132,10 +132,10 @@
     Then plans: the plan "a" shows "<effect>"
 
     Examples:
-      | change                     | effect                                         |
-      | no groups                  | connections to 3 members are closed            |
-      | "g1" with "m1" leaving     | the primary moves from m1 to another member    |
-      | "g1" with "m2" leaving     | m2 gets no new work                            |
-      | "g1" without member "m2"   | connections to m2 are closed                   |
-      | "g1" with 30 connections   | up to 10 connections a member are closed       |
-      | "g1" with a budget of 10   | up to 20 connections of t a member are closed  |
+      | change                   | effect                                        |
+      | no groups                | connections to 3 members are closed           |
+      | "g1" with "m1" leaving   | the primary moves from m1 to another member   |
+      | "g1" with "m2" leaving   | m2 gets no new work                           |
+      | "g1" without member "m2" | connections to m2 are closed                  |
+      | "g1" with 30 connections | up to 10 connections a member are closed      |
+      | "g1" with a budget of 10 | up to 20 connections of t a member are closed |
--- a/features/foreign_records.feature
+++ b/features/foreign_records.feature
@@ -18,16 +18,16 @@
     And foreign records: it is refused with each of <values> as "<field>", naming the field
 
     Examples:
-      | field        | values                                        |
-      | service      | 7, null, "", "a b", ["x"]                     |
+      | field        | values                                                                                                |
+      | service      | 7, null, "", "a b", ["x"]                                                                             |
       | address      | 7, null, "", "10.0.0.1", "10.0.0.1:", "10.0.0.1:0", "10.0.0.1:99999", "host:80", ":80", "10.0.0.1:8a" |
-      | zone         | 7, null, ""                                   |
-      | version      | 7, null                                       |
-      | capacity     | "3", 2.5, -1, null, true, [3]                 |
-      | state        | "resting", "READY", 1, null                   |
-      | dbRole       | "leader", 1, null                             |
-      | callSeq      | "4", 4.5, null, true                          |
-      | warmupLeftMs | "0", null, -1                                 |
+      | zone         | 7, null, ""                                                                                           |
+      | version      | 7, null                                                                                               |
+      | capacity     | "3", 2.5, -1, null, true, [3]                                                                         |
+      | state        | "resting", "READY", 1, null                                                                           |
+      | dbRole       | "leader", 1, null                                                                                     |
+      | callSeq      | "4", 4.5, null, true                                                                                  |
+      | warmupLeftMs | "0", null, -1                                                                                         |
 
   Scenario: foreign records: a start time that is not an integer
     Then foreign records: it is refused with each of "1790000000000", 1790000000000.5, null, true, -1, 0, [1] as "born", naming the field
@@ -52,11 +52,11 @@
     Then foreign records: it is refused
 
     Examples:
-      | identity  |
-      |           |
-      | a b       |
-      | a\r\nb    |
-      | a\x00     |
+      | identity |
+      |          |
+      | a b      |
+      | a\r\nb   |
+      | a\x00    |
 
   Scenario Outline: foreign records: a proxy whose view holds <record> serves with the other members
     Given foreign records: a proxy with primary a, replicas b and c, and <record> as a member of the group
@@ -65,11 +65,11 @@
     And foreign records: no connection to the record was attempted, and it was logged once
 
     Examples:
-      | record                          |
-      | an address without a port       |
-      | an address that is a name       |
-      | an identity with a blank        |
-      | an unknown state       |
+      | record                    |
+      | an address without a port |
+      | an address that is a name |
+      | an identity with a blank  |
+      | an unknown state          |
 
   Scenario: foreign records: a leader whose log holds a record without a port promotes another member
     Given foreign records: a leader whose group has primary a, replica c, and b with an address without a port
--- a/features/foundation_messages.feature
+++ b/features/foundation_messages.feature
@@ -19,8 +19,8 @@
       | an empty message           |
       | a message cut in half      |
       | bytes that are not msgpack |
-      | an unknown kind   |
-      | a missing field    |
+      | an unknown kind            |
+      | a missing field            |
       | a field of another type    |
       | a bare number              |
 
--- a/features/home_choice.feature
+++ b/features/home_choice.feature
@@ -12,11 +12,11 @@
     And home choice: no home proxy's queue swings by more than <swing> units within 0.3 s
 
     Examples:
-      | load                            | first | others | then | others_then | percent | wait | away | swing |
-      | steady load                     | 300   | 300    | 300  | 300         | 99      | 60   | 2    | 12    |
-      | one region gets 1.5 times its capacity | 300 | 300 | 900 | 300  | 95      | 250  | 25   | 40    |
-      | half of the work changes region | 700   | 250    | 100  | 650         | 95      | 250  | 15   | 40    |
-      | all are near their limit        | 560   | 560    | 560  | 560         | 95      | 250  | 15   | 40    |
+      | load                                   | first | others | then | others_then | percent | wait | away | swing |
+      | steady load                            | 300   | 300    | 300  | 300         | 99      | 60   | 2    | 12    |
+      | one region gets 1.5 times its capacity | 300   | 300    | 900  | 300         | 95      | 250  | 25   | 40    |
+      | half of the work changes region        | 700   | 250    | 100  | 650         | 95      | 250  | 15   | 40    |
+      | all are near their limit               | 560   | 560    | 560  | 560         | 95      | 250  | 15   | 40    |
 
   Scenario: home choice: queues oscillate if all units go to the best home proxy
     Given home choice: 68 proxies and nine home proxies
--- a/features/lease_demand.feature
+++ b/features/lease_demand.feature
@@ -51,12 +51,12 @@
     And lease demand: h4 may hold at least <least> connections to m1
 
     Examples: the connections of a dead process become free when its lease of 5 s expires
-      | failure                                                    | demand             | seconds | least |
-      | h1 dies                                                    | 0 2 2 30 2 2 2 2 2 | 1       | 3     |
-      | h1 dies                                                    | 0 2 2 30 2 2 2 2 2 | 6       | 12    |
-      | the leader dies after revoking connections of h1                  | 2 2 2 30 2 2 2 2 2 | 6       | 12    |
-      | h4's report of its demand is lost with its link            | 2 2 2 30 2 2 2 2 2 | 1       | 12    |
-      | h1 stays connected and reports no new demand  | - 2 2 30 2 2 2 2 2 | 1       | 8     |
+      | failure                                          | demand             | seconds | least |
+      | h1 dies                                          | 0 2 2 30 2 2 2 2 2 | 1       | 3     |
+      | h1 dies                                          | 0 2 2 30 2 2 2 2 2 | 6       | 12    |
+      | the leader dies after revoking connections of h1 | 2 2 2 30 2 2 2 2 2 | 6       | 12    |
+      | h4's report of its demand is lost with its link  | 2 2 2 30 2 2 2 2 2 | 1       | 12    |
+      | h1 stays connected and reports no new demand     | - 2 2 30 2 2 2 2 2 | 1       | 8     |
 
   Scenario: lease demand: the members of a group are known before it is declared
     Guards against a crash of a leader that receives announcements before the first declaration ("'NoneType' object has
@@ -112,7 +112,7 @@
 
     Examples:
       | safeguard                                       |
-      | a revoked share is reused only after its return         |
+      | a revoked share is reused only after its return |
       | what is reported counts as granted at both ends |
 
   Scenario Outline: lease demand: the demand that a home proxy reports when <load>
@@ -121,10 +121,10 @@
     And lease demand: 4 s later at most 2 are reported as wanted
 
     Examples:
-      | load                                     | tenants | each | seconds | under_way | reported | messages |
-      | many tenants send many requests          | 20      | 4    | 3       | 3         | 20   | 2        |
-      | clients use one public database          | 1       | 80   | 3       | 9         | 9    | 2        |
-      | many tenants send few requests each      | 76      | 0.1  | 10      | 2         | 15   | 5        |
+      | load                                | tenants | each | seconds | under_way | reported | messages |
+      | many tenants send many requests     | 20      | 4    | 3       | 3         | 20       | 2        |
+      | clients use one public database     | 1       | 80   | 3       | 9         | 9        | 2        |
+      | many tenants send few requests each | 76      | 0.1  | 10      | 2         | 15       | 5        |
 
   Scenario: lease demand: a lease for one member adds to the lease for every member
     Given statement homes: a session database, home proxies h1 in z2
