--- a/limedyke/messages/control.py
+++ b/limedyke/messages/control.py
@@ -157,8 +157,8 @@
 class ConnectionLease:
     """Connections a proxy may hold to each member of a group for a tenant.
 
-    An empty tenant stands for the proxy's share for probes.  Leases expire ``lease_duration_ms`` of
-    the last ``QuorumStamp`` after the proxy sent the heartbeat that it answers.
+    An empty tenant stands for the proxy's share for probes.  A lease expires ``lease_duration_ms``
+    after the proxy sent the heartbeat that the last ``QuorumStamp`` answers.
     """
 
     group: str
