--- a/limedyke/core/control/announcements.py
+++ b/limedyke/core/control/announcements.py
@@ -19,10 +19,10 @@
 from limedyke.messages.control_entries import EndedIncarnation, RecordMembers
 from limedyke.messages.databases import AnnouncedMember, MemberState
 
-LATE_WITHIN_S = 3.0
+LATE_ANNOUNCEMENT_S = 3.0
 """Within this time of a higher sequence number, a lower one is a late announcement; after it, the
 member has restarted. Applies only to members that do not report their start time."""
-WITHDRAWN_KEPT_S = 60.0
+WITHDRAWAL_RETENTION_S = 60.0
 """How long announcements are ignored after a member withdrew, if it does not report its start time.
 Covers the drain, the shutdown and announcements still in transit."""
 
@@ -100,7 +100,7 @@
         known_start_ms = known.started_at_ms if known is not None else 0
         self._withdrawn[identity] = _Withdrawn(now, started_at_ms or known_start_ms)
         for name, withdrawn in list(self._withdrawn.items()):
-            if withdrawn.at < now - WITHDRAWN_KEPT_S:
+            if withdrawn.at < now - WITHDRAWAL_RETENTION_S:
                 del self._withdrawn[name]
         self._last_announcements.pop(identity, None)
         is_new_end = started_at_ms > 0 and not self._ended.has_ended(identity, started_at_ms)
@@ -142,7 +142,7 @@
 
     def _has_withdrawn(self, member: AnnouncedMember, now: float) -> bool:
         withdrawn = self._withdrawn.get(member.identity)
-        if withdrawn is None or now - withdrawn.at > WITHDRAWN_KEPT_S:
+        if withdrawn is None or now - withdrawn.at > WITHDRAWAL_RETENTION_S:
             return False
         return member.started_at_ms <= withdrawn.started_at_ms
 
@@ -155,7 +155,7 @@
             return False
         if sequence >= last.sequence:
             return False
-        return member.started_at_ms > 0 or now - last.at < LATE_WITHIN_S
+        return member.started_at_ms > 0 or now - last.at < LATE_ANNOUNCEMENT_S
 
     def _displaced_by(self, member: AnnouncedMember) -> tuple[str, ...]:
         """Return the other recorded members that have the address of this one."""
