--- a/limedyke/core/control/displaced_members.py
+++ b/limedyke/core/control/displaced_members.py
@@ -7,7 +7,7 @@
 from limedyke.messages.control_entries import DisplacedMember, RecordMembers
 from limedyke.messages.databases import AnnouncedMember
 
-MAXIMUM_KEPT = 256
+MAXIMUM_ENTRIES = 256
 """Announcements arrive at most seconds late; at 260 restarts a day this covers about a day."""
 
 
@@ -46,5 +46,5 @@
             if member is not None and member.address in taken:
                 lost = DisplacedMember(identity, member.address, member.started_at_ms)
                 self._displaced[identity] = lost
-        while len(self._displaced) > MAXIMUM_KEPT:
+        while len(self._displaced) > MAXIMUM_ENTRIES:
             del self._displaced[next(iter(self._displaced))]
--- a/limedyke/core/control/ended_incarnations.py
+++ b/limedyke/core/control/ended_incarnations.py
@@ -6,7 +6,7 @@
 
 from limedyke.messages.control_entries import EndedIncarnation, RecordMembers
 
-MAXIMUM_KEPT = 256
+MAXIMUM_ENTRIES = 256
 """Announcements arrive at most seconds late; at 260 restarts a day this covers about a day."""
 
 
@@ -35,5 +35,5 @@
             if not self.has_ended(ended.identity, ended.started_at_ms):
                 self._starts.pop(ended.identity, None)
                 self._starts[ended.identity] = ended.started_at_ms
-        while len(self._starts) > MAXIMUM_KEPT:
+        while len(self._starts) > MAXIMUM_ENTRIES:
             del self._starts[next(iter(self._starts))]
