--- a/limedyke/core/control/lease_table.py
+++ b/limedyke/core/control/lease_table.py
@@ -17,7 +17,7 @@
 
 DRIFT_MARGIN_RATIO = 0.02
 DRIFT_MARGIN_S = 0.2
-MAXIMUM_GROUPS_AT_ONCE = 256
+MAXIMUM_GROUPS_PER_CALL = 256
 DIVISION_INTERVAL_S = 0.5
 """When demand shifts, many proxies report it, each with its next heartbeat. Dividing after each
 report would close connections that the next report would have kept."""
@@ -200,7 +200,7 @@
         lease.
         """
         changes: list[LeaseChange] = []
-        for name in list(islice(self._groups_to_share, MAXIMUM_GROUPS_AT_ONCE)):
+        for name in list(islice(self._groups_to_share, MAXIMUM_GROUPS_PER_CALL)):
             del self._groups_to_share[name]
             group = self._groups[name]
             changes += group.shrink(self._reachable)
