--- a/limedyke/core/control/leases/load_view.py
+++ b/limedyke/core/control/leases/load_view.py
@@ -11,7 +11,7 @@
 from limedyke.messages.operator import LoadReport, LoadRequest, MemberLoad, ProxyUse
 
 BY_DEMAND = "half equally, half by demand"
-NOT_TOLD = "equally: no home proxy tells its demand"
+DEMAND_NOT_REPORTED = "equally: no home proxy tells its demand"
 EQUALLY = "equally: the members are declared"
 
 
@@ -71,4 +71,4 @@
         return EQUALLY
     if cap is not None:
         return f"by demand; an operator allows {cap} connections"
-    return BY_DEMAND if any(use.wanted >= 0 for use in uses) else NOT_TOLD
+    return BY_DEMAND if any(use.wanted >= 0 for use in uses) else DEMAND_NOT_REPORTED
