--- a/limedyke/core/control/leader.py
+++ b/limedyke/core/control/leader.py
@@ -154,7 +154,7 @@
             case ProxyLeft():
                 self._on_left(event, now)
             case PlatformListed():
-                self.membership.hint(event.leaving)
+                self.membership.set_listed_as_leaving(event.leaving)
 
     def take_commands(self) -> list[LeaderCommand]:
         """Return the collected commands in order; proposals of one kind share log entries."""
@@ -243,7 +243,7 @@
         self._next_check_at = now + CHECK_INTERVAL_S
         for proxy in self.leases.expire(now):
             self._commands.append(DisconnectProxy(proxy, LEASES_EXPIRED))
-        self.membership.judge(now, self.leases.holders())
+        self.membership.check_silence(now, self.leases.holders())
         gone = self.announcements.remove_silent(self._timing.member_forgotten_s, now)
         if gone is not None:
             self._commands.append(Propose(gone))
--- a/limedyke/core/control/membership.py
+++ b/limedyke/core/control/membership.py
@@ -74,9 +74,9 @@
         self._sessions: dict[str, ProxySession] = {
             name: ProxySession(heard_at=now) for name in proxies
         }
-        self._wanted: dict[str, ProxyRecord] = {}
-        self._ended: dict[str, int] = {}
-        self._hinted: frozenset[str] = frozenset()
+        self._pending_records: dict[str, ProxyRecord] = {}
+        self._pending_removals: dict[str, int] = {}
+        self._listed_as_leaving: frozenset[str] = frozenset()
 
     def session(self, proxy: str) -> ProxySession | None:
         """Return the session of a proxy, if any."""
@@ -107,8 +107,8 @@
             revision=hello.revision,
             control_index=hello.control_index,
         )
-        self._ended.pop(hello.name, None)
-        self._want(record)
+        self._pending_removals.pop(hello.name, None)
+        self._schedule_record(record)
 
     def disconnected(self, proxy: str) -> None:
         """Record that a proxy's link closed."""
@@ -126,15 +126,15 @@
         session.control_index = heartbeat.control_index
         session.clients = heartbeat.clients
         if heartbeat.state is not ProxyState.GONE:
-            self._want(replace(session.record, state=heartbeat.state))
+            self._schedule_record(replace(session.record, state=heartbeat.state))
 
     def left(self, proxy: str, done: bool) -> None:
         """Record that a proxy drains, or has finished draining."""
         session = self._sessions.get(proxy)
         if done:
-            self._end(proxy)
+            self._schedule_removal(proxy)
         elif session is not None and session.record is not None:
-            self._want(replace(session.record, state=ProxyState.DRAINING))
+            self._schedule_record(replace(session.record, state=ProxyState.DRAINING))
 
     def ended(self, proxy: str) -> None:
         """Record that a proxy's process has ended."""
@@ -142,13 +142,13 @@
         if session is not None:
             session.connected = False
             session.heard_at = float("-inf")
-        self._end(proxy)
+        self._schedule_removal(proxy)
 
-    def hint(self, leaving: frozenset[str]) -> None:
+    def set_listed_as_leaving(self, leaving: frozenset[str]) -> None:
         """Set the proxies that the platform lists as leaving; the list alone changes nothing."""
-        self._hinted = leaving
+        self._listed_as_leaving = leaving
 
-    def judge(self, now: float, lease_holders: Mapping[str, float]) -> None:
+    def check_silence(self, now: float, lease_holders: Mapping[str, float]) -> None:
         """Suspect and remove silent proxies.
 
         :param lease_holders: proxies with unexpired leases; they are never removed
@@ -159,9 +159,9 @@
                 session = self._sessions[name] = ProxySession(heard_at=now)
             silence_s = now - session.heard_at
             if silence_s > self._removal_silence_s and name not in lease_holders:
-                self._end(name)
+                self._schedule_removal(name)
             elif silence_s > self._suspicion_timeout_s(name) and record.state is ProxyState.SERVING:
-                self._want(replace(record, state=ProxyState.SUSPECTED))
+                self._schedule_record(replace(record, state=ProxyState.SUSPECTED))
 
     def take_entries(self) -> list[RecordProxies | RemoveProxies]:
         """Return the pending changes, at most one log entry of each kind; the rest follow later.
@@ -169,17 +169,17 @@
         Proxies that no longer serve go first.
         """
         entries: list[RecordProxies | RemoveProxies] = []
-        wanted = sorted(self._wanted.values(), key=lambda record: record.state in _SERVING)
+        wanted = sorted(self._pending_records.values(), key=lambda record: record.state in _SERVING)
         if wanted:
             entries.append(RecordProxies(tuple(wanted[:MAXIMUM_BATCH])))
         for record in wanted[:MAXIMUM_BATCH]:
-            del self._wanted[record.name]
-        ended = list(islice(self._ended.items(), MAXIMUM_BATCH))
+            del self._pending_records[record.name]
+        ended = list(islice(self._pending_removals.items(), MAXIMUM_BATCH))
         if ended:
             incarnations = tuple(ProxyIncarnation(name, number) for name, number in ended)
             entries.append(RemoveProxies(incarnations))
         for name, _ in ended:
-            del self._ended[name]
+            del self._pending_removals[name]
         return entries
 
     def forget(self, proxy: str) -> None:
@@ -189,17 +189,17 @@
             del self._sessions[proxy]
 
     def _suspicion_timeout_s(self, proxy: str) -> float:
-        hinted = proxy in self._hinted
-        return self._timing.hinted_suspicion_s if hinted else self._timing.suspicion_s
+        is_listed = proxy in self._listed_as_leaving
+        return self._timing.hinted_suspicion_s if is_listed else self._timing.suspicion_s
 
-    def _want(self, record: ProxyRecord) -> None:
+    def _schedule_record(self, record: ProxyRecord) -> None:
         if self._proxies.get(record.name) == record:
-            self._wanted.pop(record.name, None)
+            self._pending_records.pop(record.name, None)
         else:
-            self._wanted[record.name] = record
+            self._pending_records[record.name] = record
 
-    def _end(self, proxy: str) -> None:
+    def _schedule_removal(self, proxy: str) -> None:
         record = self._proxies.get(proxy)
         if record is not None:
-            self._wanted.pop(proxy, None)
-            self._ended[proxy] = record.incarnation
+            self._pending_records.pop(proxy, None)
+            self._pending_removals[proxy] = record.incarnation
