--- a/limedyke/core/control/plan_store.py
+++ b/limedyke/core/control/plan_store.py
@@ -11,14 +11,14 @@
 MAXIMUM_PLANS = 64
 MAXIMUM_OUTCOMES = 2_048
 MAXIMUM_HISTORY = 1_024
-SUMMARY_CHANGES = 6
+MAXIMUM_SUMMARY_CHANGES = 6
 
 
 def summary_of(changes: tuple[PlannedChange, ...]) -> str:
     """Summarize the changes of a plan in one line for the history."""
-    named = [f"{change.action} {change.item}" for change in changes[:SUMMARY_CHANGES]]
-    if len(changes) > SUMMARY_CHANGES:
-        named.append(f"and {len(changes) - SUMMARY_CHANGES} more")
+    named = [f"{change.action} {change.item}" for change in changes[:MAXIMUM_SUMMARY_CHANGES]]
+    if len(changes) > MAXIMUM_SUMMARY_CHANGES:
+        named.append(f"and {len(changes) - MAXIMUM_SUMMARY_CHANGES} more")
     return "; ".join(named)
 
 
