--- a/limedyke/core/control/primaries/authority_failover.py
+++ b/limedyke/core/control/primaries/authority_failover.py
@@ -30,7 +30,7 @@
 from limedyke.messages.databases import AnnouncedMember
 
 PROPOSAL_RETRY_S = 1.0
-EXCLUDED_FOR_S = 2.0
+REFUSED_EXCLUSION_S = 2.0
 STALE_ANNOUNCEMENT_S = 1.0
 """Announcements within this time of a change of primary may date from before it."""
 FIRST_PRIMARY_WAIT_S = 1.5
@@ -84,7 +84,7 @@
         """Add a declared group; continue a promotion that an earlier leader began."""
         if group in self._group_states:
             return
-        state = self._group_states[group] = AuthorityGroupState(seen_at=now)
+        state = self._group_states[group] = AuthorityGroupState(added_at=now)
         recorded = self._recorded(group)
         if recorded.term > 0 and not recorded.primary:
             state.enter(AuthorityStep.BACKING_OFF, now)
@@ -159,7 +159,7 @@
             self._evaluate_group(group, state, now)
             return
         if outcome is AuthorityOutcome.REFUSED:
-            state.excluded[state.target] = now + EXCLUDED_FOR_S
+            state.excluded[state.target] = now + REFUSED_EXCLUSION_S
         self._back_off(state, now)
 
     def tick(self, now: float) -> None:
@@ -219,7 +219,7 @@
         exposed = [member for member in self._evaluator.members_of(group) if member.is_primary]
         if len(exposed) == 1:
             self._record(group, state, recorded.term + 1, exposed[0].identity, now)
-        elif self._evaluator.members_of(group) and now - state.seen_at > FIRST_PRIMARY_WAIT_S:
+        elif self._evaluator.members_of(group) and now - state.added_at > FIRST_PRIMARY_WAIT_S:
             self._grant(group, state, now)
 
     def _follow_exposed_primary(
--- a/limedyke/core/control/primaries/authority_group_state.py
+++ b/limedyke/core/control/primaries/authority_group_state.py
@@ -146,7 +146,7 @@
     target_started_at_ms: int = 0
     promoted_at: float = NEVER
     failures: int = 0
-    seen_at: float = 0.0
+    added_at: float = 0.0
     recorded_at: float = float("-inf")
 
     def took_over_recently(self, now: float, calm_s: float) -> bool:
