--- a/limedyke/core/control/primaries/group_failover_state.py
+++ b/limedyke/core/control/primaries/group_failover_state.py
@@ -8,8 +8,8 @@
 from limedyke.core.control.primaries.group_reports import GroupReports
 
 NEVER = float("inf")
-FAILOVERS_AT_FULL_SPEED = 2
-LONGEST_HOLD_FACTOR = 16.0
+UNDELAYED_FAILOVERS = 2
+MAXIMUM_HOLD_FACTOR = 16.0
 
 
 class Step(enum.StrEnum):
@@ -68,5 +68,5 @@
         """
         if now - self.failed_over_at > calm_s:
             return 1.0
-        extra = max(0, self.failovers - FAILOVERS_AT_FULL_SPEED + 1)
-        return min(2.0**extra, LONGEST_HOLD_FACTOR)
+        extra = max(0, self.failovers - UNDELAYED_FAILOVERS + 1)
+        return min(2.0**extra, MAXIMUM_HOLD_FACTOR)
