--- a/features/control_leases.feature
+++ b/features/control_leases.feature
@@ -45,7 +45,7 @@
       | a falls silent                       | 4.9     | 0  |
       | a falls silent                       | 5.2     | 0  |
       | a falls silent                       | 5.5     | 15 |
-      | a goes on with heartbeats            | 30      | 0  |
+      | a keeps sending heartbeats           | 30      | 0  |
       | a's link ends                        | 4.9     | 0  |
       | a's link ends                        | 5.5     | 15 |
       | a's process is proven to have ended  | 0.1     | 15 |
--- a/features/steps/control_leases_steps.py
+++ b/features/steps/control_leases_steps.py
@@ -172,7 +172,7 @@
     lease = ConnectionLease("g", "t", 0)
     probe = ConnectionLease("g", "", 0)
     match event:
-        case "nothing happens" | "a goes on with heartbeats":
+        case "nothing happens" | "a keeps sending heartbeats":
             alive.append("a")
         case "a returns all":
             leader.post(LeasesReturned("a", (lease, probe)))
