--- a/features/control_membership.feature
+++ b/features/control_membership.feature
@@ -15,11 +15,11 @@
       | live   | falls silent   | 32      | forgotten |
       | live   | loses its link | 4.5     | serving   |
       | live   | loses its link | 6       | suspected |
-      | live   | goes on        | 40      | serving   |
+      | live   | stays alive    | 40      | serving   |
 
     Examples: the list may be outdated, and neither removes nor keeps a proxy
       | listed  | does         | seconds | state     |
-      | leaving | goes on      | 40      | serving   |
+      | leaving | stays alive  | 40      | serving   |
       | leaving | falls silent | 1.5     | serving   |
       | leaving | falls silent | 3       | suspected |
       | leaving | falls silent | 30.5    | suspected |
--- a/features/steps/control_membership_steps.py
+++ b/features/steps/control_membership_steps.py
@@ -66,12 +66,12 @@
         beat = ProxyHeartbeat(self.sequence, 0, 0, ProxyState.SERVING, 0)
         return HeartbeatReceived(name, beat, first)
 
-    def wait(self, seconds: float, goes_on: bool) -> None:
+    def wait(self, seconds: float, is_alive: bool) -> None:
         """Advance the clock."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(end, self.now + STEP_S)
-            if goes_on:
+            if is_alive:
                 self.post(self.heartbeat("p"))
             self.post(TimePassed())
 
@@ -98,7 +98,7 @@
             membership.post(ProxyLeft("p", done=False))
         case "has drained":
             membership.post(ProxyLeft("p", done=True))
-    membership.wait(seconds, goes_on=does == "goes on")
+    membership.wait(seconds, is_alive=does == "stays alive")
 
 
 @when("membership: it reconnects {how}")
@@ -149,7 +149,7 @@
     context.membership = membership = MembershipUnderTest(30.0)
     for number in range(silent):
         membership.connect(f"s{number}", folder_id=f"disk of s{number}")
-        membership.wait(0.5, goes_on=False)
+        membership.wait(0.5, is_alive=False)
     membership.now += 10.0
     hellos = [ProxyHello(f"p{i}", 1, "", "z1", 0, 0, "disk") for i in range(count)]
     for hello in hellos:
