--- a/features/steps/lease_demand_steps.py
+++ b/features/steps/lease_demand_steps.py
@@ -352,7 +352,7 @@
 
 def _report(context, now):
     wanted = ConnectionDemand("g", "m1", context.use.wanted(now))
-    reported = context.reporter.take([wanted], whole=not context.sent)
+    reported = context.reporter.changes_to_report([wanted], whole=not context.sent)
     if reported:
         context.sent.append(reported[0].connections)
 
