--- a/limedyke/proxy/clients/connection.py
+++ b/limedyke/proxy/clients/connection.py
@@ -21,8 +21,8 @@
     CancelOther,
     ClientMessages,
     CloseClient,
-    LeaveAsked,
-    LoginProved,
+    LeaveRequested,
+    LoginSucceeded,
     Moment,
     RunUnit,
     SendToClient,
@@ -129,7 +129,7 @@
                 await self._socket.start_tls(self._services.tls, timeout_s)
             case CancelOther(process_id, secret):
                 await self._cancel_other(CancelKey(process_id, secret))
-            case LoginProved():
+            case LoginSucceeded():
                 return await self._open_session(command)
             case CloseClient(reason):
                 self._count_login(reason)
@@ -150,7 +150,7 @@
         for command in connection.session.cancel():
             await self._services.executor.abandon(command.work)
 
-    async def _open_session(self, login: LoginProved) -> bool:
+    async def _open_session(self, login: LoginSucceeded) -> bool:
         services = self._services
         tenant = services.context.find_tenant(login.tenant)
         if tenant is None or services.draining:
@@ -269,7 +269,7 @@
         # What has arrived by now is served; what comes later is refused as an answer to it.
         if not self.session.is_leaving and self._has_unread_input():
             return []
-        return self.session.handle(LeaveAsked(failure, present_moment()))
+        return self.session.handle(LeaveRequested(failure, present_moment()))
 
     def _has_unread_input(self) -> bool:
         """Tell whether a request has arrived that the connection's task hasn't read yet."""
