--- a/features/steps/operation_limits_steps.py
+++ b/features/steps/operation_limits_steps.py
@@ -77,7 +77,7 @@
 @when("operation limits: proxies {names} have ended")
 def step_ended(context, names):
     for name in names.split(" "):
-        context.world.limits.ended(name, context.world.now)
+        context.world.limits.proxy_ended(name, context.world.now)
 
 
 @when(
--- a/features/steps/operation_waiting_steps.py
+++ b/features/steps/operation_waiting_steps.py
@@ -305,10 +305,10 @@
     world = context.world
     world.play([Kind(0, 18.0, 0)], 5.0)
     for number in range(count, len(world.queues)):
-        world.limits.heard(f"p{number}", world.now)
+        world.limits.proxy_contacted(f"p{number}", world.now)
     world.now += 1.2
     for number in range(count, len(world.queues)):
-        world.limits.heard(f"p{number}", world.now)
+        world.limits.proxy_contacted(f"p{number}", world.now)
     world.limits.tick(world.now)
     world.queues = world.queues[count:]
     world.first_proxy = count
