--- a/features/mutants/tenants_safeguards.py
+++ b/features/mutants/tenants_safeguards.py
@@ -157,19 +157,19 @@
     ),
     Mutant(
         "give first tokens with each leader",
-        "limedyke.core.limits.operation_limits.FIRST_TOKENS_EACH_S",
+        "limedyke.core.limits.operation_limits.FULL_FIRST_TOKENS_AFTER_S",
         "a tenant keeps within its limit",
         lambda: _is_caught(
-            lambda: mock.patch.object(operation_limits, "FIRST_TOKENS_EACH_S", 0.01),
+            lambda: mock.patch.object(operation_limits, "FULL_FIRST_TOKENS_AFTER_S", 0.01),
             _passes_limit_under_many_leaders,
         ),
     ),
     Mutant(
         "give the reserve anew with each loss of the leader",
-        "limedyke.core.limits.operation_allowance.RESERVE_AGAIN_S",
+        "limedyke.core.limits.operation_allowance.RESERVE_REFILL_S",
         "a tenant keeps within its limit",
         lambda: _is_caught(
-            lambda: mock.patch.object(operation_allowance, "RESERVE_AGAIN_S", 0.01),
+            lambda: mock.patch.object(operation_allowance, "RESERVE_REFILL_S", 0.01),
             _passes_limit_under_leaders_that_are_told,
         ),
     ),
@@ -184,19 +184,19 @@
     ),
     Mutant(
         "tell shares that together pass the limit",
-        "limedyke.core.limits.operation_limits.OperationLimits._told_rate",
+        "limedyke.core.limits.operation_limits.OperationLimits._granted_share_rate",
         "a tenant keeps within its limit",
         lambda: _is_caught(
-            lambda: mock.patch.object(OperationLimits, "_told_rate", lambda *_: 0.0),
+            lambda: mock.patch.object(OperationLimits, "_granted_share_rate", lambda *_: 0.0),
             _passes_limit_of_stale_shares,
         ),
     ),
     Mutant(
         "withhold nothing for proxies that run by themselves",
-        "limedyke.core.limits.operation_limits.OperationLimits._runs_alone",
+        "limedyke.core.limits.operation_limits.OperationLimits._start_leaderless",
         "a tenant keeps within its limit",
         lambda: _is_caught(
-            lambda: mock.patch.object(OperationLimits, "_runs_alone", lambda *_: None),
+            lambda: mock.patch.object(OperationLimits, "_start_leaderless", lambda *_: None),
             _passes_limit_while_cut_off,
         ),
     ),
--- a/features/steps/operation_limit_failures_steps.py
+++ b/features/steps/operation_limit_failures_steps.py
@@ -207,7 +207,7 @@
 @given("limits and failures: a proxy that lost the leader and was told no share")
 def step_no_share(context):
     context.allowance = OperationAllowance()
-    context.allowance.granted(0, 0.0, 1_000.0)
+    context.allowance.count_granted(0, 0.0, 1_000.0)
 
 
 @when("limits and failures: {count:d} operations want to run")
--- a/features/steps/operation_limits_steps.py
+++ b/features/steps/operation_limits_steps.py
@@ -125,7 +125,7 @@
     context.allowance = OperationAllowance()
     for _ in range(rate * seconds):
         context.now += 1 / rate
-        context.allowance.granted(1, rate, context.now)
+        context.allowance.count_granted(1, rate, context.now)
 
 
 @when(
@@ -152,7 +152,7 @@
 
 @then("operation limits: none is in stock")
 def step_no_stock(context):
-    assert not context.allowance.take(context.now)
+    assert not context.allowance.take_granted(context.now)
 
 
 @given(
@@ -187,7 +187,7 @@
 @when("operation limits: the leader answers nothing, and the leases have run out")
 def step_leases_over(context):
     context.path.leader = None
-    context.path.alone_until = time.monotonic()
+    context.path.may_run_until = time.monotonic()
 
 
 @when("operation limits: a client with {key:w} writes {count:d} times")
--- a/features/support/leaders_world.py
+++ b/features/support/leaders_world.py
@@ -183,8 +183,8 @@
 
     def _run(self, proxy: Proxy, count: int) -> None:
         for _ in range(count):
-            proxy.allowance.came(self.now)
-        stocked = sum(proxy.allowance.take(self.now) for _ in range(count))
+            proxy.allowance.count_demand(self.now)
+        stocked = sum(proxy.allowance.take_granted(self.now) for _ in range(count))
         self.ran += [self.now] * stocked
         count -= stocked
         if not count:
@@ -197,10 +197,10 @@
     def _ask(self, proxy: Proxy, count: int) -> None:
         self.messages += 1
         told = (OperationsOfPriority(1, count, WAIT_MS),)
-        demand = OperationDemand(TENANT, count, proxy.allowance.ahead(self.now), told)
+        demand = OperationDemand(TENANT, count, proxy.allowance.prefetch_count(self.now), told)
         request = OperationsRequest(self.messages, (demand,))
         grant = self._leader.wanted(proxy.name, request, self.now).grants[0]
-        proxy.allowance.take_answer(grant, self.now)
+        proxy.allowance.apply_grant(grant, self.now)
         at_once = min(count, grant.operations)
         proxy.allowance.add(grant.operations - at_once, self.now)
         self.ran += [self.now] * at_once
--- a/limedyke/core/limits/__init__.py
+++ b/limedyke/core/limits/__init__.py
@@ -1,1 +1,1 @@
-"""How many operations a tenant may run, over all proxies."""
+"""Limits on the number of operations that a tenant runs across all proxies."""
--- a/limedyke/core/limits/leader_history.py
+++ b/limedyke/core/limits/leader_history.py
@@ -1,7 +1,7 @@
-"""When leaders began to lead, as one controller saw it; sans-IO.
+"""Start times of leaderships as observed by one controller; sans-IO.
 
-What each leader counts it forgets with its lead, so the next one has to know how long ago the one
-before began.
+A new leader needs to know how long ago the previous leadership began, because the previous leader's
+counters are lost.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 class LeaderHistory:
     """The present leadership and the one before it; times are seconds of a steady clock.
 
-    :param started_at: when this process began: what was before it is not known
+    :param started_at: start of this process, which knows of no earlier leadership
 
-    :ivar last_lead_began_at: when the leadership before the present one began, as late as it may be
+    :ivar last_lead_began_at: latest possible start of the leadership before the present one
     """
 
     def __init__(self, started_at: float) -> None:
@@ -21,7 +21,7 @@
         self._began_at = started_at
 
     def leads(self, term: int, now: float) -> None:
-        """Note that somebody leads in a term; each term has one leader."""
+        """Record that a controller leads in a term; each term has one leader."""
         if term <= self._term:
             return
         self.last_lead_began_at = self._began_at
--- a/limedyke/core/limits/operation_limits.py
+++ b/limedyke/core/limits/operation_limits.py
@@ -1,10 +1,10 @@
-"""The leader's count of the operations that proxies run for tenants with a limit; sans-IO.
+"""The leader's accounting of operations that proxies run for tenants with a limit; sans-IO.
 
 The leader holds a token bucket for each tenant and grants operations to the proxies that ask.  A
-proxy that can't ask goes on at its share of the limit by what it ran lately; the leader
-takes that from the bucket once it misses the proxy, back to the moment at which it last heard it,
-for as long as the proxy's leases last.  So the sum over all proxies stays at the limit but for what
-runs until the leader notices, and nobody who keeps within its limit is refused.
+proxy that loses the leader continues at a share of the limit that follows its recent use.  Once the
+leader misses that proxy it withholds this share from the bucket, back to the last contact, for as
+long as the proxy's leases last.  The sum over all proxies therefore exceeds the limit only by what
+runs until the leader notices, and a tenant within its limit is not refused.
 """
 
 from __future__ import annotations
@@ -36,58 +36,61 @@
 TENTHS = 10
 FIRST_TOKENS = 5.0
 FIRST_TOKENS_S = 0.25
-"""What a bucket holds when a controller begins to lead, beside what comes: 5 operations and a
-quarter of a second of the rate. What the leader before granted counts as spent."""
-FIRST_TOKENS_EACH_S = 5.0
-"""A leader that follows another one sooner begins with a part of these tokens, in proportion:
-leaders in quick succession must not each hand all of them out."""
-UNHEARD_S = 1.0
-"""A proxy that was not heard for so long (it sends a heartbeat each 0.4 s) is taken to have lost
-the leader, and to go on by itself."""
-AHEAD_SHARE = 0.5
-"""Operations are granted ahead only from what a bucket holds beyond this share of its burst."""
+"""Initial content of a bucket when a controller begins to lead, in addition to what accrues: 5
+operations plus a quarter of a second of the rate. Operations granted by the previous leader count
+as spent."""
+FULL_FIRST_TOKENS_AFTER_S = 5.0
+"""A leader that follows another one sooner than this begins with a proportional part of the initial
+tokens. Otherwise a rapid succession of leaders would grant the full amount each time."""
+CONTACT_TIMEOUT_S = 1.0
+"""Seconds without contact after which a proxy counts as running without a leader; proxies send a
+heartbeat every 0.4 s."""
+PREFETCH_MIN_FILL_SHARE = 0.5
+"""Operations are granted ahead only from tokens above this share of the burst."""
 SHARE_MEMORY_S = 5.0
-"""Shares follow what proxies ran within about so long: of a small tenant each runs one operation
-in some seconds."""
-SPARED_RATE = 0.8
-"""So many operations a second are not withheld from those that are heard for those that are not: a
-small tenant whose proxies lost power is served by the others, and the windows bear 4 operations."""
+"""Time constant of the use that determines shares. It covers small tenants, for which a proxy runs
+one operation in several seconds."""
+NOT_WITHHELD_RATE = 0.8
+"""Operations per second of unreachable proxies that are not withheld from the reachable ones. This
+lets the other proxies serve a small tenant whose proxies lost power; it adds 4 operations to a
+window, which is within the permitted excess."""
 SHARES_STEP = 0.05
-"""What all shares came to is told rounded up to this part of the limit: it is nearly the same in
-each message then, and compresses to next to nothing."""
-SHARE_LEFT = 0.1
-"""So much of the limit is taken for the use of proxies that have not asked yet: the first one that
-asks would have all of it, and keep it for long."""
-ALONE_OPERATIONS = 12.0
-ALONE_SHARE_OF_WINDOW = 0.1
-"""So many operations, and so much of what a window holds, a tenant's proxies together may run at
-once when they lose the leader."""
-MOST_ALONE_EACH = 3.0
-"""Operations that each may run at once then, or what 0.4 s of its share bring."""
-LONGEST_DEBT_S = 3.0
-"""Debts are forgotten beyond what comes in so long: a tenant is never shut out for longer."""
+"""The sum of all shares is rounded up to a multiple of this part of the limit. Successive messages
+then carry nearly the same value and compress well."""
+RESERVED_SHARE = 0.1
+"""Part of the limit assumed to be used by proxies that have not asked yet. Without it the first
+proxy to ask would get the whole limit as its share and keep it for long."""
+LEADERLESS_OPERATIONS = 12.0
+LEADERLESS_WINDOW_SHARE = 0.1
+"""All proxies of a tenant together may run this many operations at once, plus this part of a
+window's operations, when they lose the leader."""
+MAX_LEADERLESS_PER_PROXY = 3.0
+"""Most operations that one proxy may run at once when it loses the leader, unless 0.4 s of its
+share allow more."""
+MAX_DEBT_S = 3.0
+"""A bucket's debt is limited to the tokens of this time; no tenant is blocked for longer."""
 RETRY_LIMIT_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class GrantedShare:
-    """What a proxy was told it may run alone: operations a second, and when."""
+    """A share of the limit, in operations per second, and when a proxy received it."""
 
     rate: float
     at: float
 
     def holds(self, now: float) -> bool:
-        """Tell whether the proxy may go by it, should it lose the leader now."""
+        """Tell whether a proxy that loses the leader now may still use the share."""
         return now - self.at <= SHARE_LIFE_S
 
 
 class OperationLimits:
-    """What may still be run for each tenant, from the moment a controller begins to lead.
+    """Remaining operations of each tenant since this controller began to lead.
 
-    :param tenants: the declared tenants by name, kept by the caller
-    :param lease_s: a proxy that lost the leader runs nothing after so long
+    :param tenants: the declared tenants by name, owned by the caller
+    :param lease_s: seconds after which a proxy without a leader stops running operations
     :param now: when this controller began to lead, seconds of a steady clock
-    :param last_lead_began_at: when another one last began to lead, as far as this controller knows
+    :param last_lead_began_at: when another controller last began to lead, as far as known
     """
 
     def __init__(
@@ -100,56 +103,56 @@
         self._tenants = tenants
         self._lease_s = lease_s
         self._began_at = now
-        self._first_share = min(1.0, (now - last_lead_began_at) / FIRST_TOKENS_EACH_S)
+        self._first_share = min(1.0, (now - last_lead_began_at) / FULL_FIRST_TOKENS_AFTER_S)
         self._share = 1.0
         self._budgets: dict[str, TenantBudget] = {}
         self._uses: dict[str, dict[str, UseRate]] = {}
-        self._heard_at: dict[str, float] = {}
-        self._running_alone: dict[str, dict[str, float]] = {}
-        self._told: dict[str, dict[str, GrantedShare]] = {}
-        self._adoption = InheritedUse()
-        self._quiet = ProcessEnds()
+        self._contacted_at: dict[str, float] = {}
+        self._leaderless_rates: dict[str, dict[str, float]] = {}
+        self._granted_shares: dict[str, dict[str, GrantedShare]] = {}
+        self._inherited = InheritedUse()
+        self._process_ends = ProcessEnds()
 
     def set_connected_share(self, share: float, now: float) -> None:
-        """Take which share of the registered proxies has come to this leader.
+        """Set the share of registered proxies that have connected to this leader.
 
-        The others may run by themselves yet, at rates that only the leader before knew.
+        The others may run without a leader, at rates that only the previous leader knew.
         """
         if share == self._share:
             return
         self._share = share
         if share == 1.0:
-            self._adoption.all_heard(now)
+            self._inherited.set_all_reported(now)
         for tenant in self._budgets:
             self._set_rate(tenant, now)
-        self._fill_since_quiet(now)
+        self._refill_since_known(now)
 
     def tenants_changed(self, names: Iterable[str], now: float) -> None:
-        """Take new limits into force; for those who lost theirs nothing is counted any more."""
+        """Apply changed limits, and drop the accounts of tenants without a limit."""
         for name in names:
             tenant = self._tenants.get(name)
             if tenant is None or tenant.operations_per_minute == 0:
                 self._budgets.pop(name, None)
                 self._uses.pop(name, None)
-                self._told.pop(name, None)
+                self._granted_shares.pop(name, None)
             elif name in self._budgets:
                 self._set_rate(name, now)
 
     def wanted(self, proxy: str, request: OperationsRequest, now: float) -> OperationsGranted:
-        """Grant what may be run of what a proxy wants to run."""
+        """Grant operations to a proxy that asks for some."""
         self.proxy_contacted(proxy, now)
         self._take_reports(proxy, request.reports, now)
         if request.running_ms:
-            self._quiet.started(proxy, now - request.running_ms / MS_PER_S)
-            self._fill_since_quiet(now)
+            self._process_ends.started(proxy, now - request.running_ms / MS_PER_S)
+            self._refill_since_known(now)
         grants = tuple(self._grant(proxy, demand, now) for demand in request.demands)
         return OperationsGranted(request.number, grants)
 
     def _take_reports(self, proxy: str, reports: tuple[OperationReport, ...], now: float) -> None:
-        """Take what a proxy was granted before; a tenant's bucket holds what that leaves."""
-        told = self._adoption.take(proxy, reports, now)
+        """Apply a proxy's report of past grants and recompute the tenants' buckets."""
+        updated = self._inherited.take(proxy, reports, now)
         for report in reports:
-            if report.tenant not in told:
+            if report.tenant not in updated:
                 continue
             use = self._uses.setdefault(report.tenant, {}).setdefault(
                 proxy, UseRate(SHARE_MEMORY_S)
@@ -157,66 +160,66 @@
             for age, operations in reversed(list(enumerate(report.granted))):
                 use.count(operations, now - age * SLOT_S)
             share = report.alone_per_minute / SECONDS_PER_MINUTE
-            self._told.setdefault(report.tenant, {})[proxy] = GrantedShare(share, now)
+            self._granted_shares.setdefault(report.tenant, {})[proxy] = GrantedShare(share, now)
             budget = self._budgets.get(report.tenant)
             if budget is not None:
-                self._adopt(report.tenant, budget.bucket, now)
+                self._apply_inherited(report.tenant, budget.bucket, now)
 
-    def _fill_since_quiet(self, now: float) -> None:
-        """Have buckets hold what came since the last moment of which something is not known."""
-        since = self._quiet_since(now)
+    def _refill_since_known(self, now: float) -> None:
+        """Raise buckets to what has accrued since the last moment of unknown use."""
+        since = self._use_known_since(now)
         if since is None:
             return
         for name, budget in self._budgets.items():
             self._fill_bucket(name, budget.bucket, since, now)
 
-    def _quiet_since(self, now: float) -> float | None:
-        """Return since when all that ran is known; None if not, or if it matters no more.
+    def _use_known_since(self, now: float) -> float | None:
+        """Return since when all use is known; None if use is unknown or no longer relevant.
 
-        It is once each proxy has come, or another process in its place.
+        Use is known once each proxy, or a process that replaced it, has connected.
         """
-        if not self._adoption.are_all_heard or now - self._began_at > WINDOW_S:
+        if not self._inherited.are_all_reported or now - self._began_at > WINDOW_S:
             return None
-        since = self._quiet.since(self._heard_at.keys())
+        since = self._process_ends.since(self._contacted_at.keys())
         return None if since is None else max(since, now - WINDOW_S)
 
     def _fill_bucket(self, name: str, bucket: TokenBucket, since: float, now: float) -> None:
         bucket.advance(now)
-        level = self._adoption.level_since(name, since, bucket, now)
+        level = self._inherited.level_since(name, since, bucket, now)
         bucket.tokens = max(bucket.tokens, level)
 
-    def _adopt(self, name: str, bucket: TokenBucket, now: float) -> None:
-        """Have a bucket hold what the use within the last window leaves."""
+    def _apply_inherited(self, name: str, bucket: TokenBucket, now: float) -> None:
+        """Set a bucket to what the known use of the last window leaves."""
         self._set_rate(name, now)
-        bucket.tokens = self._adoption.level(name, bucket.rate, bucket.burst, now)
+        bucket.tokens = self._inherited.level(name, bucket.rate, bucket.burst, now)
 
     def proxy_contacted(self, proxy: str, now: float) -> None:
-        """Note that a proxy reaches this leader: it runs nothing by itself."""
-        self._heard_at[proxy] = now
-        if proxy in self._running_alone:
-            self._runs_alone_no_more(proxy, now)
+        """Record contact with a proxy, which therefore does not run without a leader."""
+        self._contacted_at[proxy] = now
+        if proxy in self._leaderless_rates:
+            self._end_leaderless(proxy, now)
 
     def proxy_ended(self, proxy: str, now: float, successor: str = "") -> None:
-        """Note that a proxy's process has ended.
+        """Record that a proxy's process has ended.
 
-        :param successor: the proxy in its place; empty when it ended just now
+        :param successor: the proxy that replaced it; empty if the process ended just now
         """
-        self._quiet.ended(now, successor)
-        self._heard_at.pop(proxy, None)
-        if proxy in self._running_alone:
-            self._runs_alone_no_more(proxy, now)
+        self._process_ends.ended(now, successor)
+        self._contacted_at.pop(proxy, None)
+        if proxy in self._leaderless_rates:
+            self._end_leaderless(proxy, now)
         for uses in self._uses.values():
             uses.pop(proxy, None)
-        for told in self._told.values():
-            told.pop(proxy, None)
+        for shares in self._granted_shares.values():
+            shares.pop(proxy, None)
 
     def tick(self, now: float) -> None:
-        """Count for proxies that are missed; to be called several times a second."""
-        for proxy, heard_at in list(self._heard_at.items()):
-            if now - heard_at > self._lease_s:
+        """Account for proxies that have lost contact; call this several times a second."""
+        for proxy, contacted_at in list(self._contacted_at.items()):
+            if now - contacted_at > self._lease_s:
                 self.proxy_ended(proxy, now)
-            elif now - heard_at > UNHEARD_S and proxy not in self._running_alone:
-                self._runs_alone(proxy, heard_at, now)
+            elif now - contacted_at > CONTACT_TIMEOUT_S and proxy not in self._leaderless_rates:
+                self._start_leaderless(proxy, contacted_at, now)
 
     def _grant(self, proxy: str, demand: OperationDemand, now: float) -> OperationGrant:
         tenant = self._tenants.get(demand.tenant)
@@ -226,20 +229,20 @@
             return OperationGrant(demand.tenant, demand.operations + demand.ahead)
         budget = self._budget(tenant, now)
         bucket = budget.bucket
-        share = self._tell_share(tenant, proxy, now)
+        share = self._grant_share(tenant, proxy, now)
         granted, waits_s, returns = _grant_by_priority(budget, demand, now)
         missing = demand.operations - granted - len(waits_s)
         if demand.ahead and not missing and not waits_s:
-            spare = int(bucket.tokens - AHEAD_SHARE * bucket.burst)
+            spare = int(bucket.tokens - PREFETCH_MIN_FILL_SHARE * bucket.burst)
             granted += bucket.take(max(0, min(demand.ahead, spare)), now)
         if granted or waits_s:
             uses = self._uses.setdefault(demand.tenant, {})
             uses.setdefault(proxy, UseRate(SHARE_MEMORY_S)).count(granted + len(waits_s), now)
             if now - self._began_at < WINDOW_S:
-                self._adoption.granted(demand.tenant, granted + len(waits_s), now)
+                self._inherited.granted(demand.tenant, granted + len(waits_s), now)
         retry_after_s = min(bucket.expected_s(missing), RETRY_LIMIT_S)
         step = SHARES_STEP * _rate(tenant)
-        all_shares = self._told_rate(tenant.name, now) + self._unheard_rate(tenant)
+        all_shares = self._granted_share_rate(tenant.name, now) + self._unreported_rate(tenant)
         all_shares = math.ceil(all_shares / step) * step
         return OperationGrant(
             demand.tenant,
@@ -249,53 +252,55 @@
             tuple(math.ceil(wait_s * MS_PER_S) for wait_s in waits_s),
             returns,
             math.ceil(all_shares * SECONDS_PER_MINUTE),
-            int(self._alone_operations(tenant, now) * TENTHS),
+            int(self._leaderless_operations(tenant, now) * TENTHS),
         )
 
-    def _tell_share(self, tenant: Tenant, proxy: str, now: float) -> float:
-        """Return what a proxy may run alone by what each ran lately, operations a second.
+    def _grant_share(self, tenant: Tenant, proxy: str, now: float) -> float:
+        """Return the share of the limit that a proxy may run without a leader.
 
-        All that were told one together stay within the limit: shares are told at different times,
-        and each proxy keeps its own until it asks again.
+        The share follows recent use, in operations per second.  Proxies receive their shares at
+        different times and keep them until they ask again, so the sum of all unexpired shares is
+        kept within the limit.
         """
-        told = self._told.setdefault(tenant.name, {})
-        told.pop(proxy, None)
+        shares = self._granted_shares.setdefault(tenant.name, {})
+        shares.pop(proxy, None)
         uses = self._uses.get(tenant.name, {})
         if proxy not in uses:
             return 0.0
-        total = sum(use.at(now) for use in uses.values()) + SHARE_LEFT * _rate(tenant)
-        heard_rate = _rate(tenant) - self._unheard_rate(tenant)
-        left = heard_rate - self._told_rate(tenant.name, now)
-        rate = max(0.0, min(heard_rate * uses[proxy].at(now) / total, left))
-        told[proxy] = GrantedShare(rate, now)
+        total = sum(use.at(now) for use in uses.values()) + RESERVED_SHARE * _rate(tenant)
+        reported_rate = _rate(tenant) - self._unreported_rate(tenant)
+        left = reported_rate - self._granted_share_rate(tenant.name, now)
+        rate = max(0.0, min(reported_rate * uses[proxy].at(now) / total, left))
+        shares[proxy] = GrantedShare(rate, now)
         return rate
 
-    def _told_rate(self, tenant: str, now: float) -> float:
-        """Return what all proxies together may run alone by what they were told."""
-        shares = self._told.get(tenant, {}).values()
+    def _granted_share_rate(self, tenant: str, now: float) -> float:
+        """Return the sum of all unexpired shares that proxies have received."""
+        shares = self._granted_shares.get(tenant, {}).values()
         return sum(share.rate for share in shares if share.holds(now))
 
-    def _alone_operations(self, tenant: Tenant, now: float) -> float:
-        """Return what each proxy may run at once when it loses the leader, beside its share.
+    def _leaderless_operations(self, tenant: Tenant, now: float) -> float:
+        """Return how many operations a proxy may run at once when it loses the leader.
 
-        With a fraction of an operation a second each, a small tenant would have none run.
+        These come on top of its share: shares of a fraction of an operation per second would let
+        a small tenant run nothing at all.
         """
         uses = self._uses.get(tenant.name, {})
         recent = sum(now - use.last_at < SHARE_LIFE_S for use in uses.values())
-        together = self._together(tenant)
+        together = self._leaderless_total(tenant)
         if recent == 0 or together < recent:
             return 0.0
-        return min(together / recent, MOST_ALONE_EACH)
+        return min(together / recent, MAX_LEADERLESS_PER_PROXY)
 
-    def _together(self, tenant: Tenant) -> float:
-        """Return how many operations proxies may run at once that lose the leader, all together."""
+    def _leaderless_total(self, tenant: Tenant) -> float:
+        """Return how many operations all proxies together may run at once without a leader."""
         in_window = _rate(tenant) * WINDOW_S + _burst(tenant)
-        return ALONE_OPERATIONS + ALONE_SHARE_OF_WINDOW * in_window
+        return LEADERLESS_OPERATIONS + LEADERLESS_WINDOW_SHARE * in_window
 
-    def _unheard_rate(self, tenant: Tenant) -> float:
-        """Return what proxies may run alone that have not come to this leader."""
-        if self._adoption.knows_shares(tenant.name):
-            return min(_rate(tenant), self._adoption.unheard_rate(tenant.name))
+    def _unreported_rate(self, tenant: Tenant) -> float:
+        """Return the rate that proxies not yet connected to this leader may run at."""
+        if self._inherited.knows_shares(tenant.name):
+            return min(_rate(tenant), self._inherited.unreported_rate(tenant.name))
         return _rate(tenant) * (1.0 - self._share)
 
     def _budget(self, tenant: Tenant, now: float) -> TenantBudget:
@@ -307,40 +312,40 @@
             budget = TenantBudget(TokenBucket(_rate(tenant), burst, first, self._began_at))
             self._budgets[tenant.name] = budget
             self._set_rate(tenant.name, self._began_at)
-            if self._adoption.knows(tenant.name):
-                self._adopt(tenant.name, budget.bucket, now)
-            since = self._quiet_since(now)
+            if self._inherited.knows(tenant.name):
+                self._apply_inherited(tenant.name, budget.bucket, now)
+            since = self._use_known_since(now)
             if since is not None:
                 self._fill_bucket(tenant.name, budget.bucket, since, now)
         return budget
 
     def _set_rate(self, name: str, now: float) -> None:
-        """Have a bucket fill at what the limit leaves beside proxies that run by themselves."""
+        """Set a bucket's rate to the limit less what proxies without a leader may run."""
         budget = self._budgets.get(name)
         tenant = self._tenants.get(name)
         if budget is None or tenant is None:
             return
         bucket = budget.bucket
         bucket.advance(now)
-        alone = sum(rates.get(name, 0.0) for rates in self._running_alone.values())
-        unheard = self._unheard_rate(tenant)
-        if self._adoption.knows_shares(name):
-            alone, unheard = alone + unheard, 0.0
-        withheld = max(0.0, alone - SPARED_RATE) + unheard
+        leaderless = sum(rates.get(name, 0.0) for rates in self._leaderless_rates.values())
+        unreported = self._unreported_rate(tenant)
+        if self._inherited.knows_shares(name):
+            leaderless, unreported = leaderless + unreported, 0.0
+        withheld = max(0.0, leaderless - NOT_WITHHELD_RATE) + unreported
         bucket.rate = max(0.0, _rate(tenant) - withheld)
         bucket.burst = _burst(tenant)
         budget.full_rate = _rate(tenant)
         budget.urgent_share = tenant.operation_urgent_percent / PERCENT
         bucket.tokens = min(bucket.tokens, bucket.burst)
 
-    def _runs_alone(self, proxy: str, since: float, now: float) -> None:
-        """Count a proxy that is missed as running at its rate since it was last heard."""
+    def _start_leaderless(self, proxy: str, since: float, now: float) -> None:
+        """Charge a proxy without contact at its share since the last contact."""
         rates = {
-            name: told[proxy].rate
-            for name, told in self._told.items()
-            if proxy in told and told[proxy].holds(since) and name in self._tenants
+            name: shares[proxy].rate
+            for name, shares in self._granted_shares.items()
+            if proxy in shares and shares[proxy].holds(since) and name in self._tenants
         }
-        self._running_alone[proxy] = rates
+        self._leaderless_rates[proxy] = rates
         for tenant in rates:
             budget = self._budgets.get(tenant)
             if budget is None:
@@ -350,17 +355,17 @@
             rate = bucket.rate
             self._set_rate(tenant, now)
             owed = (rate - bucket.rate) * (now - since)
-            bucket.tokens = max(bucket.tokens - owed, -LONGEST_DEBT_S * rate)
+            bucket.tokens = max(bucket.tokens - owed, -MAX_DEBT_S * rate)
 
-    def _runs_alone_no_more(self, proxy: str, now: float) -> None:
-        for tenant in self._running_alone.pop(proxy):
+    def _end_leaderless(self, proxy: str, now: float) -> None:
+        for tenant in self._leaderless_rates.pop(proxy):
             self._set_rate(tenant, now)
 
 
 def _grant_by_priority(
     budget: TenantBudget, demand: OperationDemand, now: float
 ) -> tuple[int, list[float], tuple[RetryTime, ...]]:
-    """Return how many operations may run now, when further ones may, and when others come back."""
+    """Return the operations granted now, the waits of those granted later, and retry times."""
     if not demand.by_priority:
         return budget.bucket.take(demand.operations, now), [], ()
     granted = 0
@@ -378,15 +383,15 @@
 
 
 def _return_time(budget: TenantBudget, priority: int, operations: int, now: float) -> RetryTime:
-    first_s, step_s = budget.returns_in_s(priority, operations, now)
+    first_s, step_s = budget.retry_delays_s(priority, operations, now)
     return RetryTime(priority, math.ceil(first_s * MS_PER_S), math.ceil(step_s * MS_PER_S))
 
 
 def _rate(tenant: Tenant) -> float:
-    """Return a tenant's limit in operations a second."""
+    """Return a tenant's limit in operations per second."""
     return tenant.operations_per_minute / SECONDS_PER_MINUTE
 
 
 def _burst(tenant: Tenant) -> float:
-    """Return the most tokens of a tenant's bucket: one at least, or nothing would ever run."""
+    """Return the size of a tenant's bucket; at least one token, or nothing could ever run."""
     return max(1.0, float(tenant.operation_burst))
--- a/limedyke/core/limits/process_ends.py
+++ b/limedyke/core/limits/process_ends.py
@@ -1,7 +1,7 @@
-"""Since when nothing can have run that a new leader does not know; sans-IO.
+"""Ends of proxy processes, from which a new leader derives since when all use is known; sans-IO.
 
-Answers a loss of power of all processes: nobody is left who knows what ran before, but each proxy
-that starts anew shows that the one in its place before had ended by then.
+After a power loss of all processes nobody knows what ran before.  A proxy that starts anew proves
+that the process it replaces had ended by then.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class ProcessEnds:
-    """Ends of proxies' processes, as their successors prove them; seconds of a steady clock."""
+    """Ends of proxy processes as proved by their successors; seconds of a steady clock."""
 
     def __init__(self) -> None:
         self._successors: set[str] = set()
@@ -18,9 +18,9 @@
         self._ended_at = float("-inf")
 
     def ended(self, now: float, successor: str) -> None:
-        """Note that a process has ended.
+        """Record that a process has ended.
 
-        :param successor: the proxy in its place; empty when it ended just now
+        :param successor: the proxy that replaced it; empty if the process ended just now
         """
         if successor:
             self._successors.add(successor)
@@ -28,16 +28,16 @@
             self._ended_at = max(self._ended_at, now)
 
     def started(self, proxy: str, at: float) -> None:
-        """Note when a proxy's process started, and so that it has told what it ran since."""
+        """Record when a proxy's process started; its report covers all use since then."""
         self._started_at.setdefault(proxy, at)
 
-    def since(self, heard: Set[str]) -> float | None:
-        """Return when all that are known to have ended surely had.
+    def since(self, contacted: Set[str]) -> float | None:
+        """Return a moment by which all processes known to have ended had surely ended.
 
-        :param heard: proxies that came to the leader
-        :returns: None while one of them has not told what it ran, or where nothing proves an end
+        :param contacted: proxies that have contacted the leader
+        :returns: None if one of them has not reported its use, or no end is proved
         """
-        if not self._successors or not heard | self._successors <= self._started_at.keys():
+        if not self._successors or not contacted | self._successors <= self._started_at.keys():
             return None
         starts = [self._started_at[proxy] for proxy in self._successors]
         return max([self._ended_at, *starts])
--- a/limedyke/core/limits/tenant_budget.py
+++ b/limedyke/core/limits/tenant_budget.py
@@ -1,10 +1,9 @@
-"""What the leader may still grant to one tenant, now and soon; sans-IO.
+"""Tokens that the leader may grant to one tenant, now and soon; sans-IO.
 
-Answers a tenant that asks for more than its limit: an operation that can wait for its token is
-promised the moment of one, and what is refused is told when tokens come, each one another moment,
-so that those refused together don't come back together.  While more is asked for than there is,
-tokens are kept for more urgent operations that are likely to come: a tenant that asks for far more
-than its limit has the few urgent ones among them served.
+A tenant may ask for more than its limit.  An operation that can wait gets the promise of a later
+token; a refused operation gets a retry time, distinct for each so that retries do not arrive
+together.  While demand exceeds the limit, tokens are reserved for more urgent operations that are
+likely to arrive, so that a tenant far above its limit still has its few urgent operations served.
 """
 
 from __future__ import annotations
@@ -15,20 +14,20 @@
 from limedyke.core.limits.token_bucket import TokenBucket
 from limedyke.core.limits.use_rate import UseRate
 
-LONGEST_PROMISE_S = 1.5
-"""No token is promised for later: what is promised holds also when the limit is lowered."""
-LONGEST_RETURN_S = 5.0
-"""Nobody is told to come back later: the tenant may be within its limit by then."""
+MAX_PROMISE_S = 1.5
+"""Upper bound of a promised wait. A promise remains valid when the limit is lowered."""
+MAX_RETRY_AFTER_S = 5.0
+"""Upper bound of a retry delay; the tenant may be within its limit again by then."""
 PRESSURE_S = 2.0
-"""A tenant is under pressure for so long after something could not run at once."""
-KEPT_FOR_S = 0.5
-"""Tokens are kept for the more urgent operations of so long, as they came lately: about what comes
-between two answers of a leader that is far away, with room for chance."""
-MOST_KEPT_SHARE = 0.75
-"""No more of a burst is kept because of what was observed."""
-LEAST_SHARE_OF_OTHERS = 0.1
-"""So much of the limit the leader gives to less urgent operations, however many urgent ones come,
-unless a part is declared to be for the urgent; at a proxy they may still have to give way."""
+"""A tenant counts as over its limit for this long after an operation could not run at once."""
+URGENT_RESERVE_S = 0.5
+"""Tokens are reserved for the more urgent operations expected in this time. It is about the time
+between two answers of a distant leader, with a margin for random arrivals."""
+MAX_URGENT_RESERVE_SHARE = 0.75
+"""Largest part of a burst that is reserved because of observed demand."""
+MIN_LESS_URGENT_SHARE = 0.1
+"""Part of the limit that the leader grants to less urgent operations regardless of urgent demand,
+unless the tenant declares a part for urgent operations. At a proxy they may still be displaced."""
 MOST_URGENT = 0
 
 
@@ -36,9 +35,9 @@
 class GrantedOperations:
     """The answer to operations of one priority.
 
-    :ivar now: how many may run now
-    :ivar waits_s: when further ones may, each so many seconds from now
-    :ivar refused: how many may not
+    :ivar now: number of operations that may run now
+    :ivar waits_s: for each operation that may run later, the seconds to wait
+    :ivar refused: number of refused operations
     """
 
     now: int = 0
@@ -47,14 +46,14 @@
 
 
 class TenantBudget:
-    """A tenant's bucket, and the tokens of it that are promised.
+    """A tenant's token bucket and the tokens promised from it.
 
     Times are seconds of a steady clock.
 
     :ivar bucket: holds the tokens that are neither granted nor promised
-    :ivar full_rate: tokens a second while nothing is withheld: what is withheld for proxies that
-        are missed comes back within seconds, so that it does not count for when to come back
-    :ivar urgent_share: of the burst, that only operations of the most urgent priority may use
+    :ivar full_rate: tokens per second with nothing withheld.  Retry times use it, because what is
+        withheld for proxies without contact is restored within seconds
+    :ivar urgent_share: part of the burst that only the most urgent priority may use
     """
 
     def __init__(self, bucket: TokenBucket) -> None:
@@ -62,27 +61,27 @@
         self.full_rate = 0.0
         self.urgent_share = 0.0
         self._demand: dict[int, UseRate] = {}
-        self._pressed_until = float("-inf")
-        self._others = TokenBucket(0.0, 1.0, 0.0, bucket.counted_at)
+        self._over_limit_until = float("-inf")
+        self._less_urgent = TokenBucket(0.0, 1.0, 0.0, bucket.counted_at)
         self._promised: dict[int, deque[float]] = {}
-        self._returns_at: dict[int, float] = {}
+        self._retries_at: dict[int, float] = {}
 
     def grant(self, priority: int, operations: int, wait_s: float, now: float) -> GrantedOperations:
-        """Grant operations of one priority, or promise tokens that come while they can wait.
+        """Grant operations of one priority, or promise tokens that arrive while they can wait.
 
-        :param wait_s: for how long they may wait
+        :param wait_s: longest time that they may wait
         """
         self.bucket.advance(now)
         self._drop_due(now)
         self._demand.setdefault(priority, UseRate()).count(operations, now)
         granted = GrantedOperations()
         for number in range(operations):
-            if self._take_now(priority, now):
+            if self._take_token(priority, now):
                 granted.now += 1
                 continue
-            self._pressed_until = now + PRESSURE_S
+            self._over_limit_until = now + PRESSURE_S
             in_s = self._expected_s(priority, now, self.bucket.rate)
-            if in_s > min(wait_s, LONGEST_PROMISE_S):
+            if in_s > min(wait_s, MAX_PROMISE_S):
                 granted.refused = operations - number
                 break
             self.bucket.tokens -= 1
@@ -90,76 +89,76 @@
             granted.waits_s.append(in_s)
         return granted
 
-    def returns_in_s(self, priority: int, operations: int, now: float) -> tuple[float, float]:
-        """Return when refused operations should come back: the first, and the time between two.
+    def retry_delays_s(self, priority: int, operations: int, now: float) -> tuple[float, float]:
+        """Return the delay before the first retry of refused operations and the step between two.
 
-        Who was refused before of the same priority comes back first.
+        Earlier refusals of the same priority are retried first.
         """
         rate = max(self.bucket.rate, self.full_rate)
-        step_s = 1.0 / rate if rate > 0 else LONGEST_RETURN_S
+        step_s = 1.0 / rate if rate > 0 else MAX_RETRY_AFTER_S
         in_s = self._expected_s(priority, now, rate)
-        first_at = max(now + in_s, self._returns_at.get(priority, now))
-        first_at = min(first_at, now + LONGEST_RETURN_S)
-        self._returns_at[priority] = first_at + operations * step_s
+        first_at = max(now + in_s, self._retries_at.get(priority, now))
+        first_at = min(first_at, now + MAX_RETRY_AFTER_S)
+        self._retries_at[priority] = first_at + operations * step_s
         return first_at - now, step_s
 
-    def _take_now(self, priority: int, now: float) -> bool:
-        """Take a token for an operation, if one is there that no other one is to have."""
+    def _take_token(self, priority: int, now: float) -> bool:
+        """Take a token that is present and not reserved for another operation."""
         later = sum(len(dues) for other, dues in self._promised.items() if other > priority)
-        room = self.bucket.tokens + later - 1.0 - self._declared(priority)
-        kept = self._observed(priority, now)
-        if room < self._kept_for_others(priority, now):
+        room = self.bucket.tokens + later - 1.0 - self._declared_reserve(priority)
+        kept = self._observed_reserve(priority, now)
+        if room < self._kept_for_less_urgent(priority, now):
             return False
-        if room < kept and self._others.take(1, now) == 0:
+        if room < kept and self._less_urgent.take(1, now) == 0:
             return False
         self.bucket.tokens -= 1
         return True
 
-    def _kept_for_others(self, priority: int, now: float) -> float:
-        """Return the token that less urgent operations have whatever else comes, 0 for none."""
-        self._others.rate = LEAST_SHARE_OF_OTHERS * self.bucket.rate
-        self._others.advance(now)
+    def _kept_for_less_urgent(self, priority: int, now: float) -> float:
+        """Return the tokens guaranteed to less urgent operations: 1, or 0 for none."""
+        self._less_urgent.rate = MIN_LESS_URGENT_SHARE * self.bucket.rate
+        self._less_urgent.advance(now)
         least = max(self._demand)
-        is_wanted = least > priority and self._demand[least].at(now) >= self._others.rate
-        if now >= self._pressed_until or not is_wanted or self.urgent_share > 0.0:
+        is_wanted = least > priority and self._demand[least].at(now) >= self._less_urgent.rate
+        if now >= self._over_limit_until or not is_wanted or self.urgent_share > 0.0:
             return 0.0
-        return 1.0 if self._others.tokens >= 1.0 else 0.0
+        return 1.0 if self._less_urgent.tokens >= 1.0 else 0.0
 
     def _expected_s(self, priority: int, now: float, refill: float) -> float:
-        """Return in how many seconds a token comes that no more urgent one is to have.
+        """Return the seconds until a token arrives that is not reserved for more urgent demand.
 
-        :param refill: tokens a second
+        :param refill: tokens per second
         """
         bucket = self.bucket
-        kept = self._declared(priority) + self._observed(priority, now)
-        kept += self._kept_for_others(priority, now)
+        kept = self._declared_reserve(priority) + self._observed_reserve(priority, now)
+        kept += self._kept_for_less_urgent(priority, now)
         missing = min(1.0 + kept, bucket.burst) - bucket.tokens
         if missing <= 0.0:
             return 0.0
-        least = LEAST_SHARE_OF_OTHERS * refill
+        least = MIN_LESS_URGENT_SHARE * refill
         rate = max(least, refill - self._more_urgent_per_s(priority, now))
         return missing / rate if rate > 0.0 else float("inf")
 
     def _more_urgent_per_s(self, priority: int, now: float) -> float:
-        """Return how many more urgent operations a second were asked for lately."""
+        """Return the recent demand of more urgent operations, per second."""
         return sum(rate.at(now) for other, rate in self._demand.items() if other < priority)
 
-    def _declared(self, priority: int) -> float:
-        """Return how many tokens the declaration keeps from operations of a priority."""
+    def _declared_reserve(self, priority: int) -> float:
+        """Return how many tokens the declaration withholds from a priority."""
         if priority == MOST_URGENT:
             return 0.0
         return self.urgent_share * (self.bucket.burst - 1.0)
 
-    def _observed(self, priority: int, now: float) -> float:
-        """Return how many tokens are kept for more urgent operations that are likely to come."""
-        if now >= self._pressed_until:
+    def _observed_reserve(self, priority: int, now: float) -> float:
+        """Return how many tokens are reserved for expected more urgent operations."""
+        if now >= self._over_limit_until:
             return 0.0
-        expected = KEPT_FOR_S * self._more_urgent_per_s(priority, now)
-        most = MOST_KEPT_SHARE * self.bucket.burst - self._declared(priority)
+        expected = URGENT_RESERVE_S * self._more_urgent_per_s(priority, now)
+        most = MAX_URGENT_RESERVE_SHARE * self.bucket.burst - self._declared_reserve(priority)
         return max(0.0, min(expected, most, self.bucket.burst - 1.0))
 
     def _drop_due(self, now: float) -> None:
-        """Forget promises that have become due: their tokens are used."""
+        """Drop promises that are due, since their tokens are used."""
         for dues in self._promised.values():
             while dues and dues[0] <= now:
                 dues.popleft()
--- a/limedyke/core/limits/token_queue.py
+++ b/limedyke/core/limits/token_queue.py
@@ -1,28 +1,28 @@
-"""Operations of one tenant that wait for a token at one proxy, the most urgent first; sans-IO.
+"""Operations of one tenant that wait for a token at one proxy, in order of urgency; sans-IO.
 
-Answers a tenant over its limit whose urgent operations, wanted soon, come among many others that
-may take longer: what can have its token in time waits for it, the urgent take the earliest tokens,
-and who gets none is told so at once.
+A tenant over its limit may send a few urgent operations with short time limits among many others.
+Operations whose token arrives in time wait for it, urgent ones get the earliest tokens, and the
+rest are refused at once.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MOST_WAITING = 64
-"""Equally or more urgent operations of a tenant that may wait at a proxy; a further one runs at
-once or not at all."""
+MAX_WAITING = 64
+"""Number of equally or more urgent operations of a tenant that may wait at a proxy; another one
+runs at once or is refused."""
 TOKEN_LIFE_S = 1.0
-"""A token that nobody used by then is dropped: used later it would count in another window."""
+"""Unused tokens are dropped after this time; used later they would count in a different window."""
 
 
 @dataclass(slots=True, eq=False)
 class TokenWaiter:
     """An operation that waits for a token; times are seconds of a steady clock.
 
-    :param priority: 0 goes first
-    :param target_at: until when it may wait
-    :param number: of the message that asks for its token
+    :param priority: 0 is the most urgent
+    :param target_at: latest time until which it may wait
+    :param number: number of the message that requests its token
     :ivar is_answered: whether the leader has answered that message
     :ivar due: when it may run; None while it has no token
     """
@@ -35,7 +35,7 @@
 
 
 class TokenQueue:
-    """Who waits, and the tokens that were granted or promised."""
+    """Waiting operations, and the tokens granted or promised to them."""
 
     def __init__(self) -> None:
         self._waiters: list[TokenWaiter] = []
@@ -46,29 +46,29 @@
 
     @property
     def waiters(self) -> tuple[TokenWaiter, ...]:
-        """Those that wait, the most urgent first."""
+        """The waiting operations, most urgent first."""
         return tuple(self._waiters)
 
     def add(self, waiter: TokenWaiter, now: float) -> None:
-        """Have an operation wait; it gets tokens from the answer to its message on."""
+        """Add a waiting operation; it gets tokens once its message is answered."""
         before = sum(other.priority <= waiter.priority for other in self._waiters)
-        if before >= MOST_WAITING:
+        if before >= MAX_WAITING:
             waiter.target_at = min(waiter.target_at, now)
         self._waiters.append(waiter)
         self._waiters.sort(key=lambda other: (other.priority, other.target_at))
 
     def answered(self, number: int, tokens: list[float], now: float) -> list[TokenWaiter]:
-        """Take the answer to a message: when tokens come, now or later.
+        """Apply the answer to a message; ``tokens`` are the times at which tokens arrive.
 
-        :returns: who gets none, the most urgent first; also those who gave theirs up to more urgent
-            ones.  They wait no longer
+        :returns: operations refused or displaced by more urgent ones, most urgent first; they
+            are removed from the queue
         """
         for waiter in self._waiters:
             waiter.is_answered = waiter.is_answered or waiter.number <= number
         return self.add_tokens(tokens, now)
 
     def add_tokens(self, tokens: list[float], now: float) -> list[TokenWaiter]:
-        """Take tokens that come at these moments; return who gets none (see ``answered``)."""
+        """Add tokens that arrive at these times; return the refused ones (see ``answered``)."""
         self._tokens = sorted(self._tokens + tokens)
         self._assign(now)
         refused = [w for w in self._waiters if w.is_answered and w.due is None]
@@ -76,7 +76,7 @@
         return refused
 
     def take(self, waiter: TokenWaiter, now: float) -> bool:
-        """Let an operation run with its token, if that has come; it waits no longer then."""
+        """Remove an operation and use its token, if the token has arrived."""
         if waiter.due is None or waiter.due > now or waiter not in self._waiters:
             return False
         self._tokens.remove(waiter.due)
@@ -84,13 +84,13 @@
         return True
 
     def remove(self, waiter: TokenWaiter, now: float) -> None:
-        """Forget an operation whose client left: its token goes to the next one."""
+        """Remove an operation whose client left; its token passes to the next one."""
         if waiter in self._waiters:
             self._waiters.remove(waiter)
             self._assign(now)
 
     def take_spare(self, now: float) -> bool:
-        """Take a token that has come and that nobody waits for."""
+        """Take a token that has arrived and is not assigned to any operation."""
         self._drop_old(now)
         spare = self._spare()
         if not spare or spare[0] > now:
@@ -99,19 +99,19 @@
         return True
 
     def _assign(self, now: float) -> None:
-        """Give each token, the earliest first, to the most urgent one that it serves in time.
+        """Assign each token, earliest first, to the most urgent operation it serves in time.
 
-        Those whose message is not answered yet get what is left and has come.
+        Operations whose message is not answered yet get the remaining tokens that have arrived.
         """
         self._drop_old(now)
         for waiter in self._waiters:
             waiter.due = None
         left = self._serve([w for w in self._waiters if w.is_answered], self._tokens, now)
-        come = [due for due in left if due <= now]
-        self._serve([w for w in self._waiters if not w.is_answered], come, now)
+        arrived = [due for due in left if due <= now]
+        self._serve([w for w in self._waiters if not w.is_answered], arrived, now)
 
     def _serve(self, waiters: list[TokenWaiter], tokens: list[float], now: float) -> list[float]:
-        """Give these tokens to these operations; return those that nobody can use."""
+        """Assign tokens to operations; return the tokens that none of them can use."""
         left = []
         for due in tokens:
             served = next((w for w in waiters if due <= max(w.target_at, now)), None)
@@ -123,7 +123,7 @@
         return left
 
     def _spare(self) -> list[float]:
-        """Return the tokens that nobody waits for, the earliest first."""
+        """Return the unassigned tokens, earliest first."""
         spare = list(self._tokens)
         for waiter in self._waiters:
             if waiter.due is not None:
--- a/limedyke/proxy/limits/__init__.py
+++ b/limedyke/proxy/limits/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy's part in the tenants' limits of operations."""
+"""Enforcement of tenants' operation limits at a proxy."""
--- a/limedyke/proxy/limits/limit_log.py
+++ b/limedyke/proxy/limits/limit_log.py
@@ -1,4 +1,4 @@
-"""Lines on operations that waited for a token or were refused, bounded a second."""
+"""Rate-limited log lines about operations that waited for a token or were refused."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LimitLog:
-    """Says of a request's id why it waited or was refused.
+    """Logs, by request id, why an operation waited or was refused.
 
     :param now: seconds of the monotonic clock
     """
@@ -20,7 +20,7 @@
         self._budget = LogRateLimiter(LINES_PER_SECOND, now)
 
     def waited(self, request: str, tenant: str, priority: int, waited_s: float, now: float) -> None:
-        """Write that an operation runs after it waited for its token."""
+        """Log that an operation runs after waiting for its token."""
         if self._budget.take(now):
             waited_ms = int(waited_s * MS_PER_S)
             EVENTS.info(
@@ -40,7 +40,7 @@
         retry_after_s: float,
         now: float,
     ) -> None:
-        """Write that an operation was refused, and when it should come back."""
+        """Log that an operation was refused, and its retry delay."""
         if self._budget.take(now):
             EVENTS.info(
                 "operation-refused",
--- a/limedyke/proxy/limits/limit_metrics.py
+++ b/limedyke/proxy/limits/limit_metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of a proxy on limits of operations; see docs/METRICS.md."""
+"""Prometheus metrics of a proxy's operation limits; see docs/METRICS.md."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Refused(enum.StrEnum):
-    """Why an operation may not run now."""
+    """Why an operation was refused."""
 
     USED_UP = "used-up"
     DISPLACED = "displaced"
@@ -21,9 +21,9 @@
 
 
 class LimitMetrics:
-    """Counters and times by priority; label values are of fixed sets.
+    """Counters and times by priority; all label values come from fixed sets.
 
-    :param registry: the registry that ``/metrics`` shows
+    :param registry: the registry that ``/metrics`` exposes
     """
 
     def __init__(self, registry: CollectorRegistry) -> None:
@@ -48,7 +48,7 @@
         )
 
     def waited(self, priority: int, seconds: float) -> None:
-        """Count an operation that waited for its token and runs now."""
+        """Record the wait of an operation that runs now with its token."""
         self._wait.labels(str(priority)).observe(seconds)
 
     def refused(self, priority: int, reason: Refused) -> None:
@@ -56,5 +56,5 @@
         self._refused.labels(str(priority), reason.value).inc()
 
     def given_back(self, priority: int) -> None:
-        """Count an operation whose token came free."""
+        """Count an operation that returned its token."""
         self._given_back.labels(str(priority)).inc()
--- a/limedyke/proxy/limits/limited_executor.py
+++ b/limedyke/proxy/limits/limited_executor.py
@@ -1,4 +1,4 @@
-"""Runs units of PostgreSQL sessions within their tenants' limits of operations."""
+"""Runs units of PostgreSQL sessions within their tenants' operation limits."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class LimitedExecutor:
-    """An ``Executor`` that counts each transaction, and each unit outside one, once.
+    """An ``Executor`` that counts each transaction, and each unit outside one, as one operation.
 
-    :param executor: runs what the limits admit
+    :param executor: runs the admitted units
     :param limiter: admits operations
     """
 
@@ -23,7 +23,7 @@
         self._open: set[int] = set()
 
     async def run(self, unit: WorkUnit, relay: Relay) -> AnswerEnd:
-        """Run a unit (see ``Executor``), or refuse it over the tenant's limit."""
+        """Run a unit (see ``Executor``), or refuse it if the tenant is over its limit."""
         is_first = unit.transaction not in self._open
         over = await self._limiter.admit(unit.tenant, unit.priority) if is_first else None
         if over is not None:
--- a/limedyke/proxy/limits/operation_limiter.py
+++ b/limedyke/proxy/limits/operation_limiter.py
@@ -1,4 +1,4 @@
-"""Lets operations of tenants with a limit run, as the leading controller grants them."""
+"""Admits operations of tenants with a limit, as granted by the leading controller."""
 
 from __future__ import annotations
 
@@ -28,34 +28,34 @@
 from limedyke.proxy.limits.limit_metrics import LimitMetrics, Refused
 
 SEND_PAUSE_S = 0.02
-"""What comes within so long is asked for together: at most 50 messages a second to the leader."""
+"""Requests within this time share a message: at most 50 messages per second to the leader."""
 ANSWER_LIMIT_S = 0.3
-"""Longer than a round trip between distant regions and a short pause of the leader; then the
-operation runs out of the reserve."""
-FIRST_ANSWER_S = 0.05
-"""How long an answer is taken to last before one was seen."""
+"""Longest wait for the leader's answer; afterwards the operation uses the reserve. It is longer
+than a round trip between distant regions plus a short pause of the leader."""
+INITIAL_ANSWER_S = 0.05
+"""Assumed time until the leader's answer before one has been measured."""
 UNANSWERED_PAUSE_S = 0.2
-"""A leader that gave no answer is asked again so often, without anybody waiting for it."""
-YOUNG_S = 10.0
-"""A process that has run for less tells a new leader so, even if it ran nothing for anyone: what
-was in its place before has surely ended."""
+"""Interval at which a leader that does not answer is asked again; no operation waits for this."""
+YOUNG_PROCESS_S = 10.0
+"""A process younger than this reports its age to a new leader even without any use to report. The
+age proves that the process it replaced has ended."""
 WAIT_STEP_MS = 50
-"""Times to wait are told rounded down to this, so that operations of one kind count as one."""
+"""Wait times are sent rounded down to a multiple of this, so that operations group well."""
 MS_PER_S = 1_000
-LEAST_RETRY_S = 0.02
-MOST_RETRY_S = 5.0
-LEAST_WAIT_S = 0.001
+MIN_RETRY_S = 0.02
+MAX_RETRY_S = 5.0
+MIN_WAIT_S = 0.001
 UNKNOWN_COUNT = 1_000_000
-"""Stands for any number of proxies."""
+"""Stands for an arbitrarily large number of proxies."""
 EVENTS = EventLog("limits")
 
 
 @dataclass(frozen=True, slots=True)
 class OverLimit:
-    """The operation may not run now.
+    """Refusal of an operation.
 
-    :param retry_after_s: when another may
-    :param detail: why, without secrets
+    :param retry_after_s: delay after which it may be retried
+    :param detail: reason in words, without secrets
     """
 
     retry_after_s: float
@@ -72,47 +72,47 @@
 
 @dataclass(slots=True, eq=False)
 class _Waiter(TokenWaiter):
-    """An operation that waits to run.
-
-    :param tenant: whose it is
-    :param request: its id, for the log
-    :param began_at: when it came
-    :ivar told_due: the moment of its token that it knows of
-    :ivar was_promised: its token was to come later
-    :ivar over: why it may not run
+    """An operation that waits for its token.
+
+    :param tenant: the tenant that runs it
+    :param request: request id, for the log
+    :param began_at: when the operation arrived
+    :ivar notified_due: due time of the token that the waiting task has been notified of
+    :ivar was_promised: the token was due later than the grant
+    :ivar over: the refusal, if it was refused
     """
 
     tenant: str = ""
     request: str = ""
     began_at: float = 0.0
-    told_due: float | None = None
+    notified_due: float | None = None
     was_promised: bool = False
     over: OverLimit | None = None
     changed: curio.Event = field(default_factory=curio.Event)
 
 
 class OperationLimiter:
-    """Admits operations, and asks the leader for what it may admit.
+    """Admits operations, and requests grants from the leader.
 
     :param tenants: returns the declared tenants by name
-    :param send: sends to the leader; tells whether one is linked
-    :param alone_until: returns until when operations may run without the leader, seconds of the
-        monotonic clock: it counts them no longer
+    :param send: sends to the leader; returns whether a leader is linked
+    :param may_run_until: returns until when operations may run without the leader, seconds of the
+        monotonic clock; after that the leader no longer accounts for them
     :param serving: returns how many proxies run operations
 
-    :ivar metrics: counts who waited and who was refused
+    :ivar metrics: metrics on waits and refusals
     """
 
     def __init__(
         self,
         tenants: Callable[[], Mapping[str, Tenant]],
         send: Callable[[OperationsRequest], Awaitable[bool]],
-        alone_until: Callable[[], float],
+        may_run_until: Callable[[], float],
         serving: Callable[[], int] = lambda: UNKNOWN_COUNT,
     ) -> None:
         self.metrics = LimitMetrics(CollectorRegistry())
         self._log = LimitLog(time.monotonic())
-        self._alone_until = alone_until
+        self._may_run_until = may_run_until
         self._serving = serving
         self._tenants = tenants
         self._send = send
@@ -124,18 +124,18 @@
         self._is_report_due = False
         self._began_at = time.monotonic()
         self._asked_at = float("-inf")
-        self._answer_time = TimeEstimate(FIRST_ANSWER_S, FIRST_ANSWER_S / 2)
+        self._answer_time = TimeEstimate(INITIAL_ANSWER_S, INITIAL_ANSWER_S / 2)
         self._has_unasked = curio.Event()
 
     async def admit(
         self, tenant: str, priority: int = 0, target_at: float | None = None, request: str = ""
     ) -> OverLimit | None:
-        """Wait until an operation of a tenant may run; return why it may not, if so.
+        """Wait until an operation of a tenant may run; return the refusal if it may not.
 
-        :param priority: 0 goes first
-        :param target_at: until when it may wait for a token, seconds of the monotonic clock; None
-            for as long as is declared for the tenant
-        :param request: its id, for the log
+        :param priority: 0 is the most urgent
+        :param target_at: latest time until which it may wait for a token, seconds of the monotonic
+            clock; None for the wait declared for the tenant
+        :param request: request id, for the log
         """
         declared = self._tenants().get(tenant)
         if declared is None or declared.operations_per_minute == 0:
@@ -143,8 +143,8 @@
         now = time.monotonic()
         allowance = self._allowances.setdefault(tenant, OperationAllowance())
         queue = self._queues.setdefault(tenant, TokenQueue())
-        allowance.came(now)
-        if allowance.take(now) or queue.take_spare(now):
+        allowance.count_demand(now)
+        if allowance.take_granted(now) or queue.take_spare(now):
             return None
         until = target_at
         if until is None:
@@ -160,13 +160,13 @@
             raise
         finally:
             queue.remove(waiter, time.monotonic())
-            await self._tell_changes(queue)
+            await self._notify_changes(queue)
         if over is None:
-            self._ran(waiter)
+            self._record_wait(waiter)
         return over
 
     async def give_back(self, tenant: str, priority: int = 0) -> None:
-        """Take back an operation that was admitted and surely did not run."""
+        """Return the token of an operation that was admitted and certainly did not run."""
         allowance = self._allowances.get(tenant)
         if allowance is None:
             return
@@ -177,10 +177,10 @@
             allowance.add(1, now)
             return
         queue.add_tokens([now], now)
-        await self._tell_changes(queue)
+        await self._notify_changes(queue)
 
     async def granted(self, message: OperationsGranted) -> None:
-        """Take the leader's answer."""
+        """Apply the leader's answer."""
         if not self._is_answering:
             EVENTS.info("limits-asked-again", number=message.number)
         self._is_answering = True
@@ -190,15 +190,15 @@
             await self._take_grant(message.number, grant)
 
     async def link_opened(self) -> None:
-        """Tell the leader of a new link what was run lately: it may not be the one before."""
+        """Report recent use to the leader of a new link, which may be a different leader."""
         self._is_report_due = True
         now = time.monotonic()
-        is_young = now - self._began_at < YOUNG_S
+        is_young = now - self._began_at < YOUNG_PROCESS_S
         if is_young or self._reports(now):
             await self._has_unasked.set()
 
     async def run(self) -> None:
-        """Ask the leader for what is wanted, until cancelled."""
+        """Send requests to the leader until cancelled."""
         while True:
             await self._has_unasked.wait()
             self._has_unasked.clear()
@@ -206,17 +206,17 @@
             await curio.sleep(SEND_PAUSE_S)
 
     async def _ask(self, waiter: _Waiter) -> None:
-        """Have a token asked for; without a leader that answers, decide here."""
+        """Request a token, or decide locally while the leader does not answer."""
         if self._is_answering:
             self._unasked.setdefault(waiter.tenant, []).append(waiter)
             await self._has_unasked.set()
             return
         if waiter.began_at - self._asked_at > UNANSWERED_PAUSE_S:
             await self._has_unasked.set()
-        await self._answer_alone(waiter)
+        await self._decide_without_leader(waiter)
 
     async def _wait(self, waiter: _Waiter, queue: TokenQueue) -> OverLimit | None:
-        """Wait until an operation's token has come, or it is refused."""
+        """Wait until an operation's token is due or the operation is refused."""
         while waiter.over is None:
             now = time.monotonic()
             if queue.take(waiter, now):
@@ -226,10 +226,10 @@
                 until = waiter.began_at + ANSWER_LIMIT_S
                 if now >= until:
                     self._stop_asking()
-                    await self._answer_alone(waiter)
+                    await self._decide_without_leader(waiter)
                     continue
             waiter.changed.clear()
-            async with curio.ignore_after(max(LEAST_WAIT_S, until - now)):
+            async with curio.ignore_after(max(MIN_WAIT_S, until - now)):
                 await waiter.changed.wait()
         return waiter.over
 
@@ -245,15 +245,15 @@
             self._is_report_due = False
         else:
             self._stop_asking()
-            await self._release_waiting()
+            await self._decide_waiting()
 
     def _reports(self, now: float) -> tuple[OperationReport, ...]:
-        """Return what was run lately for each tenant, for a leader that may not know it."""
+        """Return recent use by tenant, for a leader that may not know it."""
         each = (allowance.reports(tenant, now) for tenant, allowance in self._allowances.items())
         return tuple(report for reports in each for report in reports)
 
     def _demand(self, tenant: str, waiters: list[_Waiter], now: float) -> OperationDemand:
-        """Return what is wanted for a tenant: for those that still wait, and ahead."""
+        """Return the demand of a tenant: operations that still wait, and some ahead."""
         present = self._queues[tenant].waiters
         waiting = [waiter for waiter in waiters if waiter in present]
         counts = Counter((waiter.priority, self._wait_ms(waiter, now)) for waiter in waiting)
@@ -261,11 +261,11 @@
             OperationsOfPriority(priority, count, wait_ms)
             for (priority, wait_ms), count in sorted(counts.items())
         )
-        ahead = self._allowances[tenant].ahead(now)
+        ahead = self._allowances[tenant].prefetch_count(now)
         return OperationDemand(tenant, len(waiting), ahead, by_priority)
 
     def _wait_ms(self, waiter: _Waiter, now: float) -> int:
-        """Return for how long an operation can wait after the leader's answer."""
+        """Return how long an operation can wait after the leader's expected answer."""
         left_s = waiter.target_at - now - self._answer_time.usual_s
         return max(0, int(left_s * MS_PER_S) // WAIT_STEP_MS * WAIT_STEP_MS)
 
@@ -274,24 +274,24 @@
             EVENTS.warning("limits-not-answered", number=self._number)
         self._is_answering = False
 
-    async def _release_waiting(self) -> None:
-        """Decide here for all that wait for an answer: no leader is linked."""
+    async def _decide_waiting(self) -> None:
+        """Decide locally for all unanswered operations, since no leader is linked."""
         for queue in self._queues.values():
             for waiter in queue.waiters:
                 if not waiter.is_answered:
-                    await self._answer_alone(waiter)
+                    await self._decide_without_leader(waiter)
 
-    async def _answer_alone(self, waiter: _Waiter) -> None:
-        """Let an operation run without the leader, now or soon, as far as the reserve goes."""
+    async def _decide_without_leader(self, waiter: _Waiter) -> None:
+        """Admit an operation from the reserve, now or soon, or refuse it."""
         now = time.monotonic()
         queue = self._queues[waiter.tenant]
         allowance = self._allowances[waiter.tenant]
         waiter.is_answered = True
-        alone_until = self._alone_until()
-        if now >= alone_until:
-            self._refuse(waiter, Refused.ALONE_TOO_LONG, LEAST_RETRY_S)
+        may_run_until = self._may_run_until()
+        if now >= may_run_until:
+            self._refuse(waiter, Refused.ALONE_TOO_LONG, MIN_RETRY_S)
             return
-        wait_s = min(waiter.target_at, alone_until) - now
+        wait_s = min(waiter.target_at, may_run_until) - now
         is_one_of_few = self._serving() <= FEW_PROXIES
         in_s: float | None = 0.0
         if not allowance.take_reserve(now, is_one_of_few):
@@ -299,13 +299,13 @@
         refused = queue.add_tokens([] if in_s is None else [now + in_s], now)
         for other in refused:
             self._refuse(other, Refused.ALONE_USED_UP, allowance.retry_after_s(now))
-        await self._tell_changes(queue, refused)
+        await self._notify_changes(queue, refused)
 
     async def _take_grant(self, number: int, grant: OperationGrant) -> None:
-        """Let those run that were asked for by this message, the most urgent first."""
+        """Apply a grant to the operations requested by this message, most urgent first."""
         now = time.monotonic()
         allowance = self._allowances[grant.tenant]
-        allowance.take_answer(grant, now)
+        allowance.apply_grant(grant, now)
         queue = self._queues[grant.tenant]
         wanted = sum(1 for w in queue.waiters if w.number <= number and not w.is_answered)
         at_once = min(grant.operations, wanted)
@@ -313,16 +313,16 @@
         dues = [now] * at_once + [now + wait_ms / MS_PER_S for wait_ms in grant.waits_ms]
         refused = queue.answered(number, dues, now)
         self._refuse_all(refused, number, grant)
-        await self._tell_changes(queue, refused)
+        await self._notify_changes(queue, refused)
 
     def _refuse_all(self, refused: list[_Waiter], number: int, grant: OperationGrant) -> None:
-        """Refuse operations, each with another time to come back."""
+        """Refuse operations, each with a different retry delay."""
         counts: Counter[int] = Counter()
         for waiter in refused:
-            reason = Refused.USED_UP if waiter.told_due is None else Refused.DISPLACED
+            reason = Refused.USED_UP if waiter.notified_due is None else Refused.DISPLACED
             before = counts[waiter.priority]
             counts[waiter.priority] += 1
-            self._refuse(waiter, reason, _return_s(grant, waiter.priority, before))
+            self._refuse(waiter, reason, _retry_delay_s(grant, waiter.priority, before))
 
     def _refuse(self, waiter: _Waiter, reason: Refused, retry_after_s: float) -> None:
         over = waiter.over = OverLimit(_bounded(retry_after_s), DETAILS[reason])
@@ -330,19 +330,21 @@
         names = (waiter.request, waiter.tenant, waiter.priority)
         self._log.refused(*names, reason, over.retry_after_s, time.monotonic())
 
-    async def _tell_changes(self, queue: TokenQueue, refused: list[_Waiter] | None = None) -> None:
-        """Wake those whose token comes at another moment than they know."""
+    async def _notify_changes(
+        self, queue: TokenQueue, refused: list[_Waiter] | None = None
+    ) -> None:
+        """Wake the tasks of refused operations and of those whose due time has changed."""
         now = time.monotonic()
         for waiter in refused or ():
             await waiter.changed.set()
         for waiter in queue.waiters:
-            if waiter.due != waiter.told_due:
-                waiter.told_due = waiter.due
+            if waiter.due != waiter.notified_due:
+                waiter.notified_due = waiter.due
                 waiter.was_promised |= waiter.due is not None and waiter.due > now
                 await waiter.changed.set()
 
-    def _ran(self, waiter: _Waiter) -> None:
-        """Count and log an operation that waited until a promised token came."""
+    def _record_wait(self, waiter: _Waiter) -> None:
+        """Record an operation that ran after waiting for a promised token."""
         if not waiter.was_promised:
             return
         now = time.monotonic()
@@ -351,16 +353,16 @@
         self._log.waited(waiter.request, waiter.tenant, waiter.priority, waited_s, now)
 
 
-def _return_s(grant: OperationGrant, priority: int, before: int) -> float:
-    """Return when an operation should come back, so many of its priority before it."""
+def _retry_delay_s(grant: OperationGrant, priority: int, before: int) -> float:
+    """Return the retry delay of an operation; ``before`` others of its priority precede it."""
     fallback = RetryTime(priority, grant.retry_after_ms, 0)
-    told = next((told for told in grant.returns if told.priority == priority), None)
-    told = told or (grant.returns[-1] if grant.returns else fallback)
-    in_s = (told.after_ms + before * told.step_ms) / MS_PER_S
-    if in_s <= MOST_RETRY_S:
+    retry = next((retry for retry in grant.returns if retry.priority == priority), None)
+    retry = retry or (grant.returns[-1] if grant.returns else fallback)
+    in_s = (retry.after_ms + before * retry.step_ms) / MS_PER_S
+    if in_s <= MAX_RETRY_S:
         return in_s
-    return MOST_RETRY_S / 2 + in_s % (MOST_RETRY_S / 2)
+    return MAX_RETRY_S / 2 + in_s % (MAX_RETRY_S / 2)
 
 
 def _bounded(retry_after_s: float) -> float:
-    return min(max(retry_after_s, LEAST_RETRY_S), MOST_RETRY_S)
+    return min(max(retry_after_s, MIN_RETRY_S), MAX_RETRY_S)
