--- a/features/steps/operation_limits_steps.py
+++ b/features/steps/operation_limits_steps.py
@@ -187,7 +187,7 @@
 @when("operation limits: the leader answers nothing, and the leases have run out")
 def step_leases_over(context):
     context.path.leader = None
-    context.path.may_run_until = time.monotonic()
+    context.path.alone_until = time.monotonic()
 
 
 @when("operation limits: a client with {key:w} writes {count:d} times")
