--- a/limedyke/core/queueing/__init__.py
+++ b/limedyke/core/queueing/__init__.py
@@ -1,1 +1,1 @@
-"""Waiting for room at a member: who goes first, who is refused, when to come back; sans-IO."""
+"""Admission and order of requests that wait for a member."""
--- a/limedyke/core/queueing/queue_answer.py
+++ b/limedyke/core/queueing/queue_answer.py
@@ -1,4 +1,4 @@
-"""What a queue is told of its member, and what it answers to a request that comes."""
+"""Parameters and results of the admission of a request to a member's queue."""
 
 from __future__ import annotations
 
@@ -10,14 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueDrain:
-    """How fast a queue gets shorter.
-
-    :param slots: requests that are served at once
-    :param connections: that the tenant has at the member: they bound how many of it wait
-    :param extra_s: what each turn takes beside the request's slot time, such as to open a
-        connection
-    :param waiting_limit: bounds how many wait in all; 0 for no such bound
-    :param variation: how much the time between two turns varies, as a share of it
+    """How fast a queue drains.
+
+    :param slots: number of requests served at once
+    :param connections: the tenant's connections at the member; they bound its waiting requests
+    :param extra_s: time per request in addition to its slot time, for example to open a connection
+    :param waiting_limit: bounds all waiting requests; 0 for no such bound
+    :param variation: variation of the time between two dequeued requests, relative to that time
     """
 
     slots: float
@@ -27,12 +26,13 @@
     variation: float = 0.0
 
 
-ROOM_SHARE = 0.8
-"""A request that comes back when its wait takes so much of its time is likely to be served."""
+LIKELY_SERVED_SHARE = 0.8
+"""A refused request that returns when its expected wait is this share of its time limit is likely
+to be served."""
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a request may not wait, or wait any longer."""
+    """Why a request may not wait any longer, or not at all."""
 
     NO_TIME = "no-turn-in-time"
     FULL = "queue-full"
@@ -43,7 +43,7 @@
 class Queued:
     """The request waits.
 
-    :param displaced: less urgent ones that wait no longer, in its favour; they are to be told
+    :param displaced: less urgent requests removed in its favour; the caller has to notify them
     """
 
     displaced: tuple[QueuedRequest, ...] = ()
@@ -51,12 +51,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The request doesn't wait.
+    """The request does not wait.
 
-    :param expected_wait_s: how long it would
-    :param time_left_s: how long it might
-    :param ahead: how many go before it
-    :param retry_after_ms: when half of the tenant's queue is expected to be gone
+    :param expected_wait_s: wait that was expected
+    :param time_left_s: time left until the request's deadline
+    :param ahead: number of requests that precede it
+    :param retry_after_ms: time in which half of the tenant's queue is expected to drain
     """
 
     reason: RefusalReason
@@ -67,17 +67,17 @@
 
     @property
     def room_in_s(self) -> float:
-        """When a request like it is likely to be served, if nothing else comes."""
+        """Seconds until a request like it is likely to be admitted, if no others arrive."""
         if self.reason is not RefusalReason.NO_TIME:
             return 0.0
-        return max(0.0, self.expected_wait_s - ROOM_SHARE * max(0.0, self.time_left_s))
+        return max(0.0, self.expected_wait_s - LIKELY_SERVED_SHARE * max(0.0, self.time_left_s))
 
 
 @dataclass(frozen=True, slots=True)
-class Ahead:
-    """What goes before a request.
+class PrecedingWork:
+    """Requests that precede a given request.
 
-    :param work_s: the slot time that it takes
+    :param work_s: their total slot time
     """
 
     count: int
--- a/limedyke/core/queueing/queued_request.py
+++ b/limedyke/core/queueing/queued_request.py
@@ -1,4 +1,4 @@
-"""A request that waits for room at a member."""
+"""A request that waits for a slot at a member."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 NEVER = float("inf")
 AGEING_STEP_S = 1.0
-"""Each so long wait lifts a request by one priority, so that nothing starves."""
-LEAST_STEP_S = 0.001
-"""A place changes no sooner: rounding must not have one looked at for ever."""
+"""Each such period of waiting raises a request by one priority, which prevents starvation."""
+MIN_RERANK_S = 0.001
+"""Shortest time until a request is ranked again, so that rounding cannot cause an endless loop."""
 
 
 @dataclass(slots=True, eq=False)
 class QueuedRequest:
-    """A request, and its place while it waits; times are seconds of a monotonic clock.
+    """A request and its rank while it waits; times are seconds of a monotonic clock.
 
-    :param tenant: whose it is; None for the process's own
-    :param priority: 0 goes first
-    :param arrived_at: when it came, also if it waited elsewhere since
-    :param target_at: when its answer is late
-    :param deadline_at: after that it is not worth being served
+    :param tenant: the tenant that sent it; None for the proxy's own requests
+    :param priority: 0 is the most urgent
+    :param arrived_at: when it arrived, even if it has waited elsewhere since
+    :param target_at: when its answer becomes late
+    :param deadline_at: when it is no longer worth serving
     :param cost_s: slot time charged in advance, corrected when the request finishes
-    :ivar level: its priority, after ageing
-    :ivar is_late: it can't meet its target any more
-    :ivar number: tells those apart that are alike otherwise, in order of arrival
+    :ivar level: priority after ageing
+    :ivar is_late: whether it can no longer meet its target
+    :ivar number: arrival number, which breaks ties
     """
 
     tenant: str | None
@@ -38,11 +38,11 @@
     is_waiting: bool = False
 
     def rank(self, now: float, service_s: float) -> float:
-        """Set the level and whether it is late; return when either changes next.
+        """Update level and lateness; return when either changes next.
 
-        What was lifted beyond the first priority goes before those on time, too.
+        A request raised beyond the first priority also precedes requests that are on time.
 
-        :param service_s: how long it takes once it has its turn
+        :param service_s: expected service time
         """
         lifted = int((now - self.arrived_at) / AGEING_STEP_S)
         self.level = max(0, self.priority - lifted)
@@ -53,11 +53,11 @@
         self.is_late = late_at <= now
         lifts_at = self.arrived_at + (lifted + 1) * AGEING_STEP_S
         changes_at = lifts_at if self.is_late else min(lifts_at, late_at)
-        return max(changes_at, now + LEAST_STEP_S)
+        return max(changes_at, now + MIN_RERANK_S)
 
 
 def queue_sort_key(request: QueuedRequest) -> tuple[bool, float, float, int]:
-    """Return the sort key among the requests of one tenant and level."""
+    """Return the sort key among requests of the same tenant and level."""
     due_at = request.deadline_at
     if not request.is_late:
         due_at = min(due_at, request.target_at)
--- a/limedyke/core/queueing/request_queue.py
+++ b/limedyke/core/queueing/request_queue.py
@@ -1,14 +1,14 @@
 """Queue of requests for one member, by priority and fair between tenants; sans-IO.
 
-Answers the load of more requests than the member serves: a burst of the least urgent ones of many
-tenants, urgent ones among them, and connections that are lost meanwhile.
-
-Order: by priority, where each ``AGEING_STEP_S`` of waiting lifts a request by one; inside a level
-by the tenant's virtual time, which grows by slot time over weight; inside a tenant those that can
-still meet their target before those that are late anyhow, by target or deadline, whichever is
-sooner, the late ones by deadline.  What can't have its turn before its deadline, counting only what
-goes before it, is refused on arrival.  Units of open transactions never wait here, since they hold
-locks that others may wait for.
+It handles more requests than the member can serve, for example a burst of low-priority requests of
+many tenants with urgent ones among them, while connections are lost.
+
+Requests are ordered by priority, where each ``AGEING_STEP_S`` of waiting raises a request by one.
+Within a level tenants are ordered by virtual time, which grows by slot time over weight.  Within a
+tenant, requests that can still meet their target precede late ones; the former are ordered by
+target or deadline, whichever is sooner, and late ones by deadline.  A request is refused on arrival
+if the requests ahead of it alone make it miss its deadline.  Units of open transactions never wait
+here, since they hold locks that others may wait for.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 from limedyke.core import admission
 from limedyke.core.queueing.queue_answer import (
-    Ahead,
+    PrecedingWork,
     Queued,
     QueueDrain,
     RefusalReason,
@@ -32,17 +32,18 @@
 
 INITIAL_COST_S = 0.002
 DEBT_LIMIT_S = 0.5
-"""Longest time that one tenant's slow requests put its next ones behind the others."""
-RECURRENCE = 2
-"""Who waits is likely to send as much again before a tenant that has used more has its turn."""
+"""Bound of the virtual time by which slow requests of a tenant delay its next ones."""
+RECURRENCE_FACTOR = 2
+"""Waiting tenants probably send as many requests again before a tenant with more use is served, so
+their waiting requests count this many times."""
 
 
-LET_IN_SHARE = 0.8
-"""A request is let in while its wait takes so much of its time: what varies a little meanwhile
-must not turn away what was let in."""
-CHANCE_SPREAD = 1.6
-"""Behind few turns that come at random a wait may well be half of what is expected: a request is
-turned away when it has less than one chance in four or so."""
+ADMISSION_SHARE = 0.8
+"""A request is admitted if its expected wait is at most this share of its time left. The margin
+prevents small variations from expiring admitted requests."""
+VARIATION_WEIGHT = 1.6
+"""Weight of random variation in the longest acceptable wait. With few requests ahead, the actual
+wait may be half of the expected one; a request is refused when its chance is below about 25 %."""
 
 
 class RequestQueue:
@@ -65,7 +66,7 @@
         return self._length
 
     def set_weight(self, tenant: str, weight: int) -> None:
-        """Declare a tenant and its share."""
+        """Set a tenant's weight."""
         self._flow(tenant).weight = max(1, weight)
 
     def waiting(self, tenant: str | None) -> int:
@@ -83,35 +84,35 @@
         return self._mean_cost_s
 
     def mean_cost_s(self, tenant: str | None) -> float:
-        """Return the smoothed slot time of a tenant's requests; of all while it has had none."""
+        """Return the smoothed slot time of a tenant's requests, or of all if it has had none."""
         flow = self._flows.get(tenant)
         return flow.mean_cost_s if flow is not None else self._mean_cost_s
 
     def push(self, request: QueuedRequest, now: float, drain: QueueDrain) -> Queued | Refused:
-        """Let a request wait, or refuse it at once."""
+        """Enqueue a request, or refuse it at once."""
         self._advance(now)
         self._rank(request, now)
         load, ahead = self._load(request, drain)
         left_s = request.deadline_at - now
         stretch = self._urgent.stretch(request.priority, drain.slots, now)
-        allowed_s = LET_IN_SHARE * _longest_wait_s(left_s, ahead.count, drain)
+        allowed_s = ADMISSION_SHARE * _max_expected_wait_s(left_s, ahead.count, drain)
         refusal = admission.admit(load, allowed_s / stretch)
         if refusal is None:
-            self._came(request, now, drain)
+            self._enqueue(request, now, drain)
             return Queued()
         wait_s = admission.expected_wait_s(load) * stretch
         if wait_s > allowed_s:
             reason = RefusalReason.NO_TIME
-        elif drain.waiting_limit and (displaced := self._less_urgent(request)) is not None:
+        elif drain.waiting_limit and (displaced := self._request_to_displace(request)) is not None:
             self.remove(displaced)
-            self._came(request, now, drain)
+            self._enqueue(request, now, drain)
             return Queued((displaced,))
         else:
             reason = RefusalReason.FULL
         return Refused(reason, wait_s, left_s, ahead.count, refusal.retry_after_ms)
 
     def place(self, request: QueuedRequest, now: float) -> None:
-        """Let a request wait without asking whether it should."""
+        """Enqueue a request without an admission check."""
         self._advance(now)
         flow = self._flow(request.tenant)
         changes_at = self._rank(request, now)
@@ -124,7 +125,7 @@
         self._watch(request, changes_at)
 
     def remove(self, request: QueuedRequest) -> bool:
-        """Take a request out; tell whether it was waiting."""
+        """Remove a request; return whether it was waiting."""
         if not request.is_waiting:
             return False
         flow = self._flows[request.tenant]
@@ -140,7 +141,7 @@
     def first(
         self, now: float, eligible: Callable[[str | None], bool] = lambda tenant: True
     ) -> QueuedRequest | None:
-        """Return the next request, which goes on waiting; None when there is none.
+        """Return the next request without removing it; None if there is none.
 
         :param eligible: whether a tenant could use a slot now (it has a free connection)
         """
@@ -155,7 +156,7 @@
         return best
 
     def pop(self, now: float, eligible: Callable[[str | None], bool]) -> QueuedRequest | None:
-        """Take the next request out, charged in advance, or return None.
+        """Remove the next request and charge it in advance; return None if there is none.
 
         :param eligible: see ``first``
         """
@@ -166,9 +167,9 @@
         return request
 
     def in_order(self, now: float) -> Iterator[QueuedRequest]:
-        """Yield what waits in the order in which it is served if nothing else comes.
+        """Yield the waiting requests in the order of service if no others arrive.
 
-        The queue must not change meanwhile.
+        The queue must not change during the iteration.
         """
         self._advance(now)
         numbers = itertools.count()
@@ -189,22 +190,22 @@
             turn = (following.level, after, next(numbers), following, flow, requests)
             heapq.heapreplace(turns, turn)
 
-    def ahead_of(self, request: QueuedRequest, now: float) -> Ahead:
-        """Return what goes before a request, which need not wait here."""
+    def ahead_of(self, request: QueuedRequest, now: float) -> PrecedingWork:
+        """Return the requests that precede a request, which need not wait here."""
         self._advance(now)
         self._rank(request, now)
         return self._ahead(request)
 
     def expected_wait_s(self, request: QueuedRequest, now: float, drain: QueueDrain) -> float:
-        """Return how long a request that comes now is expected to wait."""
+        """Return the expected wait of a request that arrives now."""
         self._advance(now)
         self._rank(request, now)
         return admission.expected_wait_s(self._load(request, drain)[0])
 
     def expire(self, now: float, drain: QueueDrain) -> list[tuple[QueuedRequest, Refused]]:
-        """Take out those that can't have their turn in time any more, with what decided it.
+        """Remove requests that can no longer be served in time; return them with the reasons.
 
-        Each is counted behind those that are served before it, not behind those taken out.
+        The expected wait of each counts only the requests ahead of it that remain.
         """
         gone = []
         ahead = 0
@@ -214,7 +215,7 @@
             cost_s = self._flows[request.tenant].mean_cost_s + drain.extra_s
             wait_s = (work_s + cost_s) / slots
             left_s = request.deadline_at - now
-            if wait_s > _longest_wait_s(left_s, ahead, drain):
+            if wait_s > _max_expected_wait_s(left_s, ahead, drain):
                 retry_after_ms = admission.bounded_retry_ms(wait_s / 2)
                 refused = Refused(RefusalReason.NO_TIME, wait_s, left_s, ahead, retry_after_ms)
                 gone.append((request, refused))
@@ -228,8 +229,8 @@
     def started(self, request: QueuedRequest, waited: bool = False) -> None:
         """Charge a request that gets a slot.
 
-        :param waited: it had its turn: tenants that come from now on begin where it did, and
-            don't go before what waited longer
+        :param waited: whether it was dequeued. The virtual time of new tenants then starts at its
+            start, so that they do not precede requests that have waited longer
         """
         flow = self._flow(request.tenant)
         start = max(flow.virtual_time, self._virtual_time)
@@ -238,7 +239,7 @@
         flow.virtual_time = start + request.cost_s / flow.weight
 
     def finished(self, request: QueuedRequest, used_s: float) -> None:
-        """Correct the charge of a request by the slot time that it really used."""
+        """Correct a request's charge to the slot time that it used."""
         flow = self._flow(request.tenant)
         corrected = flow.virtual_time + (used_s - request.cost_s) / flow.weight
         flow.virtual_time = min(corrected, self._virtual_time + DEBT_LIMIT_S)
@@ -246,25 +247,27 @@
         self._mean_cost_s += COST_SMOOTHING * (flow.mean_cost_s - self._mean_cost_s)
 
     def drain(self) -> list[QueuedRequest]:
-        """Take all requests out."""
+        """Remove all requests."""
         return [
             request for tenant in self.waiting_tenants() for request in self.drain_tenant(tenant)
         ]
 
     def drain_tenant(self, tenant: str | None) -> list[QueuedRequest]:
-        """Take the requests of one tenant out."""
+        """Remove the requests of one tenant."""
         flow = self._active.get(tenant)
         requests = list(flow.in_order()) if flow is not None else []
         for request in requests:
             self.remove(request)
         return requests
 
-    def _came(self, request: QueuedRequest, now: float, drain: QueueDrain) -> None:
+    def _enqueue(self, request: QueuedRequest, now: float, drain: QueueDrain) -> None:
         work_s = self._flow(request.tenant).mean_cost_s + drain.extra_s
-        self._urgent.came(request.priority, work_s, now)
+        self._urgent.record_arrival(request.priority, work_s, now)
         self.place(request, now)
 
-    def _load(self, request: QueuedRequest, drain: QueueDrain) -> tuple[admission.QueueLoad, Ahead]:
+    def _load(
+        self, request: QueuedRequest, drain: QueueDrain
+    ) -> tuple[admission.QueueLoad, PrecedingWork]:
         ahead = self._ahead(request)
         flow = self._flow(request.tenant)
         limited = self._length if drain.waiting_limit else flow.of_priority(request.priority)
@@ -278,8 +281,8 @@
         )
         return load, ahead
 
-    def _ahead(self, request: QueuedRequest) -> Ahead:
-        """Count what goes before a ranked request: of its tenant, and of others at their turns."""
+    def _ahead(self, request: QueuedRequest) -> PrecedingWork:
+        """Count the requests that precede a ranked request, of its tenant and of the others."""
         own = self._flow(request.tenant)
         count = own.before(request)
         work_s = count * own.mean_cost_s
@@ -289,16 +292,16 @@
                 continue
             before = flow.above(request.level)
             turns = _turns_until(flow, virtual_time) - before
-            before += max(0, min(RECURRENCE * flow.at(request.level), turns))
+            before += max(0, min(RECURRENCE_FACTOR * flow.at(request.level), turns))
             count += before
             work_s += before * flow.mean_cost_s
-        return Ahead(count, work_s)
+        return PrecedingWork(count, work_s)
 
-    def _less_urgent(self, request: QueuedRequest) -> QueuedRequest | None:
-        """Return the one that gives way to a request; None when none is less urgent.
+    def _request_to_displace(self, request: QueuedRequest) -> QueuedRequest | None:
+        """Return the request to displace in favour of another one; None if there is none.
 
-        Among those that are as urgent it is one of the tenant with most waiting, so that one
-        tenant does not keep all places.
+        Among equally urgent requests it is one of the tenant with the most waiting, so that a
+        single tenant cannot occupy the whole queue.
         """
         if not self._active:
             return None
@@ -325,7 +328,7 @@
             heapq.heappush(self._changes, (changes_at, request.number, request))
 
     def _advance(self, now: float) -> None:
-        """Move those whose place has changed with time."""
+        """Re-rank requests whose level or lateness has changed with time."""
         while self._changes and self._changes[0][0] <= now:
             _, number, request = heapq.heappop(self._changes)
             if not request.is_waiting or number != request.number:
@@ -337,13 +340,13 @@
             self._watch(request, changes_at)
 
 
-def _longest_wait_s(left_s: float, ahead: int, drain: QueueDrain) -> float:
-    """Return the longest expected wait at which a turn may still come in the time left."""
-    return left_s * (1.0 + CHANCE_SPREAD * drain.variation / math.sqrt(ahead + 1))
+def _max_expected_wait_s(left_s: float, ahead: int, drain: QueueDrain) -> float:
+    """Return the longest expected wait at which a request may still be served in time."""
+    return left_s * (1.0 + VARIATION_WEIGHT * drain.variation / math.sqrt(ahead + 1))
 
 
 def _turns_until(flow: TenantFlow, virtual_time: float) -> int:
-    """Return how many requests of a tenant begin until a virtual time."""
+    """Return how many requests of a tenant start before a virtual time."""
     gap = virtual_time - flow.virtual_time
     if gap < 0.0:
         return 0
--- a/limedyke/core/queueing/return_schedule.py
+++ b/limedyke/core/queueing/return_schedule.py
@@ -1,52 +1,53 @@
-"""When those that were refused may come back, so that they come as room does; sans-IO.
+"""Retry times for refused requests, matched to the rate at which room becomes free; sans-IO.
 
-Answers the load of hundreds that are refused at once, by a burst or the loss of a primary: told the
-same time, all would come back together and be refused together.
+A burst or the loss of a primary may refuse hundreds of requests at once.  With equal retry times
+they would all return together and be refused again.
 """
 
 from __future__ import annotations
 
 LEAST_RETURN_S = 0.05
-"""Sooner nothing has changed, and a try is wasted: clients have few."""
-MOST_RETURN_S = 3.0
-"""Later an answer is of little use: about half of the time that callers wait in all."""
-RETURN_SHARE = 0.8
-"""Of the turns that come; the others are left to requests that are new."""
-LONGEST_GAP_S = 0.05
-"""A stall ends: those refused while turns come rarely are not told to wait as long for each."""
+"""Shortest delay. An earlier retry would find the same state, and clients have few retries."""
+MAX_RETRY_DELAY_S = 3.0
+"""Longest delay: about half of the time that callers wait in total."""
+RETRY_SHARE = 0.8
+"""Share of the freed slots that is planned for retries; the rest is left to new requests."""
+MAX_GAP_S = 0.05
+"""Upper bound of the assumed time between two freed slots. During a stall, which ends, requests
+would otherwise get delays that are far too long."""
 SPREAD_STEP = 0.618
-"""Golden section: successive multiples of it spread evenly over an interval."""
+"""Golden ratio step: successive multiples modulo 1 are spread evenly over an interval."""
 
 
 class ReturnSchedule:
-    """Gives successive times to come back, at the rate at which room comes; one for a member.
+    """Assigns successive retry times at the rate at which slots become free; one per member.
 
-    More urgent ones take the times before less urgent ones: what was promised to less urgent ones
-    does not delay them.
+    More urgent requests take earlier times than less urgent ones and are not delayed by times
+    already assigned to those.
     """
 
     def __init__(self) -> None:
         self._next_at: dict[int, float] = {}
-        self._beyond = 0
+        self._late_count = 0
 
     def retry_after_s(self, priority: int, ready_in_s: float, now: float, gap_s: float) -> float:
-        """Return when one that is refused may come back, and keep that time for it.
+        """Return the retry delay of a refused request, and reserve that time for it.
 
-        :param ready_in_s: when the first room for its priority is expected
-        :param gap_s: time between two turns from then on
+        :param ready_in_s: expected time until the first slot for its priority
+        :param gap_s: expected time between two slots after that
         """
-        own_gap_s = min(gap_s, LONGEST_GAP_S) / RETURN_SHARE
+        own_gap_s = min(gap_s, MAX_GAP_S) / RETRY_SHARE
         at = max(now + max(ready_in_s, LEAST_RETURN_S), self._next_at.get(priority, now))
         self._next_at[priority] = at + own_gap_s
         for other in self._next_at:
             if other > priority and self._next_at[other] > at:
                 self._next_at[other] += own_gap_s
-        if at - now <= MOST_RETURN_S:
+        if at - now <= MAX_RETRY_DELAY_S:
             return at - now
-        self._next_at[priority] = min(self._next_at[priority], now + MOST_RETURN_S + own_gap_s)
-        return self._late_return_s()
+        self._next_at[priority] = min(self._next_at[priority], now + MAX_RETRY_DELAY_S + own_gap_s)
+        return self._spread_delay_s()
 
-    def _late_return_s(self) -> float:
-        """Return one of times spread over the last half of those that are of use."""
-        self._beyond += 1
-        return MOST_RETURN_S * (0.5 + 0.5 * (self._beyond * SPREAD_STEP % 1.0))
+    def _spread_delay_s(self) -> float:
+        """Return the next of the delays that are spread over the second half of the maximum."""
+        self._late_count += 1
+        return MAX_RETRY_DELAY_S * (0.5 + 0.5 * (self._late_count * SPREAD_STEP % 1.0))
--- a/limedyke/core/queueing/turn_rate.py
+++ b/limedyke/core/queueing/turn_rate.py
@@ -1,24 +1,24 @@
-"""How quickly what waits gets its turn, as seen while something waits; sans-IO.
+"""Measured rate at which waiting requests are dequeued; sans-IO.
 
-What a member's connections should do says little when some rest in transactions, others are opened
-anew for each tenant, or the member slows down.
+The number of a member's connections does not predict this rate when some are idle in transactions,
+others are opened anew for each tenant, or the member slows down.
 """
 
 from __future__ import annotations
 
 GAP_SMOOTHING = 0.1
-FORGOTTEN_S = 1.0
-"""After so long without anybody waiting what was seen is no guide any more."""
-USUAL_VARIATION = 0.75
-"""Of turns that come at random; assumed until some were seen."""
+MAX_AGE_S = 1.0
+"""After this time without a waiting request the measured rate is discarded."""
+DEFAULT_VARIATION = 0.75
+"""Relative variation for randomly timed dequeues; assumed until some have been measured."""
 STALL_GAPS = 4.0
-"""So many times the usual gap without a turn says that turns take longer now."""
+"""This many usual gaps without a dequeue mean that dequeues have become slower."""
 
 
 class TurnRate:
-    """The usual time between two turns; times are seconds of a monotonic clock.
+    """Usual time between two dequeued requests; times are seconds of a monotonic clock.
 
-    :ivar last_at: when the last turn was, or something began to wait
+    :ivar last_at: when a request was last dequeued, or when the queue last became non-empty
     """
 
     def __init__(self) -> None:
@@ -27,30 +27,30 @@
         self.last_at = float("-inf")
 
     def began(self, now: float, assumed_gap_s: float) -> None:
-        """Take that something waits from now on, where nothing did.
+        """Record that a request starts to wait in an empty queue.
 
-        :param assumed_gap_s: between two turns, unless it was seen a moment ago
+        :param assumed_gap_s: gap between two dequeues, used unless one was measured recently
         """
-        if now - self.last_at > FORGOTTEN_S:
+        if now - self.last_at > MAX_AGE_S:
             self._gap_s = assumed_gap_s
-            self._spread_s = USUAL_VARIATION * assumed_gap_s
+            self._spread_s = DEFAULT_VARIATION * assumed_gap_s
         self.last_at = now
 
     def had_turn(self, now: float) -> None:
-        """Take that one that waited has its turn."""
+        """Record that a waiting request is dequeued."""
         error_s = now - self.last_at - self._gap_s
         self._gap_s += GAP_SMOOTHING * error_s
         self._spread_s += GAP_SMOOTHING * (abs(error_s) - self._spread_s)
         self.last_at = now
 
     def gap_s(self, since_last_s: float) -> float:
-        """Return the time to expect between two turns.
+        """Return the expected time between two dequeues.
 
-        :param since_last_s: how long this process was there to see one since the last
+        :param since_last_s: time since the last dequeue, without pauses of this process
         """
         return max(self._gap_s, since_last_s / STALL_GAPS)
 
     @property
     def variation(self) -> float:
-        """How much the time between two turns varies, as a share of it; 0 when it doesn't."""
-        return min(1.0, self._spread_s / self._gap_s) if self._gap_s > 0.0 else USUAL_VARIATION
+        """Variation of the gap relative to the gap, at most 1; 0 for a constant gap."""
+        return min(1.0, self._spread_s / self._gap_s) if self._gap_s > 0.0 else DEFAULT_VARIATION
