--- a/limedyke/core/queueing/turn_rate.py
+++ b/limedyke/core/queueing/dequeue_rate.py
@@ -15,7 +15,7 @@
 """This many usual gaps without a dequeue mean that dequeues have become slower."""
 
 
-class TurnRate:
+class DequeueRate:
     """Usual time between two dequeued requests; times are seconds of a monotonic clock.
 
     :ivar last_at: when a request was last dequeued, or when the queue last became non-empty
@@ -36,7 +36,7 @@
             self._spread_s = DEFAULT_VARIATION * assumed_gap_s
         self.last_at = now
 
-    def had_turn(self, now: float) -> None:
+    def record_dequeue(self, now: float) -> None:
         """Record that a waiting request is dequeued."""
         error_s = now - self.last_at - self._gap_s
         self._gap_s += GAP_SMOOTHING * error_s
--- a/limedyke/core/queueing/return_schedule.py
+++ b/limedyke/core/queueing/retry_schedule.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-LEAST_RETURN_S = 0.05
+MIN_RETRY_DELAY_S = 0.05
 """Shortest delay. An earlier retry would find the same state, and clients have few retries."""
 MAX_RETRY_DELAY_S = 3.0
 """Longest delay: about half of the time that callers wait in total."""
@@ -19,7 +19,7 @@
 """Golden ratio step: successive multiples modulo 1 are spread evenly over an interval."""
 
 
-class ReturnSchedule:
+class RetrySchedule:
     """Assigns successive retry times at the rate at which slots become free; one per member.
 
     More urgent requests take earlier times than less urgent ones and are not delayed by times
@@ -37,7 +37,7 @@
         :param gap_s: expected time between two slots after that
         """
         own_gap_s = min(gap_s, MAX_GAP_S) / RETRY_SHARE
-        at = max(now + max(ready_in_s, LEAST_RETURN_S), self._next_at.get(priority, now))
+        at = max(now + max(ready_in_s, MIN_RETRY_DELAY_S), self._next_at.get(priority, now))
         self._next_at[priority] = at + own_gap_s
         for other in self._next_at:
             if other > priority and self._next_at[other] > at:
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -10,11 +10,11 @@
 import curio
 from result import Err, Ok
 
+from limedyke.core.queueing.dequeue_rate import DequeueRate
 from limedyke.core.queueing.queue_answer import QueueDrain, RefusalReason, Refused
 from limedyke.core.queueing.queued_request import NEVER, QueuedRequest
 from limedyke.core.queueing.request_queue import RequestQueue
-from limedyke.core.queueing.return_schedule import ReturnSchedule
-from limedyke.core.queueing.turn_rate import TurnRate
+from limedyke.core.queueing.retry_schedule import RetrySchedule
 from limedyke.core.statements.connection_demand import ConnectionUse
 from limedyke.core.statements.observed_member import FIRST_ANSWER_S, OPENING, ObservedMember
 from limedyke.messages.statements import AnswerKind
@@ -102,8 +102,8 @@
         self._idle = IdleConnections()
         self._queue = RequestQueue(FIRST_ANSWER_S)
         self._lent = CheckedOutConnections()
-        self._turns = TurnRate()
-        self._returns = ReturnSchedule()
+        self._turns = DequeueRate()
+        self._returns = RetrySchedule()
         self._recount_at = 0.0
         self._lacked_room = False
 
@@ -153,7 +153,7 @@
         self.observed.outstanding += 1
         self._lent.lend(connection, request, now)
         if request.was_let_in:
-            self._turns.had_turn(now)
+            self._turns.record_dequeue(now)
         self._queue.started(request, waited=request.was_let_in)
         return connection
 
