--- a/limedyke/core/statements/answer_quality.py
+++ b/limedyke/core/statements/answer_quality.py
@@ -1,10 +1,10 @@
-"""How much of what is asked of a member fails lately, and how it is trusted again; sans-IO.
+"""Failure rate of one member's answers, and recovery of trust in it; sans-IO.
 
-Load answered: a member that fails half of its work at once looks quickest of all, one that is mute
-for a part of it looks as quick as ever, and one that flaps is as good as new each time it answers.
-What fails, breaks or never comes raises the failing share here at once, which choosing a member
-counts as what it costs the caller. It falls with answers that are good and, as a member left alone
-gives none, with time: the sooner the less often the member has failed before.
+A member that fails half of its work at once looks fastest of all, one that leaves some requests
+unanswered looks as fast as before, and one that flaps looks healthy whenever it answers.  Failed,
+broken and missing answers therefore raise the failing share at once; the choice of a member counts
+it as a cost.  The share falls with good answers and, because a member that is avoided gives no
+answers, with time.  A member with more past episodes recovers more slowly.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 from dataclasses import dataclass
 
 ANSWER_WEIGHT = 0.2
-"""Of a new answer: some in a row decide, one does not."""
+"""Weight of a new answer: several failures in a row are decisive, a single one is not."""
 DISTRUSTED_SHARE = 0.3
-"""From here on a member counts as failing: that is one episode."""
+"""From this share on a member counts as failing, which begins an episode."""
 TRUSTED_SHARE = 0.05
-"""Below this an episode is over."""
+"""Below this share an episode is over."""
 LEAST_SHARE = 0.02
-"""Less is no news: members of a group differ by as much."""
+"""A smaller share is ignored, since members of a group differ by as much."""
 FIRST_RECOVERY_S = 0.5
-"""In this time without an answer the failing share falls by half; twice as long with each episode
-that follows another one closely."""
+"""Half-life of the failing share without answers; it doubles with each episode that closely follows
+another one."""
 LONGEST_RECOVERY_S = 8.0
 CLOSE_EPISODES_S = 20.0
-"""An episode that begins so soon after the one before makes the member less trusted."""
+"""An episode that begins within this time of the previous one reduces trust further."""
 
 
 @dataclass(slots=True)
 class AnswerQuality:
     """The failing share of one member's answers; times are seconds of a monotonic clock.
 
-    :ivar episodes: how often it has begun to fail, one time closely after the other
-    :ivar last_failure: what the last bad answer was, for the log
+    :ivar episodes: number of failure episodes in close succession
+    :ivar last_failure: kind of the last failure, for the log
     """
 
     episodes: int = 0
@@ -45,29 +45,29 @@
 
     @property
     def recovery_s(self) -> float:
-        """Return in which time the failing share falls by half while nothing is asked."""
+        """Return the half-life of the failing share while the member is not asked."""
         return min(FIRST_RECOVERY_S * 2 ** max(0, self.episodes - 1), LONGEST_RECOVERY_S)
 
     def failing_share(self, now: float) -> float:
-        """Return which share of what is asked now is expected to fail."""
+        """Return the share of requests sent now that are expected to fail."""
         if self._share == 0.0:
             return 0.0
         share = self._share * 0.5 ** ((now - self._changed_at) / self.recovery_s)
         return share if share >= LEAST_SHARE else 0.0
 
     def good(self, now: float) -> None:
-        """Take an answer that served."""
+        """Record a successful answer."""
         if self._share > 0.0:
             self._learn(0.0, now)
 
     def is_failing(self, now: float) -> bool:
-        """Tell whether the member is distrusted."""
+        """Tell whether the member counts as failing."""
         return self._is_failing and self.failing_share(now) >= TRUSTED_SHARE
 
     def bad(self, now: float, failure: str = "failed") -> None:
-        """Take that one failed, broke or never came.
+        """Record a failed, broken or missing answer.
 
-        :param failure: what it was, for the log
+        :param failure: kind of the failure, for the log
         """
         self.last_failure = failure
         self._learn(1.0, now)
--- a/limedyke/core/statements/concurrency_limit.py
+++ b/limedyke/core/statements/concurrency_limit.py
@@ -1,18 +1,18 @@
-"""How much this proxy has under way at one member at once; sans-IO.
+"""Limit of one proxy's concurrent requests at one member; sans-IO.
 
-Load answered: seven home proxies, each with a lease of several connections, send a burst to a
-member of a few slots and a short queue of its own. Together their leases exceed both, so the member
-turns work away by order of arrival, while what is urgent waits among what is not. With this limit
-what is too much waits at the proxies, by priority.
+Several home proxies, each with a lease of several connections, may send a burst to a member with
+few slots and a short queue.  Together their leases exceed both.  The member then refuses work by
+order of arrival, and urgent requests wait among others.  With this limit the excess waits at the
+proxies, ordered by priority.
 
-What counts is whatever holds a slot: statements, commits, questions and openings of connections. A
-client that rests inside a transaction holds none.
+Everything that uses a slot counts: statements, commits, queries and openings of connections.  A
+client that is idle in a transaction uses none.
 
-The limit follows what is seen. It falls at once, by a factor, when answers take far longer at the
-member than they do at best, when it turns work away or tells nothing, and comes back one by one
-while it is used and answers are quick. It is never above what fills all slots of the member, so the
-sum over home proxies is bounded without a word among them: leases bound who sends at all, and a
-proxy that is new or cut off begins with, and has at most, the same few.
+The limit drops at once by a factor when answers take far longer at the member than at best, or when
+the member refuses work or is silent.  It grows by one at a time while it is in use and answers are
+fast.  It never exceeds what fills all slots of the member.  This bounds the sum over home proxies
+without coordination: leases bound who may send, and a new or isolated proxy starts with the same
+few and never has more.
 """
 
 from __future__ import annotations
@@ -20,46 +20,46 @@
 import math
 from dataclasses import dataclass, field
 
-LEAST_LIMIT = 1
-"""Less would leave a proxy without a sign that the member is quick again."""
+MIN_LIMIT = 1
+"""With a lower limit a proxy would never observe that the member is fast again."""
 START_SHARE = 8.0
-"""Home proxies begin with so many times the slots among them, and none with more than all slots: in
-calm hours the limit holds nothing back, and a first burst fits a member's usual queue."""
+"""The home proxies together start with this many times the slots, each with at most all slots. In
+normal operation the limit holds nothing back, and a first burst fits a member's usual queue."""
 SLOW_SHARE = 3.0
-"""Slow answers alone leave the home proxies so many times the slots among them: the slots stay in
-use, and a proxy that is slow itself can't talk itself out of serving."""
+"""Slow answers alone leave the home proxies this many times the slots together. The slots stay in
+use, and a proxy that is itself slow does not throttle itself completely."""
 TOLERATED_SLOWNESS = 4.0
-"""An answer may take so many times its best before the limit falls: the slots are in use then, and
-three times as many requests wait."""
+"""The limit drops when answers take more than this many times the best time. At that point all
+slots are in use and three times as many requests wait."""
 EASY_SLOWNESS = 2.5
-"""Below this a limit that is used may grow."""
+"""Below this slowness a limit that is fully used may grow."""
 SLOW_FACTOR = 0.7
 TURNED_AWAY_FACTOR = 0.5
 SLOWNESS_WEIGHT = 0.15
-"""Of a new answer: a few slow ones in a row are believed, a single one isn't."""
-MOST_SLOWNESS = 8.0
-"""A single answer counts as no slower: a segment that is sent again says nothing of the member."""
+"""Weight of a new answer: several slow ones in a row are decisive, a single one is not."""
+MAX_SLOWNESS = 8.0
+"""Upper bound of a single answer's slowness: a retransmitted segment says nothing of the member."""
 BATCH = 16
-"""Answers whose mean counts as one sample: the quickest single answer of work that varies says
-nothing of how long it takes as a rule."""
+"""Answers averaged into one sample. For varying work the fastest single answer does not represent
+the usual time."""
 CALM_SPREAD = 1.5
 FIRST_BATCHES = 2
 SLOW_BATCHES = 2
-FORGOTTEN_PER_S = 0.02
-"""The best grows by so much of itself a second: a member that got slower for good is not held to
-what it was."""
-LEAST_TIME_S = 0.001
+BEST_TIME_GROWTH_PER_S = 0.02
+"""The best time grows by this share per second, so that a member that became permanently slower is
+not compared with its past."""
+MIN_TIME_S = 0.001
 """Shorter times are noise of the clock and of this process."""
 
 
 @dataclass(slots=True)
 class _BestTime:
-    """The least mean time of one kind of work lately, in seconds.
+    """Lowest recent mean time of one kind of work, in seconds.
 
-    The first answers may come while the member is crowded: until some batches are whole, or one is
-    hardly slower than the quickest answer, the quickest one stands for the best. It follows a
-    member that stays slow though hardly anything is sent there: that one is not crowded, it works
-    slowly, or its times vary, and its slots are to be used all the same.
+    The first answers may arrive while the member is overloaded.  Until several batches are
+    complete, or the mean of one is close to the fastest answer, the fastest answer is used.  The
+    best time follows a member that stays slow although little is sent to it: such a member is not
+    overloaded but slow or of varying speed, and its slots should still be used.
     """
 
     seconds: float = math.inf
@@ -72,9 +72,9 @@
     _is_settled: bool = False
 
     def learn(self, seconds: float, now: float, is_slow_at_least: bool) -> None:
-        """Take how long one took.
+        """Record the time of one answer.
 
-        :param is_slow_at_least: the member is slow though the limit is at its least
+        :param is_slow_at_least: whether the member is slow although the limit is at its minimum
         """
         if not self._is_settled:
             self.seconds = min(self.seconds, seconds)
@@ -89,7 +89,7 @@
             self._is_settled = True
             self.seconds = (self.seconds + mean_s) / 2
         elif self._is_settled:
-            grown_s = self.seconds * (1.0 + FORGOTTEN_PER_S * (now - self._changed_at))
+            grown_s = self.seconds * (1.0 + BEST_TIME_GROWTH_PER_S * (now - self._changed_at))
             self.seconds = min(mean_s, grown_s)
         else:
             self._settle(mean_s)
@@ -107,10 +107,10 @@
 class ConcurrencyLimit:
     """The limit of one proxy at one member; times are seconds of a monotonic clock.
 
-    :param capacity: statements that the member executes at once
-    :param proxies: home proxies that send to it, this one included
-    :ivar turned_away_count: answers by which the member said that it has no room
-    :ivar last_fall: why the limit fell last, for the log
+    :param capacity: number of statements that the member executes at once
+    :param proxies: number of home proxies that send to it, including this one
+    :ivar turned_away_count: number of refusals for lack of room
+    :ivar last_fall: reason of the last reduction, for the log
     """
 
     capacity: int
@@ -121,28 +121,28 @@
     _best: dict[str, _BestTime] = field(default_factory=dict)
     _network_s: float = math.inf
     _slowness: float = 1.0
-    _fell_at: float = -math.inf
+    _reduced_at: float = -math.inf
 
     def __post_init__(self) -> None:
-        """Begin with a share of the member's slots."""
+        """Start with a share of the member's slots."""
         self._limit = self.start
 
     @property
     def limit(self) -> int:
-        """How much may be under way at once."""
-        return max(LEAST_LIMIT, int(self._limit))
+        """The number of requests that may be under way at once."""
+        return max(MIN_LIMIT, int(self._limit))
 
     @property
     def slowness(self) -> float:
-        """How many times longer than at best answers take lately."""
+        """Recent time of answers relative to the best time."""
         return self._slowness
 
     def has_room(self, under_way: int) -> bool:
-        """Tell whether one more may be sent while so much is under way."""
+        """Tell whether one more request may be sent with ``under_way`` of them under way."""
         return under_way < self.limit
 
     def shared_by(self, proxies: int) -> None:
-        """Take how many home proxies send to the member: the limit changes in proportion."""
+        """Set the number of home proxies, and change the limit in proportion."""
         proxies = max(1, proxies)
         if proxies == self.proxies:
             return
@@ -151,67 +151,67 @@
         self._set(self._limit * self.start / before)
 
     def connected(self, seconds: float) -> None:
-        """Take how long the network took there and back: it holds no slot."""
+        """Record a round trip of the network, which uses no slot."""
         self._network_s = min(self._network_s, seconds)
 
     def answered(self, kind: str, seconds: float, under_way: int, now: float) -> None:
-        """Take how long an answer took, the network included.
+        """Record the time of an answer, network included.
 
-        :param kind: of work; each has a best time of its own
-        :param under_way: how much was under way, this one included
+        :param kind: kind of work; each has its own best time
+        :param under_way: requests under way, including this one
         """
         best = self._best.setdefault(kind, _BestTime())
         is_least = self.limit <= self._share_of(SLOW_SHARE)
         best.learn(seconds, now, is_least and self._slowness > TOLERATED_SLOWNESS)
-        slowness = min(self._at_member(seconds) / self._at_member(best.seconds), MOST_SLOWNESS)
+        slowness = min(self._at_member(seconds) / self._at_member(best.seconds), MAX_SLOWNESS)
         self._slowness += SLOWNESS_WEIGHT * (slowness - self._slowness)
         if self._slowness > TOLERATED_SLOWNESS:
-            self._fall("slow", self._after_slow(), seconds, now)
+            self._reduce("slow", self._after_slow(), seconds, now)
         elif self._slowness < EASY_SLOWNESS and under_way >= self.limit:
             self._set(self._limit + 1.0 / self._limit)
 
     def turned_away(self, seconds: float, now: float) -> None:
-        """Take that the member had no room for something sent ``seconds`` ago."""
+        """Record that the member had no room for a request sent ``seconds`` ago."""
         self.turned_away_count += 1
-        self._fall("turned-away", self._limit * TURNED_AWAY_FACTOR, seconds, now)
+        self._reduce("turned-away", self._limit * TURNED_AWAY_FACTOR, seconds, now)
 
     def unanswered(self, seconds: float, now: float) -> None:
-        """Take that nothing came for so long that the member seems to hang."""
-        self._fall("silent", self._limit * TURNED_AWAY_FACTOR, seconds, now)
+        """Record a silence after which the member seems to hang."""
+        self._reduce("silent", self._limit * TURNED_AWAY_FACTOR, seconds, now)
 
     def _after_slow(self) -> float:
-        """Return the limit after slow answers; one that is low for another reason stays."""
+        """Return the limit after slow answers; a limit that is already lower is kept."""
         least = min(self._limit, self._share_of(SLOW_SHARE))
         return max(least, self._limit * SLOW_FACTOR)
 
-    def _fall(self, reason: str, limit: float, seconds: float, now: float) -> None:
-        """Lower the limit, once for all that was under way together."""
-        if now - seconds < self._fell_at:
+    def _reduce(self, reason: str, limit: float, seconds: float, now: float) -> None:
+        """Lower the limit, at most once for all requests that were under way together."""
+        if now - seconds < self._reduced_at:
             return
-        self._fell_at = now
+        self._reduced_at = now
         self.last_fall = reason
         self._set(limit)
 
     def _set(self, limit: float) -> None:
-        self._limit = max(float(LEAST_LIMIT), min(limit, self._most()))
+        self._limit = max(float(MIN_LIMIT), min(limit, self._max_limit()))
 
     @property
     def start(self) -> float:
-        """The limit to begin with."""
+        """The initial limit."""
         return self._share_of(START_SHARE)
 
     def _share_of(self, times: float) -> float:
-        """Return this proxy's part of so many times the member's slots, all slots at most."""
+        """Return this proxy's part of ``times`` the member's slots, at most all slots."""
         share = math.ceil(times * self.capacity / self.proxies)
-        return float(max(LEAST_LIMIT, min(share, self.capacity)))
+        return float(max(MIN_LIMIT, min(share, self.capacity)))
 
-    def _most(self) -> float:
-        """Return what fills all slots of the member: more of them while much is on its way."""
+    def _max_limit(self) -> float:
+        """Return the limit that fills all slots, including requests that are on the network."""
         known_s = [best.seconds for best in self._best.values()]
-        quickest_s = min(known_s, default=LEAST_TIME_S)
+        quickest_s = min(known_s, default=MIN_TIME_S)
         travel = quickest_s / self._at_member(quickest_s)
-        return max(float(LEAST_LIMIT), math.ceil(self.capacity * travel))
+        return max(float(MIN_LIMIT), math.ceil(self.capacity * travel))
 
     def _at_member(self, seconds: float) -> float:
         network_s = self._network_s if math.isfinite(self._network_s) else 0.0
-        return max(LEAST_TIME_S, seconds - network_s)
+        return max(MIN_TIME_S, seconds - network_s)
--- a/limedyke/core/statements/connection_demand.py
+++ b/limedyke/core/statements/connection_demand.py
@@ -1,6 +1,6 @@
-"""How many connections to a member this proxy has use for, and when that is news; sans-IO.
+"""How many connections to a member this proxy needs, and when to report a change; sans-IO.
 
-Load: requests come in swells of seconds, at some proxies and for some tenants more than at others.
+Requests arrive in waves of seconds, unevenly distributed over proxies and tenants.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 from limedyke.messages.control import ConnectionDemand
 
 RECENT_S = 2.0
-"""A tenant whose last request is longer ago hardly finds its connection open again."""
+"""A tenant without a request for longer than this rarely finds its connection still open."""
 DECAY_S = 3.0
-"""In so long a swell that is over is forgotten: longer than the pauses within one."""
+"""Time in which the demand of a past wave decays; longer than the pauses within a wave."""
 LEAST_CHANGE = 2
 LEAST_CHANGE_SHARE = 0.25
-"""A smaller change is no news, as a number and as a share of what was told last."""
+"""A change is reported from this number of connections and this share of the last report."""
 
 
 class ConnectionUse:
     """Requests for connections to one member; times are seconds of a monotonic clock.
 
-    :ivar turned_away: connections that the member did not take
+    :ivar turned_away: connections that the member refused
     """
 
     def __init__(self) -> None:
@@ -32,18 +32,18 @@
         self.turned_away = 0
 
     def requested(self, tenant: str, under_way: int, now: float) -> None:
-        """Note a request.
+        """Record a request.
 
-        :param tenant: whose connection it wants
-        :param under_way: requests that hold a connection or wait for one, this one included
+        :param tenant: the tenant whose connection it needs
+        :param under_way: requests that hold a connection or wait for one, including this one
         """
         self._requested_at[tenant] = now
         self._peak = max(self._peak, under_way)
 
     def wanted(self, now: float) -> int:
-        """Return how many connections there is use for.
+        """Return how many connections are needed.
 
-        Where a connection serves one tenant, each tenant that comes often needs its own.
+        Where a connection serves one tenant, each tenant with frequent requests needs its own.
         """
         share_left = max(0.0, 1.0 - (now - self._level_at) / DECAY_S)
         self._level = max(float(self._peak), self._level * share_left)
@@ -56,30 +56,30 @@
 
 
 class DemandReporter:
-    """What was told of this proxy's demand, and what is to be told next."""
+    """Selects the changes of this proxy's demand to report."""
 
     def __init__(self) -> None:
-        self._told: dict[tuple[str, str], int] = {}
+        self._reported: dict[tuple[str, str], int] = {}
 
     def take(
         self, demands: Iterable[ConnectionDemand], whole: bool
     ) -> tuple[ConnectionDemand, ...]:
-        """Return the demands to tell now.
+        """Return the demands to report now.
 
-        :param demands: at each member; none at those that are missing
-        :param whole: the receiver knows none of what was told before
+        :param demands: demand at each member; zero at members that are missing
+        :param whole: whether the receiver knows none of the earlier reports
         """
         if whole:
-            self._told = {}
+            self._reported = {}
         present = {(demand.group, demand.member): demand for demand in demands}
-        gone = [ConnectionDemand(*key, 0) for key in self._told.keys() - present.keys()]
-        changed = [demand for demand in (*present.values(), *gone) if self._is_news(demand)]
+        gone = [ConnectionDemand(*key, 0) for key in self._reported.keys() - present.keys()]
+        changed = [demand for demand in (*present.values(), *gone) if self._must_report(demand)]
         for demand in changed:
-            self._told[demand.group, demand.member] = demand.connections
-        self._told = {key: told for key, told in self._told.items() if told}
+            self._reported[demand.group, demand.member] = demand.connections
+        self._reported = {key: reported for key, reported in self._reported.items() if reported}
         return tuple(changed)
 
-    def _is_news(self, demand: ConnectionDemand) -> bool:
-        told = self._told.get((demand.group, demand.member), 0)
-        change = abs(demand.connections - told)
-        return change >= max(LEAST_CHANGE, LEAST_CHANGE_SHARE * told)
+    def _must_report(self, demand: ConnectionDemand) -> bool:
+        reported = self._reported.get((demand.group, demand.member), 0)
+        change = abs(demand.connections - reported)
+        return change >= max(LEAST_CHANGE, LEAST_CHANGE_SHARE * reported)
--- a/limedyke/core/statements/replica_lag.py
+++ b/limedyke/core/statements/replica_lag.py
@@ -1,10 +1,10 @@
-"""How far a replica is behind its primary, and when it will hold a position; sans-IO.
+"""Lag of a replica behind its primary, and when it will reach a position; sans-IO.
 
-Load answered: replicas whose log comes late for seconds, before many reads that each want a recent
-position. Each answer of a replica tells how far its log is; when the primary was there tells the
-lag. A read goes to a replica that is expected to hold its position, waits a little for one that
-will soon, and does not ask one that can't hold it yet. Reads under way together learn of the same
-lag once: the time to the next question follows from the age of the position that was lacking.
+Replicas may lag for seconds while many reads require recent positions.  Each answer of a replica
+contains its log position; comparing it with the primary's history gives the lag.  A read goes to a
+replica that should have reached its position, waits briefly for one that soon will, and does not
+ask one that cannot have it yet.  Concurrent reads do not probe the same lag repeatedly: the time
+until the next attempt follows from the age of the missing position.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 
 from limedyke.messages.work import LogPosition
 
-LEAST_PAUSE_S = 0.02
-LONGEST_PAUSE_S = 1.0
-"""A replica that is behind is asked again so soon at the latest: nothing else shows that its lag
-has ended."""
-SHORTER_WEIGHT = 0.2
-"""Of a shorter lag: replicas are late by more at some moments than at others."""
+MIN_PAUSE_S = 0.02
+MAX_PAUSE_S = 1.0
+"""A lagging replica is asked again after this time at the latest, since nothing else shows that its
+lag has ended."""
+DECREASE_WEIGHT = 0.2
+"""Weight of a shorter lag. Lag varies, so the estimate decreases slowly."""
 PAUSE_SHARE = 0.5
-"""Of the time for which it has been behind: a log that is late by some time takes about as long to
-come, and one that stands still is asked ever less often."""
+"""Pause before the next attempt, relative to how long the replica has lagged. A log that is late by
+some time takes about as long to arrive, and a replica that has stopped is asked less and less."""
 
 
 @dataclass(slots=True)
 class ReplicaLag:
     """The lag of one replica; times are seconds of a monotonic clock.
 
-    :ivar lag_s: how late its log comes lately
+    :ivar lag_s: recent lag of its log
     """
 
     lag_s: float = 0.0
-    _told_at: float = -math.inf
+    _answered_at: float = -math.inf
     _lacked: LogPosition | None = None
     _lacking_since: float = math.inf
     _next_at: float = -math.inf
@@ -45,15 +45,15 @@
         passed_at: float | None,
         now: float,
     ) -> None:
-        """Take a position that it told: its log is late by no more than the position is old.
+        """Record a position that it reported; its lag is at most the age of that position.
 
-        :param held_since: when the primary held that position; None when that is not known
-        :param passed_at: when the primary went beyond it, since when at the latest the log is
-            late; None when it is not known to have done so
+        :param held_since: when the primary reached that position; None if unknown
+        :param passed_at: when the primary went beyond it, which bounds the lag from below; None if
+            the primary is not known to have done so
         """
-        self._told_at = now
+        self._answered_at = now
         if held_since is not None and now - held_since < self.lag_s:
-            self.lag_s += SHORTER_WEIGHT * (now - held_since - self.lag_s)
+            self.lag_s += DECREASE_WEIGHT * (now - held_since - self.lag_s)
         if passed_at is not None:
             self.lag_s = max(self.lag_s, now - passed_at)
         if self._lacked is not None and position >= self._lacked:
@@ -61,30 +61,30 @@
             self._lacking_since = math.inf
 
     def lacked(self, required: LogPosition, held_since: float | None, now: float) -> None:
-        """Take that its log lacked a position when it answered.
+        """Record that its log lacked a required position.
 
-        :param held_since: when the primary held it; None when that is not known
+        :param held_since: when the primary reached that position; None if unknown
         """
         age_s = 0.0 if held_since is None else max(0.0, now - held_since)
-        self._told_at = now
+        self._answered_at = now
         self._lacked = required if self._lacked is None else min(self._lacked, required)
         self._lacking_since = min(self._lacking_since, now)
-        self.lag_s = max(self.lag_s, age_s + LEAST_PAUSE_S)
+        self.lag_s = max(self.lag_s, age_s + MIN_PAUSE_S)
         behind_s = max(age_s, now - self._lacking_since)
-        self._next_at = now + min(max(LEAST_PAUSE_S, PAUSE_SHARE * behind_s), LONGEST_PAUSE_S)
+        self._next_at = now + min(max(MIN_PAUSE_S, PAUSE_SHARE * behind_s), MAX_PAUSE_S)
 
     def asked(self, until: float) -> None:
-        """Take that a read that it may lack the position for is sent: others await its answer."""
+        """Record that a read it may have to refuse was sent; other reads await its answer."""
         if self._lacked is not None:
             self._next_at = max(self._next_at, until)
 
     def ready_in_s(self, required: LogPosition, held_since: float | None, now: float) -> float:
-        """Return in what time it is expected to hold a position; 0 when it may hold it now.
+        """Return the expected time until it reaches a position; 0 if it may have done so.
 
-        :param held_since: when the primary held it; None when that is not known
+        :param held_since: when the primary reached that position; None if unknown
         """
         expected_at = (now if held_since is None else held_since) + self.lag_s
-        ready_at = min(expected_at, self._told_at + LONGEST_PAUSE_S)
+        ready_at = min(expected_at, self._answered_at + MAX_PAUSE_S)
         if self._lacked is not None and required >= self._lacked:
             ready_at = max(ready_at, self._next_at)
         return max(0.0, ready_at - now)
--- a/limedyke/core/statements/retry_budget.py
+++ b/limedyke/core/statements/retry_budget.py
@@ -1,14 +1,14 @@
-"""How many tries beyond the first one a group may cost; sans-IO.
+"""Budget of retries for one group; sans-IO.
 
-Load answered: members or home proxies that have too little room. Each request that is turned away
-is tried elsewhere, each slow read beside it, so the load grows just as there is too much of it.
-Tries come out of a budget that first tries fill: while one member of some fails they go on, under
-overload, where most need one, they stop by themselves.
+When members or home proxies have too little room, each refused request is retried elsewhere and
+each slow read is hedged, so that load grows just when there is too much of it.  Retries are taken
+from a budget that first attempts fill.  If one of several members fails, retries continue; under
+overload, when most requests need one, they stop.
 
-One budget a group and proxy. Whoever tries something first calls ``first_try(now)``; whoever would
-try it again, at another member, another home proxy, beside a slow one or after ``busy``, asks
-``may_retry(now)``, which takes the try out of the budget, and gives up or waits when it says no. A
-wait for room or for a primary, after which nothing was sent meanwhile, is no try.
+There is one budget per group and proxy.  A first attempt calls ``first_try(now)``.  A retry at
+another member or home proxy, a hedged read and a repetition after ``busy`` call ``may_retry(now)``,
+which charges the budget; if it returns False the caller gives up or waits.  Waiting for room or for
+a primary without sending anything is not a retry.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 from dataclasses import dataclass
 
 RETRY_SHARE = 0.2
-"""Tries for each first one, as a rule; a member of three that fails all it is asked costs a third
-of reads one until it is left alone, within what was saved."""
+"""Retries per first attempt in the long run. A member of three that fails everything costs a retry
+for a third of the reads until it is avoided; the saved reserve covers that."""
 RESERVE = 10.0
-"""Tries that a group with few requests may always save up."""
+"""Retries that a group with few requests may always accumulate."""
 RESERVE_PER_S = 2.0
-"""Tries a second that need no first ones: a request may wait for long before it is tried again."""
-KEPT_S = 4.0
-"""So much of what recent first tries filled is kept at most."""
+"""Retries per second accrued without first attempts, for requests that wait long before a retry."""
+MEMORY_S = 4.0
+"""The budget holds at most what the first attempts of this time filled."""
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Tries beyond the first, of one group; times are seconds of a monotonic clock.
+    """Retries of one group; times are seconds of a monotonic clock.
 
-    :ivar denied: tries that were not made
-    :ivar made: tries that were made
+    :ivar denied: number of retries denied
+    :ivar made: number of retries made
     """
 
     denied: int = 0
@@ -41,14 +41,14 @@
     _filled_at: float = 0.0
 
     def first_try(self, now: float) -> None:
-        """Take that something is tried for the first time."""
-        self._pass_time(now)
-        self._rate += 1.0 / KEPT_S
-        self._tokens = min(self._tokens + RETRY_SHARE, self._most())
+        """Record a first attempt."""
+        self._advance(now)
+        self._rate += 1.0 / MEMORY_S
+        self._tokens = min(self._tokens + RETRY_SHARE, self._capacity())
 
     def may_retry(self, now: float) -> bool:
-        """Tell whether something may be tried once more, and count it if so."""
-        self._pass_time(now)
+        """Return whether a retry is allowed, and charge it if so."""
+        self._advance(now)
         if self._tokens < 1.0:
             self.denied += 1
             return False
@@ -56,13 +56,13 @@
         self.made += 1
         return True
 
-    def _most(self) -> float:
-        return RESERVE + RETRY_SHARE * KEPT_S * self._rate
+    def _capacity(self) -> float:
+        return RESERVE + RETRY_SHARE * MEMORY_S * self._rate
 
-    def _pass_time(self, now: float) -> None:
-        """Let the rate of first tries fade, and the reserve fill."""
+    def _advance(self, now: float) -> None:
+        """Decay the rate of first attempts and accrue the reserve."""
         passed_s = max(0.0, now - self._filled_at)
         self._filled_at = now
-        self._rate *= max(0.0, 1.0 - passed_s / KEPT_S)
+        self._rate *= max(0.0, 1.0 - passed_s / MEMORY_S)
         reserve = self._tokens + RESERVE_PER_S * passed_s
-        self._tokens = min(max(self._tokens, min(reserve, RESERVE)), self._most())
+        self._tokens = min(max(self._tokens, min(reserve, RESERVE)), self._capacity())
--- a/limedyke/core/statements/routing.py
+++ b/limedyke/core/statements/routing.py
@@ -1,8 +1,8 @@
-"""Which member serves a read; sans-IO.
+"""Choice of the member that serves a read; sans-IO.
 
-Load answered: many home proxies choose among a few members that are unevenly quick, crowded or
-broken. A read goes where it is expected to be served soonest: the time of an answer there, what
-waits before it, a connection to be opened for its tenant, and what failures cost its caller.
+Many home proxies choose among few members, which may be unequally fast, overloaded or failing.  A
+read goes to the member with the lowest expected cost: the time of an answer there, the requests
+waiting before it, a connection to open for its tenant, and the cost of failures to its caller.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from limedyke.messages.work import LogPosition
 
 OTHER_ZONE_COST_S = 0.02
-"""Bytes between zones cost money: a member elsewhere must be faster by so much."""
+"""Traffic between zones costs money, so a member in another zone must be faster by this much."""
 PAUSED_COST_S = 10.0
 FAILURE_COST_S = 0.5
-"""What a failed answer costs where the caller's target latency is not known."""
-ALIKE_SHARE = 0.25
-"""Members that are expected to cost so much more than the best are still like it: proxies that all
-took the very best of old views would crowd it."""
+"""Cost of a failed answer if the caller's target latency is not known."""
+EQUAL_COST_SHARE = 0.25
+"""Members whose cost exceeds the lowest by at most this share count as equal. If all proxies chose
+the single best member from outdated views, they would overload it."""
 NO_WAITS: Mapping[str, float] = {}
 
 
@@ -40,17 +40,17 @@
 ) -> list[ObservedMember]:
     """Return the members that may serve a read, the best first.
 
-    Those that can't be reached are left out: the proxy probes them, and an answer brings them back.
+    Unreachable members are left out; the proxy probes them until they answer again.
 
     :param primary: identity of the recorded primary, or empty
-    :param required: a position that a replica must have reached; None: only the primary will do
-    :param zone: of this proxy
-    :param excluded: members that were tried already
-    :param waits_s: how long the read would wait for a connection, by member; those that are
-        left out here are judged by how many wait there
-    :param failure_cost_s: what a failed answer costs the caller, such as its target latency
-    :param generator: draws among members that are alike; None to take the best
-    :param held_since: when the primary held the position; None when that is not known
+    :param required: position that a replica must have reached; None if only the primary may serve
+    :param zone: zone of this proxy
+    :param excluded: members that were already tried
+    :param waits_s: expected wait for a connection by member; for members not in it the number of
+        waiting requests is used
+    :param failure_cost_s: cost of a failed answer to the caller, such as its target latency
+    :param generator: chooses among equal members; None for the best one
+    :param held_since: when the primary reached the position; None if unknown
     """
     able = [
         member
@@ -79,10 +79,10 @@
     held_since: float | None,
     instead_s: float,
 ) -> tuple[ObservedMember, float] | None:
-    """Return a replica that a read had better wait for, and how long it waits; None without one.
+    """Return the replica that a read should wait for and the wait; None if there is none.
 
-    :param held_since: when the primary held the position; None when that is not known
-    :param instead_s: what the read is expected to cost at the best member that may serve it now
+    :param held_since: when the primary reached the position; None if unknown
+    :param instead_s: expected cost of the read at the best member that may serve it now
     """
     waits = [
         (wait_s + cost_s(member, zone, now), wait_s, index, member)
@@ -99,7 +99,7 @@
 def ready_in_s(
     member: ObservedMember, required: LogPosition | None, held_since: float | None, now: float
 ) -> float:
-    """Return in what time a replica is expected to hold a position; 0 when it may hold it now."""
+    """Return the expected time until a replica reaches a position; 0 if it may have done so."""
     if required is None:
         return math.inf
     if member.position >= required:
@@ -108,26 +108,26 @@
 
 
 def accepts_reads(member: ObservedMember) -> bool:
-    """Tell whether a member takes reads at all, as far as is known."""
+    """Return whether a member is known to accept reads."""
     return member.is_ready and member.health is not MemberHealth.UNREACHABLE
 
 
 def _spread(
     ordered: list[ObservedMember], costs: Mapping[str, float], zone: str, generator: random.Random
 ) -> list[ObservedMember]:
-    """Put one drawn among those alike first: what is under way there soon tells them apart.
+    """Put a random one of the equal members first; their loads soon make them differ.
 
-    One of another zone is never like one of the own.
+    Members of another zone never equal those of the proxy's zone.
     """
     best = ordered[0]
-    limit_s = costs[best.record.identity] * (1.0 + ALIKE_SHARE)
+    limit_s = costs[best.record.identity] * (1.0 + EQUAL_COST_SHARE)
     is_near = best.record.zone == zone
-    alike = [
+    equals = [
         member
         for member in ordered
         if costs[member.record.identity] <= limit_s and (member.record.zone == zone) == is_near
     ]
-    chosen = generator.choice(alike)
+    chosen = generator.choice(equals)
     return [chosen, *(member for member in ordered if member is not chosen)]
 
 
@@ -138,15 +138,15 @@
     wait_s: float | None = None,
     failure_cost_s: float = FAILURE_COST_S,
 ) -> float:
-    """Return what a statement is expected to cost at a member, in seconds.
+    """Return the expected cost of a statement at a member, in seconds.
 
-    One that has been silent for some time, while answers are awaited, is expected to be silent for
-    as long again: reads leave it well before its silence proves that it is lost.
+    A member that has been silent for some time, while answers are awaited, is expected to stay
+    silent for as long again.  Reads thus avoid it well before it counts as lost.
 
-    :param wait_s: how long a connection is waited for there; None to go by how many wait
+    :param wait_s: expected wait for a connection; None to use the number of waiting requests
     """
     slot_s = member.usual_s(now) / max(1, member.record.capacity)
-    cost = member.expected_s(now) + slot_s * member.crowd(now)
+    cost = member.expected_s(now) + slot_s * member.total_load(now)
     cost += slot_s * member.waiting if wait_s is None else wait_s
     cost += member.quality.failing_share(now) * failure_cost_s
     if member.record.zone != zone:
--- a/limedyke/core/statements/session.py
+++ b/limedyke/core/statements/session.py
@@ -1,7 +1,7 @@
-"""One client's session of statements: what it may ask next, and what it has set; sans-IO.
+"""State of one client's session of statements: what is allowed next and what it has set; sans-IO.
 
-The session answers by itself what needs no member.  A transaction begins at a member only with
-its first statement, so that an empty one costs nothing.
+The session answers statements that need no member by itself.  A transaction begins at a member only
+with its first statement, so that an empty transaction costs nothing.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 class RunOnMember:
     """The statement needs a member.
 
-    :param begin: the statement that began the transaction; None outside one, and once the
-        transaction is open at a member
-    :param writes: it must run at the primary
-    :param prepared: what an execution runs
+    :param begin: the statement that began the transaction; None outside a transaction, and once
+        the transaction is open at a member
+    :param writes: whether it must run at the primary
+    :param prepared: the prepared statement that an execution runs
     """
 
     statement: Statement
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndTransaction:
-    """The transaction is to be rolled back at its member; the client is answered at once."""
+    """The transaction must be rolled back at its member; the client is answered at once."""
 
     answer: StatementAnswer
 
@@ -57,7 +57,7 @@
     """A transaction that a client began.
 
     :param begin: the statement that began it
-    :param at_member: its first statement was sent to a member
+    :param at_member: whether its first statement was sent to a member
     """
 
     begin: Statement
@@ -66,7 +66,7 @@
 
     @property
     def reads_only(self) -> bool:
-        """Whether the client said that it only reads."""
+        """Whether the client declared it read-only."""
         return self.begin.kind is StatementKind.BEGIN_READ
 
 
@@ -74,16 +74,18 @@
 class StatementSession:
     """The state of one client's session.
 
-    :ivar database: how its statements are served; renewed at the start of each operation
-    :ivar written: up to where the session has written; None before its first commit
-    :ivar tenant: whom the client speaks for, renewed likewise: its key may pass to another one;
-        empty at a public database
-    :ivar access_key: digest of the key that the client showed
-    :ivar answer_by: when statements must be answered at the latest, seconds of the monotonic clock
-    :ivar tries_under_way: how often the statement under way was sent to a member or a home proxy
-        without an answer that it did not run
-    :ivar may_run_elsewhere: another proxy forwarded the statement, and may ask another home proxy
-    :ivar untold: why its transaction was ended while the client asked nothing, until it is told
+    :ivar database: settings for serving its statements; refreshed at the start of each operation
+    :ivar written: position of the session's last write; None before its first commit
+    :ivar tenant: tenant of the client, refreshed likewise because its key may pass to another
+        tenant; empty at a public database
+    :ivar access_key: digest of the client's key
+    :ivar answer_by: latest time to answer statements, seconds of the monotonic clock
+    :ivar tries_under_way: attempts of the current statement at a member or home proxy that may
+        have run
+    :ivar may_run_elsewhere: whether another proxy forwarded the statement, and may ask another home
+        proxy
+    :ivar unreported_failure: why its transaction was ended while the client was idle, until the
+        client is informed
     """
 
     database: Database
@@ -101,19 +103,19 @@
 
     @property
     def was_sent(self) -> bool:
-        """Whether the statement under way may have run."""
+        """Whether the current statement may have run."""
         return self.tries_under_way > 0
 
     def begin_statement(self, answer_by: float) -> None:
         """Begin the next statement.
 
-        :param answer_by: when the proxy answers the last one, seconds of the monotonic clock
+        :param answer_by: when the proxy stops answering, seconds of the monotonic clock
         """
         self.answer_by = answer_by
         self.tries_under_way = 0
 
     def statement_time_s(self, now: float) -> float:
-        """Return how long a statement that begins now may take."""
+        """Return the time limit of a statement that begins now."""
         return max(0.0, min(self.database.statement_timeout_ms / MS_PER_S, self.answer_by - now))
 
     def plan(self, statement: Statement) -> Plan:
@@ -141,13 +143,13 @@
         return self._run(statement, writes=statement.kind is StatementKind.WRITE)
 
     def needs_primary(self, run: RunOnMember) -> bool:
-        """Tell whether a statement outside an open transaction must go to the primary."""
+        """Return whether a statement outside an open transaction must go to the primary."""
         if run.begin is not None and run.begin.kind is StatementKind.BEGIN:
             return True
         return run.writes or self.database.consistency is Consistency.PRIMARY
 
     def ran(self, run: RunOnMember) -> None:
-        """Note that a statement was answered by its member with success."""
+        """Record that a member answered a statement successfully."""
         transaction = self.transaction
         if run.statement.kind is StatementKind.COMMIT:
             self.close_transaction()
@@ -156,20 +158,20 @@
             transaction.wrote = transaction.wrote or run.writes
 
     def wrote_up_to(self, position: LogPosition | None) -> None:
-        """Note the position behind a commit of this session."""
+        """Record the position after a commit of this session."""
         if position is not None and (self.written is None or position > self.written):
             self.written = position
 
     def fail_transaction(self) -> None:
-        """Note that the transaction can't go on; the client has to end it."""
+        """Record that the transaction cannot continue; the client has to end it."""
         if self.transaction is not None:
             self.transaction = None
             self.status = TransactionStatus.FAILED
 
     def lose_transaction(self, reason: ResultCode) -> None:
-        """Note that the transaction was ended while its client asked nothing.
+        """Record that the transaction was ended while its client was idle.
 
-        The client believes it open: its next statement is told that nothing was kept.
+        The client believes that it is open; the next statement reports that nothing was kept.
         """
         self.fail_transaction()
         self.unreported_failure = reason
@@ -199,15 +201,15 @@
         return EndTransaction(StatementAnswer()) if was_at_member else StatementAnswer()
 
     def _plan_after_failure(self, statement: Statement) -> Plan:
-        untold, self.unreported_failure = self.unreported_failure, None
+        failure, self.unreported_failure = self.unreported_failure, None
         if statement.kind is StatementKind.ROLLBACK:
             self.close_transaction()
             return StatementAnswer()
         if statement.kind is StatementKind.COMMIT:
             self.close_transaction()
-            return refusal(untold or ResultCode.TRANSACTION_LOST)
-        if untold is not None:
-            return refusal(untold)
+            return refusal(failure or ResultCode.TRANSACTION_LOST)
+        if failure is not None:
+            return refusal(failure)
         return refusal(ResultCode.PROTOCOL_VIOLATION, "The transaction failed: end it first.")
 
     def _deallocate(self, name: str) -> Plan:
--- a/limedyke/core/statements/stop_schedule.py
+++ b/limedyke/core/statements/stop_schedule.py
@@ -1,7 +1,7 @@
-"""What a proxy that was told to stop still takes, and by when it answers; sans-IO.
+"""What a stopping proxy still accepts, and by when it answers; sans-IO.
 
-Times are seconds of a monotonic clock.  Each share counts from the signal, as a part of the time
-that the process has until it is killed.
+Times are seconds of a monotonic clock.  Each share is a part of the time between the signal and the
+moment at which the process is killed.
 """
 
 from __future__ import annotations
@@ -12,31 +12,32 @@
 
 NEVER = float("inf")
 TRANSACTIONS_SHARE = 0.4
-"""Then the platform has taken the proxy out of service (2 s of 6), and what a transaction needs is
-left to those begun before: none has to be ended half way."""
+"""By this time (2 s of 6) the platform has taken the proxy out of service. The rest is left to
+transactions that have already begun, so that none is aborted midway."""
 IDLE_SESSIONS_SHARE = 0.4
 STATEMENTS_SHARE = 0.7
-"""A statement taken last has 0.9 s of 6: more than 99 of 100 take (0.5 to 0.8 s on loaded days)."""
+"""The last accepted statement has 0.9 s of 6, which is enough for more than 99 % (0.5 to 0.8 s on
+loaded days)."""
 ANSWERS_SHARE = 0.85
 END_SHARE = 0.92
-"""The answers told last reach their clients, and the process ends, before it is killed: ending
-takes 0.03 s, and a machine that is short of processor time pauses for 0.1 s."""
+"""After this the last answers reach their clients and the process ends before it is killed. Ending
+takes 0.03 s, and a process without processor time may pause for 0.1 s."""
 _BEGINS = frozenset({StatementKind.BEGIN, StatementKind.BEGIN_READ})
 
 
 @dataclass(frozen=True, slots=True)
 class StopSchedule:
-    """Until when a stopping proxy does what.
+    """Time limits of a stopping proxy.
 
-    A statement is only taken while an answer can follow: a process that takes work for as long as
-    it lives cuts what it took last (15 to 18 of 11,500 requests of a day on which proxies stop in
-    overlapping series; none with the schedule, same seed).
+    A statement is accepted only while its answer can still be sent.  Accepting work until the
+    process ends would cut off the last statements (15 to 18 of 11,500 requests on a day with
+    overlapping rolling restarts; none with the schedule, same seed).
 
-    :param transactions_until: it lets transactions begin, and takes all work of other proxies
-    :param idle_sessions_until: it keeps sessions that ask nothing
-    :param statements_until: it takes statements and sessions, and keeps transactions open
-    :param answers_until: it waits for members; then each statement is told what is known of it
-    :param ends_at: it waits for clients to take their answers and close
+    :param transactions_until: accepts new transactions, and all work of other proxies
+    :param idle_sessions_until: keeps idle sessions
+    :param statements_until: accepts statements and sessions, and keeps transactions open
+    :param answers_until: waits for members; afterwards statements get what is known of them
+    :param ends_at: waits for clients to read their answers and close
     """
 
     transactions_until: float = NEVER
@@ -60,14 +61,14 @@
         )
 
     def takes(self, kind: StatementKind, now: float) -> bool:
-        """Tell whether a statement that begins an operation is taken now."""
+        """Return whether a statement that begins an operation is accepted now."""
         until = self.transactions_until if kind in _BEGINS else self.statements_until
         return now < until
 
 
 @dataclass(slots=True)
 class StopState:
-    """Whether the process was told to stop; shared by all that takes work."""
+    """Whether the process was told to stop; shared by everything that accepts work."""
 
     schedule: StopSchedule = StopSchedule()
 
--- a/limedyke/core/statements/time_estimate.py
+++ b/limedyke/core/statements/time_estimate.py
@@ -1,4 +1,4 @@
-"""How long something takes, learned from what was seen: a usual time and its spread; sans-IO."""
+"""Estimate of a duration from measurements: a usual time and its spread; sans-IO."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 USUAL_WEIGHT = 0.2
 SPREAD_WEIGHT = 0.25
-"""Weights of a new time, as TCP's retransmission timer takes them (RFC 6298: 1/8 and 1/4); the
-first is larger, as a member gets slow within a few answers."""
+"""Weights of a new measurement, like those of TCP's retransmission timer (RFC 6298: 1/8 and 1/4).
+The first is larger because a member may become slow within a few answers."""
 SPREADS = 4.0
-"""A time is longer than explained beyond so many spreads, as in RFC 6298."""
+"""Number of spreads beyond which a time counts as unusually long, as in RFC 6298."""
 
 
 @dataclass(slots=True)
 class TimeEstimate:
-    """Times of one kind, in seconds.
+    """Estimated time of one kind of work, in seconds.
 
-    :param usual_s: smoothed time; before the first one was seen, what is assumed
-    :param spread_s: smoothed distance from it
-    :param is_seen: whether any time was seen
+    :param usual_s: smoothed time; an assumption before the first measurement
+    :param spread_s: smoothed absolute deviation
+    :param is_seen: whether anything was measured
     """
 
     usual_s: float
@@ -27,11 +27,11 @@
 
     @property
     def longest_s(self) -> float:
-        """What explains nearly every healthy time; beyond it something is likely wrong."""
+        """Upper bound of nearly all healthy times; a longer time indicates a fault."""
         return self.usual_s + SPREADS * self.spread_s
 
     def learn(self, seconds: float) -> None:
-        """Take a time that was seen."""
+        """Add a measurement."""
         if not self.is_seen:
             self.is_seen = True
             self.usual_s = seconds
@@ -42,15 +42,15 @@
         self.usual_s += USUAL_WEIGHT * error_s
 
     def learn_at_least(self, seconds: float) -> None:
-        """Take that one took so long without having ended: news only if that is unusual.
+        """Add the time after which an unfinished work was given up; short ones are ignored.
 
-        It may never have ended, so it counts as no longer than what healthy ones take.
+        It may never have finished, so it counts at most as the longest healthy time.
         """
         if seconds > self.usual_s:
             self.learn(min(seconds, self.longest_s))
 
     def assume(self, seconds: float) -> None:
-        """Take an assumption in place of the first one, until a time is seen."""
+        """Raise the initial assumption, until a time is measured."""
         if not self.is_seen:
             self.spread_s = max(self.spread_s, seconds / 2)
             self.usual_s = max(self.usual_s, seconds)
