--- a/limedyke/core/units/__init__.py
+++ b/limedyke/core/units/__init__.py
@@ -1,1 +1,1 @@
-"""Units of work of a session, and the answers to them."""
+"""Units of work of a session, and their answers."""
--- a/limedyke/core/units/answer_tracker.py
+++ b/limedyke/core/units/answer_tracker.py
@@ -1,8 +1,7 @@
-"""Follows the answer to a unit message by message: what to relay, hide and put in between.
+"""Tracks the answer to a unit message by message: what to relay, hide and insert.
 
-Needed only when the proxy answers part of a batch itself, sends messages the
-client didn't, or must know which statements completed; other answers pass as
-they are.
+Needed only if the proxy answers part of a batch itself, sends messages that the client did not
+send, or must know which statements completed; other answers are relayed unchanged.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Registration:
-    """A named statement that becomes known to the session when its Parse is answered.
+    """A named statement that the session knows once its Parse is answered.
 
     :param name: the client's name for it
     :param statement: its ``KnownStatement``; None for a name that is closed
@@ -39,10 +38,10 @@
 class AnswerSlot:
     """One expected part of an answer.
 
-    :param completed_by: message types that end it; empty for a part the proxy answers itself
-    :param hidden: the part isn't relayed
-    :param own_answer: what the proxy answers itself
-    :param changes: what takes effect in the session once the part is complete
+    :param completed_by: message types that end it; empty for a part that the proxy answers itself
+    :param hidden: whether the part is not relayed
+    :param own_answer: the proxy's own answer
+    :param changes: changes of the session once the part is complete
     :param registration: a statement known from then on
     """
 
@@ -54,7 +53,7 @@
 
 
 class AnswerTracker:
-    """Follows one answer.
+    """Tracks one answer.
 
     :param slots: the expected parts in order
     """
@@ -67,11 +66,11 @@
         self.failed = False
 
     def finish(self) -> bytes:
-        """Return the proxy's own answers that are left once the unit ended without an error."""
+        """Return the proxy's own answers left when the unit has ended without an error."""
         return b"" if self.failed else self._take_own_answers()
 
     def feed(self, data: bytes) -> bytes:
-        """Take whole messages of the answer and return those to send to the client."""
+        """Process whole messages of the answer; return the messages for the client."""
         relayed = []
         offset = 0
         while offset < len(data):
@@ -81,7 +80,7 @@
         return b"".join(relayed)
 
     def completed_slots(self) -> list[AnswerSlot]:
-        """Return the parts that were completed."""
+        """Return the completed parts."""
         return self._slots[: self.completed]
 
     def _take(self, kind: int, message: bytes) -> bytes:
@@ -90,7 +89,7 @@
             return message
         if self.failed or kind in _ASYNCHRONOUS:
             return message
-        # An own answer waits for proof that nothing failed: the next part of the answer.
+        # An own answer is sent only once the next part of the answer proves that nothing failed.
         answers = self._take_own_answers()
         if self.completed >= len(self._slots):
             return answers + message
--- a/limedyke/core/units/unit_answer.py
+++ b/limedyke/core/units/unit_answer.py
@@ -1,4 +1,4 @@
-"""What the proxy adds to the answer of a unit when it ends, or says in place of it."""
+"""Answers of the proxy at the end of a unit, or in place of it."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
     end: AnswerEnd,
     moment: Moment,
 ) -> bytes:
-    """Let the session's state follow the end of a unit; return the last bytes of its answer.
+    """Update the session's state at the end of a unit; return the last bytes of its answer.
 
-    They are without ReadyForQuery; the session token is among them when it changed.
+    ReadyForQuery is not included; the session token is, if it changed.
     """
     if end.code:
         failure = judge_failure(state, running, end)
@@ -46,7 +46,7 @@
 
 
 def _finish(state: SessionState, tracker: AnswerTracker | None) -> bytes:
-    """Return what the tracker still holds of an answer; the state follows what completed."""
+    """Return the tracker's remaining answer, and apply the completed parts to the state."""
     if tracker is None:
         return b""
     answer = tracker.finish()
@@ -55,7 +55,7 @@
 
 
 def _follow_completion(state: SessionState, running: RunningUnit, end: AnswerEnd) -> bool:
-    """Follow a unit that was answered; tell whether the session token changed."""
+    """Apply a successful unit; return whether the session token changed."""
     binds = binds_position(state, running, end)
     unplaced = wrote_at_unknown_position(running, end)
     follow_transaction(state, running, end.status)
@@ -68,7 +68,7 @@
 def _follow_failure(
     state: SessionState, running: RunningUnit, end: AnswerEnd, failure: Failure
 ) -> bool:
-    """Follow a unit that was refused or lost; tell whether the session token changed."""
+    """Apply a refused or lost unit; return whether the session token changed."""
     changed = failure.code.outcome is Outcome.UNKNOWN and state.position.lose_write()
     leave_transaction(state, running, end)
     return changed
@@ -81,7 +81,7 @@
     tracker: AnswerTracker | None,
     ready: bool,
 ) -> bytes:
-    """Return the whole answer to a batch that no member has to run.
+    """Return the whole answer to a batch that needs no member.
 
     :param ready: whether ReadyForQuery ends it
     """
--- a/limedyke/core/units/unit_builder.py
+++ b/limedyke/core/units/unit_builder.py
@@ -1,4 +1,4 @@
-"""Makes a unit of work of a planned batch and the session's state."""
+"""Builds a unit of work from a planned batch and the session's state."""
 
 from __future__ import annotations
 
--- a/limedyke/core/units/unit_outcome.py
+++ b/limedyke/core/units/unit_outcome.py
@@ -1,4 +1,4 @@
-"""What the end of a unit means for its session: position, transaction, settings, names."""
+"""Effects of a unit's end on its session: position, transaction, settings, statement names."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
     """The unit under way.
 
     :param ready: whether ReadyForQuery follows its answer
-    :param statuses: sent before ReadyForQuery
-    :param relayed: the client has got a part of the answer
-    :param refused_by_replica: the answer is dropped, and the unit is to run on the primary
+    :param statuses: messages sent before ReadyForQuery
+    :param relayed: whether the client has received a part of the answer
+    :param refused_by_replica: whether the answer is dropped and the unit runs again on the primary
     """
 
     unit: WorkUnit
@@ -40,7 +40,7 @@
 
 
 def take_answer_part(state: SessionState, running: RunningUnit, data: bytes) -> bytes:
-    """Return what the client gets of a part of the answer; empty when it gets nothing."""
+    """Return what the client receives of a part of the answer; empty for nothing."""
     if running.refused_by_replica:
         return b""
     if _is_refused_by_replica(state, running, data):
@@ -53,10 +53,10 @@
 
 
 def _is_refused_by_replica(state: SessionState, running: RunningUnit, data: bytes) -> bool:
-    """Tell whether a replica refused a unit since it writes after all, before any row.
+    """Tell whether a replica refused a unit as a write before any row.
 
-    Views, operators and casts may hide a function that writes.  A read-only transaction or
-    session is the client's own wish, and its refusal the answer.
+    Views, operators and casts may hide a function that writes.  In a read-only transaction or
+    session, which the client chose itself, the refusal is the answer.
     """
     if running.relayed or running.unit.access is not Access.READ or state.is_in_transaction:
         return False
@@ -75,7 +75,7 @@
 
 
 def as_write(running: RunningUnit, stream: int) -> RunningUnit:
-    """Return a unit that a replica refused, to run on the primary."""
+    """Return a unit that a replica refused, changed to run on the primary."""
     plan = running.plan
     plan.access = Access.WRITE
     unit = replace(running.unit, stream=stream, access=Access.WRITE, repeatable=False)
@@ -86,7 +86,7 @@
 def binds_position(state: SessionState, running: RunningUnit, end: AnswerEnd) -> bool:
     """Tell whether later reads of the session must reach the position of this answer.
 
-    To be asked before the session follows the unit's transaction.
+    Call this before the session's transaction state is updated.
     """
     unit = running.unit
     if unit.access is Access.READ:
@@ -95,7 +95,7 @@
     if end.status is not TransactionStatus.IDLE:
         state.wrote = state.wrote or writes
         return False
-    # A batch that rolls a transaction back may have written behind that.
+    # A batch that rolls a transaction back may have written after the rollback.
     return unit.barrier or writes or (state.wrote and not _rolls_back(state, running))
 
 
@@ -108,10 +108,10 @@
 
 
 def wrote_at_unknown_position(running: RunningUnit, end: AnswerEnd) -> bool:
-    """Tell whether a unit may have committed a write whose position its answer doesn't tell.
+    """Tell whether a unit may have committed a write whose position is missing in its answer.
 
-    That is a write that the client let run as a read, but no replica served, and a commit
-    with another transaction open behind it.
+    This happens for a write that the client declared a read but that no replica served, and for a
+    commit followed by another open transaction.
     """
     plan = running.plan
     if plan.access is not Access.WRITE:
@@ -122,7 +122,7 @@
 
 
 def apply_completed(state: SessionState, tracker: AnswerTracker) -> None:
-    """Let the session's names and settings follow the statements that completed."""
+    """Apply the completed statements to the session's statement names and settings."""
     failed = state.status is TransactionStatus.FAILED
     for slot in tracker.completed_slots():
         if slot.registration is not None:
@@ -145,7 +145,7 @@
 def follow_transaction(
     state: SessionState, running: RunningUnit, status: TransactionStatus
 ) -> None:
-    """Take the transaction state at the end of an answer."""
+    """Update the transaction state at the end of an answer."""
     if status is TransactionStatus.IDLE:
         failed = running.tracker is not None and running.tracker.failed
         if failed or (state.is_in_transaction and running.tracker is None):
@@ -156,7 +156,7 @@
         return
     if not state.is_in_transaction:
         if not running.unit.transaction:
-            # Opened unforeseen, and so not kept by the back end.
+            # The transaction was opened unexpectedly, so the back end does not keep it.
             state.lose_transaction()
             return
         state.transaction = running.unit.transaction
@@ -165,7 +165,7 @@
 
 
 def judge_failure(state: SessionState, running: RunningUnit, end: AnswerEnd) -> Failure:
-    """Return what the client is told of a unit that the proxy refused or lost."""
+    """Return what the client is told about a unit that the proxy refused or lost."""
     code = CODE_BY_NUMBER.get(end.code, ResultCode.INTERNAL_ERROR)
     if code.outcome is Outcome.UNKNOWN:
         code = _code_of_lost(state, running, code)
@@ -173,9 +173,9 @@
 
 
 def _code_of_lost(state: SessionState, running: RunningUnit, unknown: ResultCode) -> ResultCode:
-    """Return what is known of a unit whose end is lost.
+    """Return the code for a unit whose end is lost.
 
-    :param unknown: that it may have committed
+    :param unknown: the code if it may have committed
     """
     if _may_have_committed(state, running):
         return unknown
@@ -184,9 +184,9 @@
 
 
 def failure_when_cut(state: SessionState, running: RunningUnit, detail: str) -> Failure:
-    """Return what is known of a unit whose end is not waited for any longer.
+    """Return the failure of a unit whose end is no longer awaited.
 
-    It may run on at its member: that it did not run would be untrue.
+    It may still run at its member, so the failure must not say that it did not run.
     """
     return Failure(_code_of_lost(state, running, ResultCode.OUTCOME_UNKNOWN), detail)
 
@@ -198,7 +198,7 @@
 
 
 def leave_transaction(state: SessionState, running: RunningUnit, end: AnswerEnd) -> None:
-    """Put the client where PostgreSQL would after a unit that was refused or lost."""
+    """Put the client in the state that PostgreSQL has after a refused or lost unit."""
     effects = running.plan.effects
     if not state.is_in_transaction:
         state.settings.roll_back()
