--- a/limedyke/core/__init__.py
+++ b/limedyke/core/__init__.py
@@ -1,1 +1,1 @@
-"""Sans-IO decisions: no clock, socket, file or randomness inside."""
+"""Sans-IO logic: no clock, socket, file or source of randomness inside."""
--- a/limedyke/core/access_keys.py
+++ b/limedyke/core/access_keys.py
@@ -1,7 +1,7 @@
-"""Access keys: by which tenant a client speaks.
+"""Access keys: they identify the tenant of a client.
 
-Only digests of keys are declared, kept and compared, so that no process but the one that a client
-speaks to ever holds a key.
+Only digests of keys are declared, stored and compared.  No process except the one that a client
+connects to ever holds a key.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from limedyke.messages.declaration import Tenant
 
 DIGEST_BYTES = 16
-"""128 bits: keys are long random texts, which nobody guesses by their digest."""
+"""128 bits: keys are long random texts that cannot be guessed from their digest."""
 FINGERPRINT_BYTES = 4
-"""What logs show of a key: enough to tell two keys apart, too little to find one."""
+"""Length of the part shown in logs: enough to distinguish keys, too short to recover one."""
 
 
 def access_key_digest(key: str) -> bytes:
@@ -25,19 +25,19 @@
 
 
 def fingerprint(digest: bytes) -> str:
-    """Return what a log line shows of a key."""
+    """Return the part of a digest that is shown in logs."""
     return digest[:FINGERPRINT_BYTES].hex()
 
 
 class AccessKeys:
-    """The tenants by the digests of their keys."""
+    """Tenants by the digests of their keys."""
 
     def __init__(self) -> None:
         self._tenants: Mapping[str, Tenant] | None = None
         self._names: dict[bytes, str] = {}
 
     def take(self, tenants: Mapping[str, Tenant]) -> None:
-        """Take the declared tenants; the same mapping again costs nothing."""
+        """Set the declared tenants; passing the same mapping again has no cost."""
         if tenants is self._tenants:
             return
         self._tenants = tenants
@@ -46,5 +46,5 @@
         }
 
     def tenant_of(self, digest: bytes) -> str | None:
-        """Return the name of the tenant that holds a key; None for a key that nobody holds."""
+        """Return the name of the tenant that holds a key; None for an unknown key."""
         return self._names.get(digest)
--- a/limedyke/core/admission.py
+++ b/limedyke/core/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request may wait for a slot, decided at once; sans-IO."""
+"""Immediate decision whether a request may wait for a slot; sans-IO."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 IN_TRANSIT_FACTOR = 8
 NEAR_S = 0.005
-"""So much of a round trip may be the processes' own; only what is beyond is the network's."""
+"""Part of a round trip attributed to the processes themselves; only the rest is the network's."""
 WAITING_PER_CONNECTION = 8
 WAITING_MINIMUM = 16
 LEAST_SLOTS = 0.1
-"""Least divisor of an expected wait: a member that is slower than usual serves something yet."""
+"""Lower bound of the divisor of an expected wait: a slow member still serves some requests."""
 MS_PER_S = 1_000
 RETRY_MINIMUM_MS = 10
 RETRY_MAXIMUM_MS = 10_000
@@ -19,15 +19,15 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueLoad:
-    """What a tenant's request would wait behind.
+    """The load that a tenant's request would wait behind.
 
-    :param waiting: requests that count against the limit: the tenant's, or all with a
+    :param waiting: requests that count against the limit: the tenant's, or all of them with a
         ``waiting_limit``
-    :param mean_cost_s: slot time of one of its requests
-    :param slots: requests that are served at once; below 1 at a member slower than usual
-    :param connections: its connections at this member
-    :param ahead_s: slot time of what goes before it, when others than those waiting do
-    :param waiting_limit: how many may wait; 0 for the usual number for the connections
+    :param mean_cost_s: slot time of one of the tenant's requests
+    :param slots: requests served at once; below 1 at a member slower than usual
+    :param connections: the tenant's connections at this member
+    :param ahead_s: total slot time of the preceding requests, if these are not just ``waiting``
+    :param waiting_limit: number of requests that may wait; 0 for the default by connections
     """
 
     waiting: int
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """The request may not wait; it may come back after ``retry_after_ms``."""
+    """The request may not wait; it may be retried after ``retry_after_ms``."""
 
     retry_after_ms: int
 
@@ -48,11 +48,11 @@
 def in_flight_limit(slots: int, mean_s: float, round_trip_s: float) -> int:
     """Return how many requests may be under way so that about ``slots`` of them execute.
 
-    The others are on the network: of the time that requests are under way, the part at the
-    member is what the round trip doesn't explain.  When the member grows slow that part
-    grows, and the limit comes down to the slots.
+    The others are on the network.  Of the mean time under way, the part at the member is what the
+    round trip does not explain.  When the member becomes slow that part grows, and the limit
+    decreases towards the number of slots.
 
-    :param mean_s: mean time a request is under way; 0 while not known
+    :param mean_s: mean time that a request is under way; 0 if unknown
     :param round_trip_s: the network's part of it
     """
     on_network_s = max(0.0, round_trip_s - NEAR_S)
@@ -69,20 +69,19 @@
 
 
 def retry_after_ms(load: QueueLoad) -> int:
-    """Return when half of the tenant's queue is expected to be gone."""
+    """Return the time in which half of the tenant's queue is expected to drain."""
     return bounded_retry_ms(expected_wait_s(load) / 2)
 
 
 def bounded_retry_ms(seconds: float) -> int:
-    """Return a time to come back in milliseconds, neither too short nor too long."""
+    """Return a retry delay in milliseconds within the allowed range."""
     return min(max(math.ceil(seconds * MS_PER_S), RETRY_MINIMUM_MS), RETRY_MAXIMUM_MS)
 
 
 def admit(load: QueueLoad, time_left_s: float) -> Refusal | None:
     """Decide about one request; None lets it wait.
 
-    It is refused when the tenant's queue is full, or when the expected wait is
-    longer than the time it has left.
+    It is refused if the tenant's queue is full or the expected wait exceeds the time left.
     """
     usual_limit = max(WAITING_MINIMUM, WAITING_PER_CONNECTION * load.connections)
     limit = load.waiting_limit or usual_limit
--- a/limedyke/core/backoff.py
+++ b/limedyke/core/backoff.py
@@ -18,11 +18,11 @@
 
     @property
     def failures(self) -> int:
-        """Attempts failed in a row."""
+        """Number of consecutive failures."""
         return self._failures
 
     def failed(self, now: float, random_unit: float) -> float:
-        """Note a failed attempt and return how long to wait.
+        """Record a failed attempt and return the delay until the next one.
 
         :param random_unit: uniform in [0, 1)
         """
@@ -33,7 +33,7 @@
         return delay
 
     def succeeded(self) -> None:
-        """Note a success: the next failure waits briefly again."""
+        """Record a success, which resets the delay."""
         self._failures = 0
         self.ready_at = 0.0
 
--- a/limedyke/core/group_view.py
+++ b/limedyke/core/group_view.py
@@ -1,4 +1,4 @@
-"""What a home proxy knows of a group: declared members, term, health, positions; sans-IO."""
+"""A home proxy's view of a group: declared members, term, health, positions; sans-IO."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PrimarySample:
-    """The primary's position, asked for at ``asked_at`` and confirmed as the primary's."""
+    """The primary's position, queried at ``asked_at`` and confirmed to be the primary's."""
 
     asked_at: float
     position: int
@@ -24,17 +24,17 @@
 
 @dataclass(slots=True)
 class MemberState:
-    """What is known of one member; an estimate, since the member may have restarted since.
+    """Known state of one member; an estimate, since the member may have restarted meanwhile.
 
     :param place: last term and position seen
-    :param seen_at: when that answer was asked for; 0 for never
-    :param lag: how far a replica is behind, as its answers show
-    :param round_trip_s: least time in which the member answered; 0 while not known
-    :param round_trips: how many answers told it
-    :param outstanding: units of this proxy under way at the member
-    :param waiting: units of this proxy that wait for it
-    :param slots: statements this proxy may execute there at once
-    :param in_flight_limit: units that may be under way for that, those on the network included
+    :param seen_at: when the query for that answer was sent; 0 for never
+    :param lag: lag of a replica, derived from its answers
+    :param round_trip_s: shortest time of an answer; 0 if unknown
+    :param round_trips: number of answers measured
+    :param outstanding: this proxy's units under way at the member
+    :param waiting: this proxy's units that wait for it
+    :param slots: statements that this proxy may execute there at once
+    :param in_flight_limit: units that may be under way for that, including those on the network
     :param progress_at: when a unit there last finished, or started while none was under way
     """
 
@@ -61,10 +61,10 @@
         return self.waiting > 0 or self.outstanding >= self.in_flight_limit
 
     def answered_in(self, seconds: float) -> None:
-        """Take how long an answer took; the least ever seen is the network's part.
+        """Record the time of an answer; the shortest one is the network's part.
 
-        It never grows again: under a lasting load all answers take longer, and a round trip
-        that followed them would allow more and more units under way.
+        It never grows again.  Under sustained load all answers take longer, and a round trip that
+        followed them would allow more and more units under way.
         """
         self.round_trips += 1
         if self.round_trip_s == 0.0 or seconds < self.round_trip_s:
@@ -72,24 +72,24 @@
 
     @property
     def network_s(self) -> float:
-        """The network's part of an answer's time; 0 until several answers have told it.
+        """The network's part of an answer's time; 0 until several answers were measured.
 
-        A single one may have waited for this process itself, such as while many requests that
+        A single one may have been delayed by this process, for example while many requests that
         waited for a new primary start at once.
         """
         return self.round_trip_s if self.round_trips >= ROUND_TRIPS_NEEDED else 0.0
 
     def holds(self, required: LogPosition) -> bool:
-        """Tell whether its last answer reached a place."""
+        """Tell whether its last answer reached a position."""
         return self.seen_at > 0.0 and self.place.satisfies(required)
 
 
 class GroupView:
-    """The state of one group, kept up to date by control updates and member answers.
+    """The state of one group, updated from control updates and member answers.
 
-    :ivar term: term of the group as the controllers recorded it
-    :ivar primary: the primary of that term, or empty while a promotion is under way
-    :ivar writes_paused: a planned switchover follows: start no writes
+    :ivar term: term of the group as recorded by the controllers
+    :ivar primary: the primary of that term, or empty during a promotion
+    :ivar writes_paused: whether a planned switchover follows, so that no writes may start
     """
 
     def __init__(self, group: Group, primary: GroupPrimary | None) -> None:
@@ -104,7 +104,7 @@
         self.declare(group, primary)
 
     def declare(self, group: Group, primary: GroupPrimary | None) -> bool:
-        """Take a declaration and the recorded primary; tell whether the primary changed."""
+        """Apply a declaration and the recorded primary; return whether the primary changed."""
         states = {}
         for member in group.members:
             states[member.name] = self._member_state(member)
@@ -134,7 +134,7 @@
 
     @property
     def majority(self) -> int:
-        """How many of the declared members make a majority."""
+        """Number of declared members that form a majority."""
         return self.declared_count // 2 + 1
 
     def primary_state(self) -> MemberState | None:
@@ -149,9 +149,9 @@
         asked_at: float,
         answered_at: float | None = None,
     ) -> None:
-        """Take a member's answer to the position query, asked at ``asked_at``.
+        """Record a member's answer to the position query, sent at ``asked_at``.
 
-        :param answered_at: when the answer came; as good as ``asked_at`` when not given
+        :param answered_at: when the answer arrived; defaults to ``asked_at``
         """
         state = self.members.get(name)
         if state is None:
@@ -167,12 +167,12 @@
         state.seen_at = asked_at
 
     def reached(self, place: LogPosition, now: float) -> None:
-        """Note that the primary has reached a place by ``now``: it or a session's token said so."""
+        """Record that the primary had reached a position by ``now``, by it or a session token."""
         if place.term == self.term:
             self._timeline.reached(place.position, now)
 
     def wait_for_replica_s(self, state: MemberState, required: LogPosition, now: float) -> float:
-        """Return how long a replica will probably take to reach a place; 0 when it may have."""
+        """Return the probable time until a replica reaches a position; 0 if it may have."""
         if state.holds(required):
             return 0.0
         reached_at = self._timeline.reached_at(required.position)
@@ -180,13 +180,13 @@
         return max(0.0, state.lag.missing_age_s(now) - age)
 
     def primary_confirmed(self, term: int, position: int, asked_at: float) -> None:
-        """Take the primary's position, known to be that of no replaced primary at ``asked_at``."""
+        """Record a position that was that of no replaced primary at ``asked_at``."""
         if term != self.term:
             return
         self._samples.append(PrimarySample(asked_at, position))
 
     def place_not_older(self, since: float) -> LogPosition | None:
-        """Return a place that holds all that was acknowledged before ``since``, or None.
+        """Return a position that covers all commits acknowledged before ``since``, or None.
 
         A replica that has reached it shows data no older than ``since``.
         """
@@ -196,7 +196,7 @@
         return None
 
     def restarted(self, name: str) -> None:
-        """Note that a member broke its connections: nothing is known of its position."""
+        """Record that a member closed its connections, so that its position is unknown."""
         state = self.members.get(name)
         if state is None:
             return
--- a/limedyke/core/home.py
+++ b/limedyke/core/home.py
@@ -1,6 +1,6 @@
 """Home proxies of a group: rendezvous hashing over the serving proxies, spread over zones.
 
-Both proxies and controllers compute the same answer from the same membership.
+Proxies and controllers compute the same result from the same membership.
 """
 
 from __future__ import annotations
@@ -17,15 +17,17 @@
 _CACHED_NAMES = 16_384
 _FIRST_MULTIPLIER = 0xBF58476D1CE4E5B9
 _SECOND_MULTIPLIER = 0x94D049BB133111EB
-"""Of the splitmix64 generator, whose mixing step makes scores of two groups independent."""
+"""Multipliers of the splitmix64 generator; its mixing step makes the scores of two groups
+independent."""
 
 RANKING_COST = 4
-"""Weighing one proxy for a group costs about as much as ranking so many: beyond that share of
-all proxies in one update, every group is ranked once instead."""
+"""Weighing one proxy for a group costs about as much as ranking this many. If an update changes a
+larger share of all proxies, every group is ranked once instead."""
 
 CONNECTIONS_PER_HOME = 6
-"""A home proxy with fewer connections to a member makes statements wait while another one's lie
-idle: beyond ``LEAST_HOMES`` a group gets only as many home proxies as have so many each."""
+"""Connections that a home proxy should have to a member. With fewer, statements wait at one proxy
+while connections of another are idle. Above ``LEAST_HOMES`` a group gets only as many home proxies
+as can have this many each."""
 LEAST_HOMES = 3
 
 ZoneHashes = Mapping[str, Mapping[str, int]]
@@ -41,8 +43,8 @@
 def _score(group_hash: int, proxy_hash: int) -> int:
     """Return the weight of a proxy for a group from the hashes of their names.
 
-    Names are hashed once and pairs are only mixed: with hundreds of proxies and thousands
-    of groups a cryptographic hash of each pair would stall a process for seconds.
+    Names are hashed once and pairs only mixed: with hundreds of proxies and thousands of groups, a
+    cryptographic hash of each pair would block a process for seconds.
     """
     mixed = (group_hash ^ proxy_hash) * _FIRST_MULTIPLIER & _HASH_MASK
     return (mixed ^ (mixed >> 29)) * _SECOND_MULTIPLIER & _HASH_MASK
@@ -54,10 +56,10 @@
 
 
 def homes_wanted(count: int, connections: int) -> int:
-    """Return how many home proxies a group gets at most.
+    """Return the maximum number of home proxies of a group.
 
-    :param count: wanted for each group
-    :param connections: that the group's members take each; 0 when not known
+    :param count: home proxies wanted for each group
+    :param connections: connections that each of the group's members accepts; 0 if unknown
     """
     if connections == 0:
         return count
@@ -65,17 +67,17 @@
 
 
 def connection_limits(groups: Iterable[Group]) -> dict[str, int]:
-    """Return the connections that the members of each group take, by its name."""
+    """Return the number of connections that the members of each group accept, by group name."""
     return {group.name: group.connection_limit for group in groups}
 
 
 def home_proxies(group: str, proxies: Iterable[ProxyRecord], count: int) -> tuple[str, ...]:
     """Return the names of the group's home proxies, the heaviest first.
 
-    The heaviest proxy of each zone comes first; when there are fewer zones
-    than ``count`` the heaviest of the others fill up.
+    The heaviest proxy of each zone comes first; if there are fewer zones than ``count``, the
+    heaviest of the others follow.
 
-    :param proxies: all known proxies; only those that serve are taken
+    :param proxies: all known proxies; only serving ones are chosen
     :param count: home proxies wanted
     """
     zones: dict[str, dict[str, int]] = {}
@@ -103,8 +105,8 @@
 def _heaviest(group_hash: int, hashes: Mapping[str, int]) -> tuple[int, str]:
     """Return score and name of the heaviest proxy of a zone.
 
-    ``_score`` stands here once more, written out: this loop runs for each pair of group and
-    proxy, and the call alone would double its time.
+    This repeats ``_score`` inline: the loop runs for each pair of group and proxy, and the call
+    alone would double its time.
     """
     mixed = [(group_hash ^ value) * _FIRST_MULTIPLIER & _HASH_MASK for value in hashes.values()]
     scores = [(value ^ (value >> 29)) * _SECOND_MULTIPLIER & _HASH_MASK for value in mixed]
@@ -116,10 +118,10 @@
 
 
 class HomeDirectory:
-    """The home proxies of many groups, kept up to date at a small cost per change.
+    """The home proxies of many groups, updated incrementally.
 
-    A joining proxy is weighed against each group's present home proxies only;
-    a leaving one makes only its own groups be ranked anew.
+    A joining proxy is compared only with each group's present home proxies; a leaving one requires
+    a new ranking only of its own groups.
     """
 
     def __init__(self, count: int) -> None:
@@ -134,12 +136,12 @@
     def of(
         cls, count: int, proxies: Iterable[ProxyRecord], groups: Mapping[str, int]
     ) -> HomeDirectory:
-        """Return the directory of a whole state.
+        """Return the directory of a complete state.
 
         Every group is weighed against every proxy: 0.6 s of processor time for 1,800 groups and
-        850 proxies, longer than a leader's heartbeats may fail to come.
+        850 proxies, longer than the time after which a leader's heartbeats count as missing.
 
-        :param groups: the connections that the members of each group take, by its name
+        :param groups: connections that the members of each group accept, by group name
         """
         directory = cls(count)
         for proxy in proxies:
@@ -162,7 +164,7 @@
         return dict(self._homes)
 
     def apply(self, update: ControlUpdate) -> set[str]:
-        """Follow a change of the control state; return the groups whose home proxies changed."""
+        """Apply a change of the control state; return the groups whose home proxies changed."""
         changed: set[str] = set()
         if update.home_proxies_per_group is not None:
             changed |= self.set_count(update.home_proxies_per_group)
@@ -175,7 +177,7 @@
         return changed.intersection(self._homes)
 
     def _change_proxies(self, removed: tuple[str, ...], put: tuple[ProxyRecord, ...]) -> set[str]:
-        """Forget and add proxies; return the groups whose home proxies changed."""
+        """Remove and add proxies; return the groups whose home proxies changed."""
         if (len(removed) + len(put)) * RANKING_COST > len(self._proxies):
             moved = [self._forget(name) for name in removed] + [self._note(p) for p in put]
             return self._rank(list(self._homes)) if any(moved) else set()
@@ -194,9 +196,9 @@
         return self._rank(list(self._homes))
 
     def add_group(self, group: str, connections: int = 0) -> bool:
-        """Start keeping the home proxies of a group, or take its new limit of connections.
+        """Add a group, or update its connection limit.
 
-        :returns: whether the home proxies of a group known before changed
+        :returns: whether the home proxies of an already known group changed
         """
         before = self._homes.get(group)
         if before is not None and self._connections[group] == connections:
@@ -210,7 +212,7 @@
         return homes_wanted(self._count, self._connections[group])
 
     def remove_group(self, group: str) -> None:
-        """Stop keeping the home proxies of a group."""
+        """Remove a group."""
         self._homes.pop(group, None)
         self._lightest.pop(group, None)
         self._connections.pop(group, None)
@@ -225,13 +227,13 @@
         return changed | self._weigh(proxy) if self._note(proxy) else changed
 
     def remove_proxy(self, name: str) -> set[str]:
-        """Forget a proxy; return the groups whose home proxies changed."""
+        """Remove a proxy; return the groups whose home proxies changed."""
         if not self._forget(name):
             return set()
         return self._rank([group for group, homes in self._homes.items() if name in homes])
 
     def _note(self, proxy: ProxyRecord) -> bool:
-        """Keep a record, without looking at the groups; tell whether duty may move by it."""
+        """Store a record without updating groups; return whether home proxies may change."""
         known = self._proxies.get(proxy.name)
         if known is not None and known.zone == proxy.zone and known.state is proxy.state:
             self._proxies[proxy.name] = proxy
@@ -244,7 +246,7 @@
         return True
 
     def _forget(self, name: str) -> bool:
-        """Drop a record, without looking at the groups; tell whether duty may move by it."""
+        """Remove a record without updating groups; return whether home proxies may change."""
         proxy = self._proxies.pop(name, None)
         if proxy is None or proxy.state is not ProxyState.SERVING:
             return False
@@ -279,9 +281,9 @@
     def _is_outweighed(
         self, group: str, homes: tuple[str, ...], proxy: ProxyRecord, proxy_hash: int
     ) -> bool:
-        """Tell cheaply that a joining proxy is lighter than all of a group's full set of homes.
+        """Tell whether a joining proxy is lighter than all of a group's full set of home proxies.
 
-        It may yet be chosen for its zone, while two home proxies share one.
+        It may still be chosen for its zone if two home proxies share a zone.
         """
         if len(homes) < self._wanted(group):
             return False
@@ -296,7 +298,7 @@
 
 
 def budget_share(budget: int, homes: tuple[str, ...], proxy: str) -> int:
-    """Return a home proxy's even share of a budget; the heaviest get the remainder.
+    """Return a home proxy's equal share of a budget; the heaviest ones get the remainder.
 
     :param homes: the group's home proxies, the heaviest first
     """
--- a/limedyke/core/home_choice.py
+++ b/limedyke/core/home_choice.py
@@ -1,9 +1,9 @@
-"""Which home proxy a unit of work goes to: by distance and by the wait that each told; sans-IO.
+"""Choice of the home proxy for a unit of work, by distance and reported wait; sans-IO.
 
-Load: half of all clients move from one region's proxies to another's within seconds, or one home
-proxy's share of the work outgrows its connections, while dozens of proxies choose at once from what
-each was told. All that prefer the same home proxy at the same moment would swing between two; so
-each moves only a part of its work, the larger the more it gains, and only where the gain is clear.
+Half of all clients may move from one region's proxies to another's within seconds, or one home
+proxy's share of the work may exceed its connections, while dozens of proxies choose from the same
+reports.  If all preferred the same home proxy at once, the work would oscillate between two.  Each
+proxy therefore moves only a part of its work, which grows with the gain, and only for a clear gain.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from limedyke.messages.statements import HomeLoad
 
 MS_PER_S = 1_000.0
-TOLD_FOR_S = 0.5
-"""A wait that was told counts less and less, and nothing after so long: what waited is served."""
+REPORT_LIFE_S = 0.5
+"""A reported wait decays linearly to zero over this time, in which the waiting work is served."""
 LEAST_GAIN_S = 0.02
-"""About the opening of a connection, which a unit may cost that goes elsewhere than usual."""
+"""About the time to open a connection, which a unit may need at an unusual home proxy."""
 
 
 @dataclass(frozen=True, slots=True)
 class HomeCandidate:
     """A home proxy that a unit could go to.
 
-    :param travel_s: of a unit and its answer
-    :param wait_s: expected there, as far as was told
+    :param travel_s: network time of a unit and its answer
+    :param wait_s: expected wait there, as last reported
     """
 
     name: str
@@ -35,17 +35,17 @@
 
     @property
     def cost_s(self) -> float:
-        """How long until a connection is had there."""
+        """Expected time until the unit has a connection there."""
         return self.travel_s + self.wait_s
 
 
 def choose_home(candidates: Sequence[HomeCandidate], generator: Random) -> HomeCandidate:
     """Return the home proxy for a unit.
 
-    The usual one is compared with the next one and with any other, so that not all that leave it
-    go to the same one.
+    The usual home proxy is compared with the next one and with a random other one, so that work
+    moved away from it is spread.
 
-    :param candidates: the usual one first, the nearest after it
+    :param candidates: the usual one first, followed by the others by distance
     """
     usual = candidates[0]
     others = list(candidates[1:2])
@@ -60,43 +60,43 @@
 
 
 def moved_share(usual: HomeCandidate, best: HomeCandidate) -> float:
-    """Return which part of the work goes to the best home proxy rather than to the usual one.
+    """Return the part of the work to move from the usual to the best home proxy.
 
-    Half of it where the usual one costs twice as much: what is told is a moment old, and others
-    choose from the same.
+    It is half if the usual one costs twice as much.  Reports are slightly outdated, and other
+    proxies choose from the same ones.
     """
     return 1.0 - best.cost_s / usual.cost_s
 
 
 @dataclass(frozen=True, slots=True)
-class _Told:
+class _LoadReport:
     load: HomeLoad
     at: float
 
 
 class ReportedLoads:
-    """The waits that home proxies told, by home proxy and group."""
+    """The waits reported by home proxies, by home proxy and group."""
 
     def __init__(self) -> None:
-        self._told: dict[tuple[str, str], _Told] = {}
+        self._reports: dict[tuple[str, str], _LoadReport] = {}
 
     def told(self, home: str, group: str, load: HomeLoad | None, now: float) -> None:
-        """Take what came with an answer; None when nothing waits there."""
+        """Record the report in an answer; None if nothing waits there."""
         if load is None:
-            self._told.pop((home, group), None)
+            self._reports.pop((home, group), None)
         else:
-            self._told[home, group] = _Told(load, now)
+            self._reports[home, group] = _LoadReport(load, now)
 
     def wait_s(self, home: str, group: str, priority: int, writes: bool, now: float) -> float:
-        """Return the wait that is expected at a home proxy; 0 where none was told lately."""
-        told = self._told.get((home, group))
-        if told is None:
+        """Return the expected wait at a home proxy; 0 without a recent report."""
+        report = self._reports.get((home, group))
+        if report is None:
             return 0.0
-        share_left = 1.0 - (now - told.at) / TOLD_FOR_S
+        share_left = 1.0 - (now - report.at) / REPORT_LIFE_S
         if share_left <= 0.0:
-            del self._told[home, group]
+            del self._reports[home, group]
             return 0.0
-        waits = told.load.writes_ms if writes else told.load.reads_ms
+        waits = report.load.writes_ms if writes else report.load.reads_ms
         if not waits:
             return 0.0
         return share_left * waits[min(priority, len(waits) - 1)] / MS_PER_S
--- a/limedyke/core/member_caps.py
+++ b/limedyke/core/member_caps.py
@@ -1,8 +1,8 @@
-"""Which connections to a member its group's leases allow, also where an operator capped it.
+"""Connections to a member that its group's leases allow, including operator caps.
 
-Both leader and proxies decide it by the declared group. A lease of connections to each member does
-not hold at a member whose cap is lower than all of these leases together: there only leases to that
-member alone count.
+Leader and proxies both compute this from the declared group.  A lease of connections to every
+member does not apply at a member whose cap is lower than the sum of these leases; there only leases
+for that member count.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 from limedyke.messages.declaration import Group
 
 COMMON_SHARE = 0.5
-"""So much of a budget is shared equally: what each home proxy has at a member that it needs
+"""Share of a budget that is divided equally. Each home proxy has it at any member that it may need
 suddenly, such as the next primary."""
 
 
 def common_part(budget: int, group: Group) -> int:
-    """Return how much of a tenant's budget is shared equally and holds at every member."""
+    """Return the equally divided part of a tenant's budget, which applies at every member."""
     return math.ceil(budget * COMMON_SHARE) if group.announced else budget
 
 
 def cap_of(group: Group, member: str) -> int | None:
-    """Return how many connections to a member an operator allows; None when it isn't capped."""
+    """Return the operator's cap on connections to a member; None if it is not capped."""
     caps = (cap.connections for cap in group.member_caps if cap.member == member)
     return next(caps, None) if group.announced else None
 
 
 def holds_common(group: Group, member: str) -> bool:
-    """Tell whether leases of connections to each member hold at this one."""
+    """Return whether leases of connections to every member apply at this one."""
     cap = cap_of(group, member)
     return cap is None or cap >= _all_common(group)
 
 
 def divided_part(budget: int, group: Group, member: str) -> int:
-    """Return how much of a tenant's budget is divided by demand at a member."""
+    """Return the part of a tenant's budget that is divided by demand at a member."""
     cap = cap_of(group, member)
     common = common_part(budget, group)
     if cap is None or group.connection_limit == 0:
--- a/limedyke/core/member_health.py
+++ b/limedyke/core/member_health.py
@@ -1,20 +1,18 @@
-"""An observer's judgement of one member from probes and traffic; sans-IO.
-
-A member is unreachable on proof that nothing answers there: connections are
-refused or reset again after a quick second look, or several probes in a row,
-the later ones over fresh connections, stay without any answer for the silence
-limit.  Slow answers, long queues and refusals for want of connections are
-signs of load: the member is then saturated, never unreachable.
-
-The silence limit is the probe timeout for a member that answers promptly, and
-grows with the slowest of its latest round trips.  When twice as much comes as a
-member can do, its queue grows by a second each second; from one probe to the
-next its answers then take twice as long and the probe interval more.  Such a
-member is never found silent, up to the longest limit.  One that turns from
-prompt to slower than the limit at one blow is.
-
-The observer's own pauses don't count as silence of the member: by as much as
-its ticks came late, for it was stopped or starved, the silence began later.
+"""An observer's assessment of one member from probes and traffic; sans-IO.
+
+A member is unreachable if connections are refused or reset again after a quick second attempt, or
+if several probes in a row, the later ones over fresh connections, get no answer within the silence
+limit.  Slow answers, long queues and refusals for lack of connections are signs of load: such a
+member is saturated, never unreachable.
+
+The silence limit is the probe timeout for a member that answers promptly, and grows with the
+slowest of its latest round trips.  When a member gets twice the work that it can do, its queue
+grows by one second per second; from one probe to the next its answers take twice as long plus the
+probe interval.  The limit covers this growth, so such a member is not found silent up to the
+longest limit.  A member whose answers suddenly take longer than the limit is found silent.
+
+Pauses of the observer do not count as silence of the member: if its ticks are late because it was
+stopped or starved, the start of the silence is moved by the delay.
 """
 
 from __future__ import annotations
@@ -34,16 +32,17 @@
 TICK_S = 0.05
 ROUND_TRIPS_KEPT = 20
 SLOWEST_ROUND_TRIPS = 2.0
-"""Slowest round trips of late that the silence limit holds, besides the probe interval."""
+"""Multiple of the slowest recent round trip in the silence limit, besides the probe interval."""
 LONGEST_UNSEEN_S = 0.5
-"""Growth of a queue that probes may miss; with fewer probes, requests that stall bring one."""
+"""Growth of a queue that may occur between probes. With rarer probes, stalled requests trigger
+one."""
 LONGEST_LIMIT = 5.0
-"""Bound of the silence limit, in probe timeouts."""
+"""Upper bound of the silence limit, in probe timeouts."""
 
 
 @dataclass(frozen=True, slots=True)
 class HealthTiming:
-    """Times of the judgement in seconds.
+    """Times of the assessment in seconds.
 
     :param probe_interval_s: between probes of the primary, or of a member of unknown role
     :param replica_probe_interval_s: between probes of a replica, whose loss stops no writes
@@ -55,7 +54,7 @@
 
 
 class MemberHealthJudge:
-    """Judges one member; the owner calls ``tick`` at least each ``TICK_S`` while probes are out."""
+    """Assesses one member; call ``tick`` at least every ``TICK_S`` while probes are outstanding."""
 
     def __init__(self, timing: HealthTiming, now: float) -> None:
         self._timing = timing
@@ -78,18 +77,18 @@
 
     @property
     def outstanding(self) -> int:
-        """Probes without an answer in the present silence."""
+        """Number of probes without an answer in the present silence."""
         return self._unanswered
 
     def take_role(self, is_replica: bool | None) -> None:
-        """Take the member's role, None while not known; it sets how often it is probed."""
+        """Set the member's role, None if unknown; it determines the probe interval."""
         timing = self._timing
         self._interval_s = (
             timing.replica_probe_interval_s if is_replica else timing.probe_interval_s
         )
 
     def tick(self, now: float) -> MemberHealth:
-        """Judge by the time passed; return the health."""
+        """Update the health by the elapsed time and return it."""
         pause = now - self._ticked_at - TICK_S
         self._ticked_at = now
         if pause > OWN_PAUSE_S and self._silent_since is not None:
@@ -105,7 +104,7 @@
 
     @property
     def silence_limit_s(self) -> float:
-        """How long all probes must stay without an answer before the member is called silent."""
+        """Time without any answer to probes after which the member counts as silent."""
         timeout_s = self._timing.probe_timeout_s
         slowest_s = max(self._round_trips, default=0.0)
         unseen_s = min(self._interval_s, LONGEST_UNSEEN_S)
@@ -127,7 +126,7 @@
         return min(until_probe, TICK_S) if self._unanswered else until_probe
 
     def probe_sent(self, now: float) -> None:
-        """Note a probe; a second one follows soon unless an answer comes."""
+        """Record a probe; a second one follows soon unless an answer arrives."""
         self._unanswered += 1
         if self._silent_since is None:
             self._silent_since = now
@@ -136,9 +135,9 @@
         self._probe_due_at = now + (SECOND_PROBE_S if is_first else self._interval_s)
 
     def answered(self, now: float, round_trip_s: float | None = None) -> None:
-        """Note any answer of the member, to a probe or to a request.
+        """Record any answer of the member, to a probe or to a request.
 
-        :param round_trip_s: from the probe to its answer; None for other signs of life
+        :param round_trip_s: time from the probe to its answer; None for other signs of life
         """
         if round_trip_s is not None:
             self._round_trips.append(round_trip_s)
@@ -150,12 +149,12 @@
         self._set(MemberHealth.SATURATED if overloaded else MemberHealth.REACHABLE)
 
     def overloaded(self, now: float) -> None:
-        """Note that the member answered, but took no more connections."""
+        """Record that the member answered but accepted no more connections."""
         self._overloaded_at = now
         self.answered(now)
 
     def refused(self, now: float) -> None:
-        """Note that a connection was refused or reset; look again at once."""
+        """Record that a connection was refused or reset; probe again soon."""
         if self._refusals == 0:
             self._refused_since = now
         self._refusals += 1
@@ -169,7 +168,7 @@
         self._probe_due_at = now + (QUICK_PROBE_S if quick else self._interval_s)
 
     def disturbed(self, now: float) -> None:
-        """Note trouble seen by requests: probe at once, unless one is out."""
+        """Record trouble seen by requests: probe at once, unless a probe is outstanding."""
         if self._unanswered == 0:
             self._probe_due_at = min(self._probe_due_at, now)
 
--- a/limedyke/core/promotion.py
+++ b/limedyke/core/promotion.py
@@ -1,4 +1,4 @@
-"""Choosing the member to promote from the promises of a majority; sans-IO."""
+"""Choice of the member to promote from the promises of a majority; sans-IO."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Promised:
-    """A member promised the term; ``log_end`` is where its log ends."""
+    """A member's promise for the term; ``log_end`` is the end of its log."""
 
     member: str
     log_end: LogPosition
@@ -18,13 +18,13 @@
 class Promotion:
     """One attempt to promote a member of a group under a term.
 
-    The most advanced of a majority that promised holds every commit that was
-    acknowledged under a lower term, so only such a member may be promoted.
+    The most advanced of a majority that promised holds every commit acknowledged under a lower
+    term, so only such a member may be promoted.
 
     :param members: all declared members; a majority of these is needed
-    :param preferred: member to take among the equally advanced, or empty
-    :param planned: take the preferred one whenever it is the most advanced of any majority
-        that promised; the replaced primary, whose log may be longer, is among the others
+    :param preferred: member to choose among equally advanced ones, or empty
+    :param planned: choose the preferred member if it is the most advanced of any majority that
+        promised; the replaced primary, whose log may be longer, is among the others
     """
 
     def __init__(self, members: tuple[str, ...], preferred: str, planned: bool = False) -> None:
@@ -37,26 +37,26 @@
 
     @property
     def majority(self) -> int:
-        """Promises needed."""
+        """Number of promises needed."""
         return len(self._members) // 2 + 1
 
     @property
     def all_answered(self) -> bool:
-        """Whether nothing more is to be expected."""
+        """Whether all members have answered."""
         return len(self._answered) == len(self._members)
 
     def promised(self, promise: Promised) -> None:
-        """Take a member's promise; members that were not declared don't count."""
+        """Record a member's promise; members that were not declared do not count."""
         if promise.member in self._members:
             self._answered.add(promise.member)
             self._promises[promise.member] = promise
 
     def refused(self, member: str) -> None:
-        """Note that a member gave no promise."""
+        """Record that a member gave no promise."""
         self._answered.add(member)
 
     def promotion_failed(self, member: str) -> None:
-        """Note that a chosen member could not be promoted; its promise counts no longer."""
+        """Record that a chosen member could not be promoted; its promise no longer counts."""
         self._failed.add(member)
 
     @property
@@ -66,7 +66,7 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether waiting for more answers could not change the choice for the better."""
+        """Whether further answers could not improve the choice."""
         if self.all_answered:
             return True
         if self._planned:
@@ -76,7 +76,7 @@
     def choose(self) -> str:
         """Return the most advanced of the members that promised, or an empty string.
 
-        Without the promises of a majority nobody may be promoted.
+        Without promises of a majority no member may be promoted.
         """
         counting = self._counting()
         if len(counting) < self.majority:
@@ -90,7 +90,7 @@
         return best.member
 
     def _preferred_leads_majority(self) -> bool:
-        """Whether a majority promised of which the preferred member is the most advanced."""
+        """Return whether the preferred member is the most advanced of a majority that promised."""
         counting = {p.member: p for p in self._counting()}
         own = counting.get(self._preferred)
         if own is None:
@@ -103,5 +103,5 @@
 
 
 def _place(promise: Promised) -> tuple[int, int]:
-    """Return what orders logs: the term of the last record goes before the length."""
+    """Return the sort key of logs: the term of the last record precedes the length."""
     return promise.log_end.term, promise.log_end.position
--- a/limedyke/core/replica_lag.py
+++ b/limedyke/core/replica_lag.py
@@ -1,8 +1,8 @@
-"""How far a replica is behind its primary in time, learned from positions seen; sans-IO.
+"""Lag of a replica behind its primary in time, learned from observed positions; sans-IO.
 
-The primary's timeline tells since when a position is known.  An answer of a
-replica shows the age up to which positions are missing there, and the age from
-which they are held.  A position that is older than that is probably there.
+The primary's timeline gives the time since which a position is known.  A replica's answer shows up
+to which age positions are missing there, and from which age they are present.  Older positions are
+probably present.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class PrimaryTimeline:
-    """Since when the primary of one term is known to have reached its positions."""
+    """Times at which the primary of one term is known to have reached its positions."""
 
     __slots__ = ("_positions", "_times")
 
@@ -24,12 +24,12 @@
         self._positions: list[int] = []
 
     def clear(self) -> None:
-        """Forget everything: a new term begins."""
+        """Forget all samples, since a new term begins."""
         self._times.clear()
         self._positions.clear()
 
     def reached(self, position: int, now: float) -> None:
-        """Note that the primary has reached a position by ``now``, in monotonic seconds."""
+        """Record that the primary had reached a position by ``now``, in monotonic seconds."""
         if self._positions and position <= self._positions[-1]:
             return
         if self._times and now - self._times[-1] < SAMPLE_STEP_S:
@@ -42,28 +42,28 @@
             del self._positions[: SAMPLES_LIMIT // 2]
 
     def reached_at(self, position: int) -> float | None:
-        """Return since when a position is known, or None when it isn't known yet.
+        """Return since when a position is known, or None if it is not known yet.
 
-        Of positions before the first sample it is only known that they are older.
+        For positions before the first sample it is only known that they are older.
         """
         index = bisect_left(self._positions, position)
         return self._times[index] if index < len(self._times) else None
 
     def held_since(self, position: int) -> float | None:
-        """Return when the newest position that a member at ``position`` holds was reached."""
+        """Return when the newest position present on a member at ``position`` was reached."""
         index = bisect_right(self._positions, position) - 1
         return self._times[index] if index >= 0 else None
 
     def missing_since(self, position: int) -> float | None:
-        """Return when the oldest position that a member at ``position`` lacks was reached."""
+        """Return when the oldest position missing on a member at ``position`` was reached."""
         index = bisect_right(self._positions, position)
         return self._times[index] if index < len(self._times) else None
 
 
 class ReplicaLag:
-    """The age that a position must have for a replica to hold it probably.
+    """The minimum age of a position that a replica probably has.
 
-    Each answer of the replica moves it; without answers it shrinks by half each
+    Each answer of the replica updates it.  Without answers it halves every
     ``MISSING_AGE_HALF_LIFE_S``, so that a replica that caught up is asked again.
     """
 
@@ -74,7 +74,7 @@
         self._moved_at = 0.0
 
     def observe(self, timeline: PrimaryTimeline, position: int, asked_at: float) -> None:
-        """Take the position that the replica answered when it was asked at ``asked_at``."""
+        """Record the position that the replica answered to a query sent at ``asked_at``."""
         age = self.missing_age_s(asked_at)
         held_since = timeline.held_since(position)
         if held_since is not None:
@@ -86,6 +86,6 @@
         self._moved_at = asked_at
 
     def missing_age_s(self, now: float) -> float:
-        """Return up to which age, in seconds, positions are probably missing there."""
+        """Return the age in seconds up to which positions are probably missing there."""
         idle_s = max(0.0, now - self._moved_at)
         return self._missing_age_s * 0.5 ** (idle_s / MISSING_AGE_HALF_LIFE_S)
--- a/limedyke/core/routing.py
+++ b/limedyke/core/routing.py
@@ -1,4 +1,4 @@
-"""Which member serves a unit of work; a pure function of what is known; sans-IO."""
+"""Choice of the member for a unit of work, as a pure function of known state; sans-IO."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RoutingReason(enum.StrEnum):
-    """Why a member was chosen, or why none."""
+    """Why a member was chosen, or why none was."""
 
     WRITE = "write-to-primary"
     CAUGHT_UP_REPLICA = "caught-up-replica"
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingRequest:
-    """What routing has to know of a unit.
+    """Properties of a unit that routing needs.
 
-    :param required: position a replica must have reached
+    :param required: position that a replica must have reached
     :param zone: zone of this proxy
-    :param replica_wait_ms: how much later than the primary's a replica's answer may be
+    :param replica_wait_ms: how much later than the primary's a replica's answer may arrive
     """
 
     access: Access
@@ -44,9 +44,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingDecision:
-    """The member to use, or an empty name.
+    """The chosen member, or an empty name.
 
-    :param wait_s: how long to wait before asking the replica
+    :param wait_s: time to wait before asking the replica
     """
 
     member: str
@@ -63,8 +63,8 @@
 ) -> RoutingDecision:
     """Choose the member for a unit of work.
 
-    :param now: monotonic seconds, of the clock that the view's times are from
-    :param excluded: members that failed this unit already
+    :param now: seconds of the monotonic clock that the view uses
+    :param excluded: members that already failed this unit
     """
     if request.access is Access.WRITE:
         return _primary(view, RoutingReason.WRITE, excluded)
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Option:
-    """A replica that may serve, after a wait."""
+    """A replica that may serve after a wait."""
 
     state: MemberState
     wait_s: float
@@ -100,7 +100,7 @@
 def _option(
     view: GroupView, state: MemberState, request: RoutingRequest, now: float
 ) -> _Option | None:
-    """Return a replica as an option, or None when its answer would come too late."""
+    """Return a replica as an option, or None if its answer would arrive too late."""
     if not _may_satisfy(state, request.required):
         return None
     wait_s = view.wait_for_replica_s(state, request.required, now)
@@ -119,10 +119,10 @@
 
 
 def _may_satisfy(state: MemberState, required: LogPosition) -> bool:
-    """Tell whether the replica's term allows it to serve; the connection's own answer decides.
+    """Tell whether the replica's term allows it to serve; the answer on its connection decides.
 
-    A member that answered term 0 has no log that any primary verified, such as after a
-    restart or the loss of its data.
+    A member that answered term 0 has no log verified by any primary, for example after a restart
+    or the loss of its data.
     """
     if state.seen_at == 0.0:
         return True
@@ -130,7 +130,7 @@
 
 
 def _preference(option: _Option, zone: str) -> tuple[bool, int, bool, float, str]:
-    """Order among replicas: not saturated, soon answered, same zone, least loaded for its slots."""
+    """Return the sort key of replicas: unsaturated, fast, same zone, least loaded per slot."""
     state = option.state
     return (
         state.saturated or state.health is MemberHealth.SATURATED,
--- a/limedyke/core/slot_use.py
+++ b/limedyke/core/slot_use.py
@@ -1,4 +1,4 @@
-"""Who uses the slots of one member, and who may start there; sans-IO."""
+"""Use of one member's slots by tenants, and admission of new units; sans-IO."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SlotUse:
-    """Counts the units under way at a member, by tenant, and keeps the member's load.
+    """Counts the units under way at a member by tenant, and maintains the member's load.
 
     :ivar state: the member's state in the group view
     """
@@ -24,7 +24,7 @@
         self._mean_s = 0.0
 
     def set_slots(self, slots: int) -> None:
-        """Change how many units may execute at once."""
+        """Set how many units may execute at once."""
         self.state.slots = slots
         self._set_limit()
 
@@ -35,8 +35,8 @@
     def may_start(self, tenant: str, now: float) -> bool:
         """Tell whether a tenant may start a unit.
 
-        With two places or more the last free one is left to tenants that run
-        nothing, as long as another tenant used the member lately.
+        If there are two or more slots, the last free one is reserved for tenants with no running
+        unit, as long as another such tenant used the member recently.
         """
         free = self._limit(now) - self._total
         if free <= 0:
@@ -50,7 +50,7 @@
         )
 
     def started(self, tenant: str, now: float) -> None:
-        """Note that a unit starts."""
+        """Record the start of a unit."""
         self._running[tenant] = self._running.get(tenant, 0) + 1
         self._last_used[tenant] = now
         if self._total == 0:
@@ -59,7 +59,7 @@
         self.state.outstanding = self._total
 
     def finished(self, tenant: str, used_s: float, now: float) -> None:
-        """Note that a unit ended after ``used_s``."""
+        """Record that a unit ended after ``used_s``."""
         self._running[tenant] -= 1
         self._total -= 1
         self.state.progress_at = now
@@ -68,7 +68,7 @@
         self._set_limit()
 
     def _limit(self, now: float) -> int:
-        """Return how many units may be under way; just the slots when none of them ends."""
+        """Return how many units may be under way; only the slots if none of them finishes."""
         stalled = now - self.state.progress_at > STALL_FACTOR * self._mean_s
         return self.state.slots if stalled else self.state.in_flight_limit
 
--- a/limedyke/core/statements/__init__.py
+++ b/limedyke/core/statements/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about sessions of statements and the members that run them, sans-IO."""
+"""Sessions of statements and the members that run them; sans-IO."""
