--- a/features/steps/request_queue_steps.py
+++ b/features/steps/request_queue_steps.py
@@ -13,7 +13,10 @@
 MS = 1_000.0
 
 
-@given("queueing: {slots:d} slots, {service:d} ms a request and {change:d} ms a change of tenant")
+@given(
+    "queueing: a member with {slots:d} slots, {service:d} ms a request and {change:d} ms a "
+    "change of tenant"
+)
 def step_member(context, slots, service, change):
     context.replay = QueueReplay(slots, service / MS, change / MS)
     context.limit = 0
@@ -29,8 +32,8 @@
 
 
 @given(
-    "queueing: within {span:d} ms come {count:d} of priority {priority:d} of {tenants:d} tenants, "
-    "with {limit:d} ms and a target of {target:d} ms"
+    "queueing: within {span:d} ms {count:d} requests of priority {priority:d} of {tenants:d} "
+    "tenants arrive, with a deadline of {limit:d} ms and a target of {target:d} ms"
 )
 def step_load(context, span, count, priority, tenants, limit, target):
     names = [f"t{number}" for number in range(tenants)]
@@ -38,8 +41,8 @@
 
 
 @given(
-    "queueing: within {span:d} ms come {count:d} of priority {priority:d} of tenant {tenant:w}, "
-    "with {limit:d} ms and a target of {target:d} ms"
+    "queueing: within {span:d} ms {count:d} requests of priority {priority:d} of tenant "
+    "{tenant:w} arrive, with a deadline of {limit:d} ms and a target of {target:d} ms"
 )
 def step_load_of(context, span, count, priority, tenant, limit, target):
     _come(context, span, count, priority, [tenant], limit, target)
@@ -57,8 +60,8 @@
 
 
 @given(
-    "queueing: {count:d} of random priorities, tenants and times come within {span:d} ms, "
-    "seed {seed:d}"
+    "queueing: {count:d} requests of random priorities, tenants and times arrive within "
+    "{span:d} ms, seed {seed:d}"
 )
 def step_random(context, count, span, seed):
     chance = random.Random(seed)
@@ -76,7 +79,7 @@
     context.replay.run()
 
 
-@then("queueing: {share:d} % of those refused were told when they came")
+@then("queueing: {share:d} % of the refusals were on arrival")
 def step_told_on_arrival(context, share):
     refused = context.replay.refused
     at_once = sum(not told.was_queued for told in refused)
@@ -85,8 +88,8 @@
 
 
 @then(
-    "queueing: {share:d} % were told within {limit:d} ms of that, or of the last more urgent one "
-    "that came"
+    "queueing: {share:d} % of the refusals were within {limit:d} ms of that, or of the last "
+    "arrival of a more urgent request"
 )
 def step_told(context, share, limit):
     refused = context.replay.refused
@@ -119,26 +122,29 @@
     assert not _of(context.replay.refused, none), len(_of(context.replay.refused, none))
 
 
-@then("queueing: those of priority {priority:d} waited {limit:d} ms at most")
+@then("queueing: requests of priority {priority:d} waited {limit:d} ms at most")
 def step_waited(context, priority, limit):
     longest = max(told.waited_s for told in _of(context.replay.served, priority))
     assert longest <= limit / MS + 1e-9, longest
 
 
-@then("queueing: some of priority {priority:d} were served, and those waited {limit:d} ms at most")
+@then("queueing: some of priority {priority:d} were served, and waited {limit:d} ms at most")
 def step_some_waited(context, priority, limit):
     assert _of(context.replay.served, priority)
     step_waited(context, priority, limit)
 
 
-@then("queueing: at least {share:d} % of those let in were served in time")
+@then("queueing: at least {share:d} % of the admitted requests were served in time")
 def step_let_in(context, share):
     replay = context.replay
     let_in = len(replay.served) + sum(told.was_queued for told in replay.refused)
     assert _in_time(replay) >= share / 100 * let_in, (_in_time(replay), let_in)
 
 
-@then("queueing: at least {share:d} % of those let in and not refused were served in time")
+@then(
+    "queueing: at least {share:d} % of the requests admitted and not refused later were served "
+    "in time"
+)
 def step_not_refused(context, share):
     replay = context.replay
     assert _in_time(replay) >= share / 100 * len(replay.served), _in_time(replay)
@@ -148,7 +154,7 @@
     return sum(told.at <= told.request.deadline_at for told in replay.served)
 
 
-@then("queueing: no slot rested while a request waited")
+@then("queueing: no slot was idle while a request waited")
 def step_busy(context):
     assert not context.replay.rested
 
@@ -168,7 +174,7 @@
     context.limit = count
 
 
-@when("queueing: these come: {arrivals}")
+@when("queueing: these requests arrive: {arrivals}")
 def step_come(context, arrivals):
     queue = context.replay.queue
     drain = QueueDrain(1, 1, waiting_limit=context.limit)
@@ -193,7 +199,7 @@
     assert context.answer.reason == reason, context.answer
 
 
-@when("queueing: these wait: {requests}")
+@when("queueing: these requests wait: {requests}")
 def step_wait(context, requests):
     for text in requests.split("; "):
         name, _, due = text.partition(", due in ")
@@ -217,7 +223,7 @@
     assert _order(context, later / MS) == order, _order(context, later / MS)
 
 
-@then("queueing: those of other tenants waited {limit:d} ms at most")
+@then("queueing: requests of other tenants waited {limit:d} ms at most")
 def step_others_waited(context, limit):
     others = [told for told in context.replay.served if told.request.tenant != "flood"]
     assert len(others) == sum(r.tenant != "flood" for r in context.replay.arrivals)
@@ -225,7 +231,7 @@
     assert longest <= limit / MS, longest
 
 
-@then("queueing: no request was served before a waiting one that was more urgent after ageing")
+@then("queueing: no request was served before a waiting request that was more urgent after ageing")
 def step_no_inversion(context):
     assert context.replay.served
     assert not context.replay.inversions, context.replay.inversions
@@ -239,12 +245,12 @@
     assert set(told) == set(replay.arrivals)
 
 
-@given("queueing: the time between turns varies by {share:g} of it")
+@given("queueing: the relative variation of the time between two dequeues is {share:g}")
 def step_varies(context, share):
     context.variation = share
 
 
-@when("queueing: 1 waits, and another comes with {limit:d} ms")
+@when("queueing: 1 request waits, and another one arrives with a deadline of {limit:d} ms")
 def step_another(context, limit):
     queue = context.replay.queue
     drain = QueueDrain(1, 1, variation=context.variation)
@@ -257,7 +263,10 @@
     assert isinstance(context.answer, Queued), context.answer
 
 
-@then("queueing: of those with {limit:d} ms at least {share:d} % were served within their target")
+@then(
+    "queueing: of the requests with a deadline of {limit:d} ms at least {share:d} % were "
+    "served within their target"
+)
 def step_within_target(context, limit, share):
     def has_limit(request):
         return abs(request.deadline_at - request.arrived_at - limit / MS) < 1e-6
