--- a/features/steps/return_schedule_steps.py
+++ b/features/steps/return_schedule_steps.py
@@ -11,7 +11,7 @@
 ROUNDING_MS = 1e-6
 
 
-@given("returns: a member gives a turn each {gap:d} ms, the first in {ready:d} ms")
+@given("returns: a member frees a slot every {gap:d} ms, the first in {ready:d} ms")
 def step_member(context, gap, ready):
     context.schedule = RetrySchedule()
     context.gap_ms = gap
@@ -28,12 +28,12 @@
     context.told.setdefault(priority, []).extend(times)
 
 
-@when("returns: {count:d} of priority {priority:d} are refused at once")
+@when("returns: {count:d} requests of priority {priority:d} are refused at once")
 def step_refuse(context, count, priority):
     _refuse(context, count, priority, 100.0)
 
 
-@when("returns: {later:d} ms later {count:d} of priority {priority:d} are refused")
+@when("returns: {later:d} ms later {count:d} requests of priority {priority:d} are refused")
 def step_refuse_later(context, later, count, priority):
     _refuse(context, count, priority, 100.0 + later / MS)
 
@@ -43,8 +43,8 @@
 
 
 @then(
-    "returns: none comes back before {ready:d} ms, and at most as many in any 50 ms as have turns "
-    "then"
+    "returns: none is retried before {ready:d} ms, and in any 50 ms at most as many as slots "
+    "become free"
 )
 def step_as_room_comes(context, ready):
     times = context.told[2]
@@ -52,27 +52,27 @@
     assert _most_in_window(times) <= WINDOW_MS / context.gap_ms, _most_in_window(times)
 
 
-@then("returns: the last comes back within {last:d} ms")
+@then("returns: the last is retried within {last:d} ms")
 def step_last(context, last):
     assert max(context.told[2]) <= last, max(context.told[2])
 
 
-@then("returns: all come back within {last:d} ms, and less than {most:d} in any 50 ms")
+@then("returns: all are retried within {last:d} ms, and less than {most:d} in any 50 ms")
 def step_spread(context, last, most):
     assert max(context.told[2]) <= last, max(context.told[2])
     assert _most_in_window(context.told[2]) < most, _most_in_window(context.told[2])
 
 
-@then("returns: those of priority {priority:d} come back within {last:d} ms")
+@then("returns: requests of priority {priority:d} are retried within {last:d} ms")
 def step_urgent(context, priority, last):
     assert max(context.told[priority]) <= last, max(context.told[priority])
 
 
-@then("returns: the last of them comes back after {earliest:d} ms")
+@then("returns: the last refused one is retried after {earliest:d} ms")
 def step_after(context, earliest):
     assert context.told[2][-1] >= earliest, context.told[2][-1]
 
 
-@then("returns: the last of them comes back within {latest:d} ms")
+@then("returns: the last refused one is retried within {latest:d} ms")
 def step_within(context, latest):
     assert context.told[2][-1] <= latest + ROUNDING_MS, context.told[2][-1]
