--- a/features/retry_budget.feature
+++ b/features/retry_budget.feature
@@ -1,11 +1,11 @@
-Feature: Tries inside the system come out of a budget
-  Each first try fills a fifth of a further one; a group with few requests may always make some.
+Feature: Retries inside the system are limited by a budget
+  Each first attempt adds a fifth of a retry; a group with few requests may always make some.
 
   Scenario Outline: retry budget: <why>
     Given retry budget: the budget of a group
-    When retry budget: <rate> requests a second come for 4 s, of which <share> % want another try, each up to <tries> times
-    Then retry budget: in the last 2 s at least <least> % and at most <most> % of the wanted tries are made
-    And retry budget: in the last 2 s at most <load> tries come for 100 requests
+    When retry budget: <rate> requests a second arrive for 4 s, of which <share> % want retries, each up to <tries>
+    Then retry budget: in the last 2 s at least <least> % and at most <most> % of the wanted retries are made
+    And retry budget: in the last 2 s at most <load> retries are made per 100 requests
 
     Examples:
       | why                                  | rate | share | tries | least | most | load |
@@ -15,14 +15,14 @@
       | most are, at many requests           | 1000 | 80    | 2     | 0     | 15   | 21   |
       | few requests, all need one           | 2    | 100   | 1     | 100   | 100  | 100  |
 
-  Scenario: retry budget: a fault of one member at once is borne
+  Scenario: retry budget: the reserve covers a sudden fault of one member
     Given retry budget: the budget of a group
-    When retry budget: 200 requests a second come for 2 s, of which 0 % want another try, each up to 1 times
-    And retry budget: a third of 200 requests a second want another try for 0.5 s
-    Then retry budget: all of these are made
+    When retry budget: 200 requests a second arrive for 2 s, of which 0 % want retries, each up to 1
+    And retry budget: a third of 200 requests a second want a retry for 0.5 s
+    Then retry budget: all of these retries are made
 
-  Scenario: retry budget: it fills again once the overload is over
+  Scenario: retry budget: the budget fills again after an overload
     Given retry budget: the budget of a group
-    When retry budget: 500 requests a second come for 3 s, of which 100 % want another try, each up to 2 times
-    And retry budget: 500 requests a second come for 1 s, of which 0 % want another try, each up to 1 times
-    Then retry budget: 50 tries at once are made
+    When retry budget: 500 requests a second arrive for 3 s, of which 100 % want retries, each up to 2
+    And retry budget: 500 requests a second arrive for 1 s, of which 0 % want retries, each up to 1
+    Then retry budget: 50 retries at once are made
--- a/features/steps/retry_budget_steps.py
+++ b/features/steps/retry_budget_steps.py
@@ -18,8 +18,8 @@
 
 
 @when(
-    "retry budget: {rate:d} requests a second come for {seconds:d} s, "
-    "of which {share:d} % want another try, each up to {tries:d} times"
+    "retry budget: {rate:d} requests a second arrive for {seconds:d} s, of which {share:d} % "
+    "want retries, each up to {tries:d}"
 )
 def step_requests(context, rate, seconds, share, tries):
     for number in range(rate * seconds):
@@ -32,7 +32,7 @@
             context.outcomes.append((context.now, context.budget.may_retry(context.now)))
 
 
-@when("retry budget: a third of {rate:d} requests a second want another try for {seconds:g} s")
+@when("retry budget: a third of {rate:d} requests a second want a retry for {seconds:g} s")
 def step_third(context, rate, seconds):
     context.outcomes = []
     for number in range(int(rate * seconds)):
@@ -42,7 +42,7 @@
             context.outcomes.append((context.now, context.budget.may_retry(context.now)))
 
 
-@then("retry budget: all of these are made")
+@then("retry budget: all of these retries are made")
 def step_all(context):
     assert all(is_made for _, is_made in context.outcomes), context.outcomes
 
@@ -52,8 +52,8 @@
 
 
 @then(
-    "retry budget: in the last 2 s at least {least:d} % and at most {most:d} % "
-    "of the wanted tries are made"
+    "retry budget: in the last 2 s at least {least:d} % and at most {most:d} % of the wanted "
+    "retries are made"
 )
 def step_share(context, least, most):
     outcomes = _late(context)
@@ -61,14 +61,14 @@
     assert least <= share <= most, share
 
 
-@then("retry budget: in the last 2 s at most {load:d} tries come for 100 requests")
+@then("retry budget: in the last 2 s at most {load:d} retries are made per 100 requests")
 def step_load(context, load):
     requests = sum(at > context.now - LATE_S for at in context.requests)
     made = 100.0 * sum(_late(context)) / requests
     assert made <= load, made
 
 
-@then("retry budget: {count:d} tries at once are made")
+@then("retry budget: {count:d} retries at once are made")
 def step_at_once(context, count):
     made = [context.budget.may_retry(context.now) for _ in range(count)]
     assert all(made), made
