--- a/features/steps/replica_lag_steps.py
+++ b/features/steps/replica_lag_steps.py
@@ -47,9 +47,7 @@
     assert abs(found - again) < TOLERANCE_MS, found
 
 
-@given(
-    "lag: a replica that told, now, that it is {late:d} ms late, and lacked a commit {ago:d} ms ago"
-)
+@given("lag: a replica that now reports a lag of {late:d} ms, and lacked a commit {ago:d} ms ago")
 def step_told_late(context, late, ago):
     context.lag = ReplicaLag()
     told_until = NOW - late / MS_PER_S
@@ -58,19 +56,19 @@
     context.lag.told(_at(told_until), told_until, told_until, NOW)
 
 
-@then("lag: what is {age:d} ms old is there in {ready:d} ms")
+@then("lag: a position {age:d} ms old is expected there in {ready:d} ms")
 def step_there_in(context, age, ready):
     held_since = NOW - age / MS_PER_S
     found = context.lag.ready_in_s(_at(held_since), held_since, NOW) * MS_PER_S
     assert abs(found - ready) <= ROUNDED_MS, found
 
 
-@then("lag: what is {age:d} ms old is there now")
+@then("lag: a position {age:d} ms old is expected there now")
 def step_there_now(context, age):
     step_there_in(context, age, 0)
 
 
-@when("lag: it tells the primary's own position again and again")
+@when("lag: it reports the primary's own position repeatedly")
 def step_caught_up(context):
     for _ in range(20):
         context.lag.told(_at(NOW), NOW, None, NOW)
@@ -83,15 +81,13 @@
     context.lag.asked(context.now + time / MS_PER_S)
 
 
-@then("lag: other reads leave it alone for {time:d} ms")
+@then("lag: other reads avoid it for {time:d} ms")
 def step_left_alone(context, time):
     found = context.lag.ready_in_s(_at(NOW), NOW - 1.0, context.now) * MS_PER_S
     assert abs(found - time) < TOLERANCE_MS, found
 
 
-@given(
-    "lag: replicas b and c, of which b is there in {b:d} ms and c in {c:d} ms, answers take 14 ms"
-)
+@given("lag: replica b reaches the position in {b:d} ms and c in {c:d} ms, answers take 14 ms")
 def step_replicas(context, b, c):
     context.observed_members = []
     for name, ready in (("b", b), ("c", c)):
@@ -128,7 +124,9 @@
     context.late = (late / MS_PER_S, begin / MS_PER_S, end / MS_PER_S)
 
 
-@when("lag: {rate:d} reads a second want what the primary held {age:d} ms before, for {time:d} s")
+@when(
+    "lag: {rate:d} reads a second require the primary's position {age:d} ms before, for {time:d} s"
+)
 def step_play(context, rate, age, time):
     late_s, begin, end = context.late
     lag, positions = ReplicaLag(), PrimaryPositions()
@@ -153,12 +151,12 @@
             context.read_at.append(now)
 
 
-@then("lag: at most {count:d} of them are turned back")
+@then("lag: at most {count:d} of them are refused by the replica")
 def step_turned_back(context, count):
     assert context.turned_back <= count, context.turned_back
 
 
-@then("lag: the replica is read again within {time:d} ms of its catching up")
+@then("lag: the replica serves reads again within {time:d} ms after it caught up")
 def step_read_again(context, time):
     end = context.late[2]
     first = min(at for at in context.read_at if at >= end)
