--- a/features/member_choice.feature
+++ b/features/member_choice.feature
@@ -1,15 +1,15 @@
-Feature: Members that are slow, mute, failing or flapping get less of the reads
-  Loads replayed with the decisions of all home proxies in one process, which choose and limit on
-  their own: seven home proxies before three members of 4 slots and a queue of 32 each, work of
-  12 ms, a network of 1 ms each way, 500 reads a second for 3 s (half of what three members can do).
-  A read that fails or is given up on counts as lost; no read is sent a second time.
+Feature: Slow, mute, failing and flapping members get fewer reads
+  Loads are replayed with the independent decisions of all home proxies in one process: seven home
+  proxies, three members with 4 slots and a queue of 32 each, work of 12 ms, a network of 1 ms each
+  way, 500 reads a second for 3 s (half of the capacity of three members). A read that fails or times
+  out counts as lost; no read is retried.
 
   Scenario Outline: choice: <why>
     Given choice: seven home proxies before members a, b and c
     And choice: <fault>
     When choice: 500 reads a second come for 3 s
     Then choice: at most <lost> % of the reads are lost
-    And choice: of the last second at most <share> % went to c
+    And choice: in the last second at most <share> % went to c
     And choice: <served> % of the reads were served within 100 ms
 
     Examples:
@@ -21,10 +21,10 @@
       | one breaks half of its work      | c breaks half of its reads         | 3    | 10    | 95     |
       | one flaps                        | c fails all reads every other 1.6 s | 3   | 45    | 95     |
 
-  Scenario: choice: a member that flaps is trusted again more slowly each time
+  Scenario: choice: a flapping member regains trust more slowly each time
     Given choice: the quality of a member
-    When choice: it fails 5 times and then is left alone, 4 times over
-    Then choice: half of the distrust is gone after 500, 1000, 2000, 4000 ms
+    When choice: 4 times it fails 5 reads and then gets none
+    Then choice: the failing share halves within 500, 1000, 2000, 4000 ms
 
   Scenario Outline: choice: a tenant's reads go where its connections are: <why>
     Given choice: members a and b that answer in 14 ms, and connections that open in 16 ms
@@ -37,7 +37,7 @@
       | an idle one is at b         | an idle connection of the tenant at b only       | b      |
       | it is not worth every wait  | an idle one at a only, and 12 statements there   | b      |
 
-  Scenario Outline: choice: what counts beside a member's own answers: <why>
+  Scenario Outline: choice: evidence besides a member's answers: <why>
     Given choice: members a and b that answer in 14 ms, and connections that open in 16 ms
     And choice: <state>
     Then choice: a read of the tenant goes to <member>
@@ -51,19 +51,19 @@
       | slow a moment ago                | a took 90 ms for its answers up to 100 ms ago    | b      |
       | slow long ago                    | a took 90 ms up to 9000 ms ago, and a read is at b | a      |
 
-  Scenario: choice: proxies that see the same do not all choose alike
+  Scenario: choice: proxies with equal views do not all choose the same member
     Given choice: members a and b that answer in 14 ms, and connections that open in 16 ms
-    Then choice: of 100 proxies that see both members alike at least 20 choose each
+    Then choice: of 100 proxies with equal views of both members at least 20 choose each
 
-  Scenario: choice: a line tells when a member begins to fail, why, and when it is trusted again
+  Scenario: choice: log lines tell when and why a member fails, and when it is trusted again
     Given choice: members a and b that answer in 14 ms, and connections that open in 16 ms
-    When choice: a fails 4 reads, and the judgement is looked at each 100 ms for 10 s
-    Then choice: the lines are "member-fails failed", "member-trusted failed"
+    When choice: a fails 4 reads, and its state is logged every 100 ms for 10 s
+    Then choice: the log lines are "member-fails failed", "member-trusted failed"
 
-  Scenario: choice: a line tells when a member is held back, and why
+  Scenario: choice: log lines tell when and why a member's limit is reduced
     Given choice: members a and b that answer in 14 ms, and connections that open in 16 ms
-    When choice: a turns 2 reads away one after the other, and serves 60 afterwards
-    Then choice: the lines are "member-held-back turned-away", "member-has-room turned-away"
+    When choice: a refuses 2 reads one after the other for lack of room, and serves 60 afterwards
+    Then choice: the log lines are "member-held-back turned-away", "member-has-room turned-away"
 
-  Scenario: choice: metrics show the limit, what is under way and the tries of a group
+  Scenario: choice: metrics show a group's limit, requests under way and retries
     Then choice: docs/METRICS.md lists each metric of members, and no other
--- a/features/steps/member_choice_steps.py
+++ b/features/steps/member_choice_steps.py
@@ -242,7 +242,7 @@
     assert lost <= percent, lost
 
 
-@then("choice: of the last second at most {percent:d} % went to c")
+@then("choice: in the last second at most {percent:d} % went to c")
 def step_share(context, percent):
     lately = [name for at, name in context.load.sent if at >= context.seconds - 1]
     share = 100.0 * lately.count("c") / len(lately)
@@ -261,7 +261,7 @@
     context.quality = AnswerQuality()
 
 
-@when("choice: it fails {count:d} times and then is left alone, {times:d} times over")
+@when("choice: {times:d} times it fails {count:d} reads and then gets none")
 def step_fails_over(context, count, times):
     now = NOW
     context.halves = []
@@ -277,7 +277,7 @@
         now += 6 * passed
 
 
-@then("choice: half of the distrust is gone after {times} ms")
+@then("choice: the failing share halves within {times} ms")
 def step_halves(context, times):
     assert context.halves == [int(time) for time in times.split(", ")], context.halves
 
@@ -358,7 +358,9 @@
     }
 
 
-@then("choice: of {count:d} proxies that see both members alike at least {least:d} choose each")
+@then(
+    "choice: of {count:d} proxies with equal views of both members at least {least:d} choose each"
+)
 def step_spread(context, count, least):
     generators = [random.Random(seed) for seed in range(count)]
     chosen = [_chosen(context, generator) for generator in generators]
@@ -376,7 +378,7 @@
     context.lines = lines
 
 
-@when("choice: a fails {count:d} reads, and the judgement is looked at each 100 ms for 10 s")
+@when("choice: a fails {count:d} reads, and its state is logged every 100 ms for 10 s")
 def step_judgement(context, count):
     observed, judgement = context.observed_members["a"], MemberJudgement()
     for _ in range(count):
@@ -387,7 +389,10 @@
     )
 
 
-@when("choice: a turns {count:d} reads away one after the other, and serves {served:d} afterwards")
+@when(
+    "choice: a refuses {count:d} reads one after the other for lack of room, and serves "
+    "{served:d} afterwards"
+)
 def step_held_back(context, count, served):
     observed, judgement = context.observed_members["a"], MemberJudgement()
 
@@ -405,7 +410,7 @@
     _lines(context, [turn_away, serve])
 
 
-@then('choice: the lines are "{first}", "{second}"')
+@then('choice: the log lines are "{first}", "{second}"')
 def step_lines(context, first, second):
     assert context.lines == [first, second], context.lines
 
