--- a/features/member_concurrency.feature
+++ b/features/member_concurrency.feature
@@ -1,12 +1,12 @@
-Feature: How much home proxies have under way at a member, together
-  Loads replayed with the decisions of all home proxies in one process: a member with 4 slots and a
+Feature: Concurrent requests of all home proxies at one member
+  Loads are replayed with the decisions of all home proxies in one process: a member with 4 slots and a
   queue of 32, work of 12 ms, and a network of 1 ms each way. Its capacity is 333 requests a second.
-  Requests that wait at a proxy leave after 500 ms.
+  Requests that wait at a proxy time out after 500 ms.
 
-  Scenario Outline: concurrency: 2.5 times what a member can do, for 2 s: <why>
+  Scenario Outline: concurrency: 2.5 times the capacity of a member for 2 s: <why>
     Given concurrency: <proxies> home proxies with <limits>
-    When concurrency: 833 requests a second come for 2 s, <spread>
-    Then concurrency: the member turns away <shed> % of arrivals
+    When concurrency: 833 requests a second arrive for 2 s, <spread>
+    Then concurrency: the member refuses <shed> % of arrivals
     And concurrency: it serves at least <served> requests a second
 
     Examples:
@@ -18,36 +18,36 @@
       | all demand comes to one of them      | 7       | limits that adapt | all to one          | at most 0.5 | 300    |
       | it moves from one to another         | 7       | limits that adapt | to one, then another | at most 0.5 | 300   |
 
-  Scenario: concurrency: a member that gets slow by 6.5 keeps little of what waits
+  Scenario: concurrency: a member that becomes 6.5 times slower has few requests in its queue
     Given concurrency: 7 home proxies with limits that adapt
-    When concurrency: 300 requests a second come for 1 s, evenly
-    And concurrency: the member takes 78 ms, and 300 requests a second come for 2 s, evenly
-    Then concurrency: the member turns away at most 0.5 % of arrivals
-    And concurrency: in the last second an answer took at most 350 ms as a rule, half of what a full queue takes
+    When concurrency: 300 requests a second arrive for 1 s, evenly
+    And concurrency: the member takes 78 ms, and 300 requests a second arrive for 2 s, evenly
+    Then concurrency: the member refuses at most 0.5 % of arrivals
+    And concurrency: in the last second the usual answer took at most 350 ms, half of the time with a full queue
 
-  Scenario: concurrency: a member that stays slow is used, though one proxy has all the demand
+  Scenario: concurrency: a member that stays slow is used even if one proxy has all the demand
     Given concurrency: 7 home proxies with limits that adapt
-    When concurrency: 200 requests a second come for 1 s, all to one
-    And concurrency: the member takes 78 ms, and 60 requests a second come for 10 s, all to one
+    When concurrency: 200 requests a second arrive for 1 s, all to one
+    And concurrency: the member takes 78 ms, and 60 requests a second arrive for 10 s, all to one
     Then concurrency: in the last second it serves at least 40 requests
 
-  Scenario Outline: concurrency: work that varies as a queue's does uses the slots: <spread>
+  Scenario Outline: concurrency: work of varying duration uses the slots: <spread>
     Given concurrency: 7 home proxies with limits that adapt
     And concurrency: the member's times vary, from next to nothing to several times 12 ms
-    When concurrency: 833 requests a second come for 4 s, <spread>
+    When concurrency: 833 requests a second arrive for 4 s, <spread>
     Then concurrency: in the last second it serves at least <served> requests
-    And concurrency: the member turns away at most 0.5 % of arrivals
+    And concurrency: the member refuses at most 0.5 % of arrivals
 
     Examples:
       | spread     | served |
       | evenly     | 300    |
       | all to one | 200    |
 
-  Scenario: concurrency: limits come back once the member is quick again
+  Scenario: concurrency: limits recover when the member is fast again
     Given concurrency: 7 home proxies with limits that adapt
-    When concurrency: 300 requests a second come for 1 s, evenly
-    And concurrency: the member takes 78 ms, and 300 requests a second come for 1 s, evenly
-    And concurrency: the member takes 12 ms, and 833 requests a second come for 2 s, evenly
+    When concurrency: 300 requests a second arrive for 1 s, evenly
+    And concurrency: the member takes 78 ms, and 300 requests a second arrive for 1 s, evenly
+    And concurrency: the member takes 12 ms, and 833 requests a second arrive for 2 s, evenly
     Then concurrency: in the last second it serves at least 320 requests
 
   Scenario Outline: concurrency: a limit of 4 slots among <proxies> home proxies begins with <limit>
@@ -62,7 +62,7 @@
       | 9       | 4     |
       | 20      | 2     |
 
-  Scenario Outline: concurrency: one falls from 4 to <limit>: <why>
+  Scenario Outline: concurrency: a limit falls from 4 to <limit>: <why>
     Given concurrency: the limit of one of 7 home proxies
     And concurrency: answers take 12 12 12 12 12 12 12 12 ms
     When concurrency: <events>
@@ -78,9 +78,9 @@
       | one slow answer says little      | answers take 30 12 12 ms           | 4     |
       | a second one for what came after | the member turns 3 away one by one | 1     |
 
-  Scenario: concurrency: a far member may have more on its way for each slot
+  Scenario: concurrency: a distant member may have more requests under way per slot
     Given concurrency: the limit of one of 1 home proxies
-    And concurrency: the network takes 88 ms there and back
+    And concurrency: the round trip of the network takes 88 ms
     And concurrency: answers take 100 100 100 100 100 100 100 100 ms
-    When concurrency: 300 answers take 100 ms while all of the limit is used
+    When concurrency: 300 answers take 100 ms while the limit is fully used
     Then concurrency: the limit is more than 20
--- a/features/steps/member_concurrency_steps.py
+++ b/features/steps/member_concurrency_steps.py
@@ -160,22 +160,22 @@
     context.load.generator = random.Random(SEED)
 
 
-@when("concurrency: {rate:d} requests a second come for {seconds:d} s, {spread}")
+@when("concurrency: {rate:d} requests a second arrive for {seconds:d} s, {spread}")
 def step_requests(context, rate, seconds, spread):
     context.seconds = seconds
     context.load.run(rate, seconds, SPREADS[spread])
 
 
 @when(
-    "concurrency: the member takes {service:d} ms, and {rate:d} requests a second come "
-    "for {seconds:d} s, {spread}"
+    "concurrency: the member takes {service:d} ms, and {rate:d} requests a second arrive for "
+    "{seconds:d} s, {spread}"
 )
 def step_slow_requests(context, service, rate, seconds, spread):
     context.load.service_s = service / MS_PER_S
     step_requests(context, rate, seconds, spread)
 
 
-@then("concurrency: the member turns away {bound} {percent:g} % of arrivals")
+@then("concurrency: the member refuses {bound} {percent:g} % of arrivals")
 def step_shed(context, bound, percent):
     share = 100.0 * context.load.shed / context.load.arrived
     assert share >= percent if bound == "at least" else share <= percent, share
@@ -193,8 +193,8 @@
 
 
 @then(
-    "concurrency: in the last second an answer took at most {longest:d} ms as a rule, "
-    "half of what a full queue takes"
+    "concurrency: in the last second the usual answer took at most {longest:d} ms, half of the "
+    "time with a full queue"
 )
 def step_took(context, longest):
     times = sorted(taken for at, taken in context.load.served if at > context.load.now - 1.0)
@@ -208,7 +208,7 @@
     context.limit = ConcurrencyLimit(SLOTS, count)
 
 
-@given("concurrency: the network takes {network:d} ms there and back")
+@given("concurrency: the round trip of the network takes {network:d} ms")
 def step_network(context, network):
     context.limit.connected(network / MS_PER_S)
 
@@ -225,7 +225,7 @@
         _answer(context, int(milliseconds) / MS_PER_S)
 
 
-@when("concurrency: {count:d} answers take {time:d} ms while all of the limit is used")
+@when("concurrency: {count:d} answers take {time:d} ms while the limit is fully used")
 def step_many_answers(context, count, time):
     for _ in range(count):
         _answer(context, time / MS_PER_S)
