--- a/features/statement_decisions.feature
+++ b/features/statement_decisions.feature
@@ -1,5 +1,5 @@
-Feature: Decisions on statements: which member serves a read, how long a primary is waited for
-  Pure decisions, without clock or socket; times in milliseconds.
+Feature: Choice of the member for a read, and holding of statements without a primary
+  Pure decisions, without clock or socket; times are milliseconds.
 
   Scenario Outline: decisions: a read goes to <best>: <why>
     Given decisions: the primary a in z1, replicas b in z2 and c in z3, the proxy in z2
@@ -37,7 +37,7 @@
     Given decisions: the primary a in z1, replicas b in z2 and c in z3, the proxy in z2
     And decisions: b opened connections in <opened> ms and answered in <answers> ms
     And decisions: b has been silent for <silent> ms
-    Then decisions: its answers take <usual> ms as a rule, and <longest> ms are explained
+    Then decisions: its usual answer takes <usual> ms, and its longest healthy one <longest> ms
     And decisions: b seems to hang: <hangs>
 
     Examples:
@@ -55,14 +55,14 @@
     Given decisions: the primary a in z1, replicas b in z2 and c in z3, the proxy in z2
     And decisions: b opened connections in 20 ms and answered in 100 100 100 ms
     And decisions: an answer of b was given up after <waited> ms
-    Then decisions: its answers take <usual> ms as a rule, and <longest> ms are explained
+    Then decisions: its usual answer takes <usual> ms, and its longest healthy one <longest> ms
 
     Examples:
       | waited | usual | longest |
       | 40     | 100   | 213     |
       | 300    | 123   | 319     |
 
-  Scenario: decisions: a new member in the zone of known ones is as far away as they are
+  Scenario: decisions: a new member is assumed to be as far away as known ones in its zone
     Given decisions: the primary a in z1, replicas b in z2 and c in z3, the proxy in z2
     And decisions: a opened connections in 200 ms and answered in 120 120 ms
     And decisions: b is new in the zone of a
@@ -70,9 +70,9 @@
     Then decisions: b seems to hang: no
 
   Scenario Outline: decisions: a statement without a primary is held until <until>: <why>
-    Given decisions: changes of primary took <times> ms lately
+    Given decisions: recent changes of primary took <times> ms
     When decisions: statements found no primary at <noticed> ms
-    Then decisions: at <now> ms one is held until <until> ms, and expects it in <left> ms
+    Then decisions: at <now> ms a statement is held until <until> ms, and the primary is expected in <left> ms
 
     Examples:
       | why                                  | times          | noticed        | now  | until | left |
@@ -84,8 +84,8 @@
       | slow changes were seen               | 4000 4000      | 0              | 0    | 5550  | 2775 |
       | a pause is no measure                | 60000          | 0              | 0    | 5100  | 2550 |
 
-  Scenario: decisions: nothing is held while the primary answers
-    Given decisions: changes of primary took - ms lately
+  Scenario: decisions: no statement is held while the primary answers
+    Given decisions: recent changes of primary took - ms
     When decisions: statements found no primary at 0 ms
     And decisions: the primary answers
-    Then decisions: at 100 ms one is held until 100 ms, and expects it in 0 ms
+    Then decisions: at 100 ms a statement is held until 100 ms, and the primary is expected in 0 ms
--- a/features/steps/statement_decisions_steps.py
+++ b/features/steps/statement_decisions_steps.py
@@ -67,7 +67,7 @@
     context.observed_members[new].assume_times_of(context.observed_members[known])
 
 
-@then("decisions: its answers take {usual:d} ms as a rule, and {longest:d} ms are explained")
+@then("decisions: its usual answer takes {usual:d} ms, and its longest healthy one {longest:d} ms")
 def step_estimate(context, usual, longest):
     answer = context.observed.answer
     found = (round(answer.usual_s * 1_000), round(answer.longest_s * 1_000))
@@ -124,7 +124,7 @@
     assert context.observed_members[name].seems_silent(NOW) == (answer == "yes")
 
 
-@given("decisions: changes of primary took {times} ms lately")
+@given("decisions: recent changes of primary took {times} ms")
 def step_outage_times(context, times):
     outage_times = OutageTimes()
     for milliseconds in re.findall(r"\d+", times):
@@ -143,7 +143,10 @@
     context.outage.ended()
 
 
-@then("decisions: at {now:d} ms one is held until {until:d} ms, and expects it in {left:d} ms")
+@then(
+    "decisions: at {now:d} ms a statement is held until {until:d} ms, and the primary is "
+    "expected in {left:d} ms"
+)
 def step_held(context, now, until, left):
     at = NOW + now / 1_000
     held_until = context.outage.hold_until(at) - NOW
