--- a/features/operation_limit_failures.feature
+++ b/features/operation_limit_failures.feature
@@ -1,7 +1,6 @@
-Feature: Nothing of a tenant below its limit is refused for it, whatever fails, and no window holds more
-  Twelve home proxies run what a tenant's clients send. Leaders die, proxies lose power and start again, links
-  are cut. A tenant that keeps to 80 % of its limit notices next to nothing; one that sends three times its
-  limit gets no more than it in any 5 s. Each line is played with 5 seeds.
+Feature: Operation limits while leaders fail, proxies lose power and links are cut
+  Twelve home proxies run the operations of a tenant's clients. At 80 % of its limit a tenant has hardly any
+  operation refused; at three times its limit no window of 5 s exceeds the limit. Each example runs with 5 seeds.
 
   Scenario Outline: limits and failures: a tenant of <rate> a second and <burst> at 80 % of its limit, <what>
     Given limits and failures: 12 proxies, and a tenant of <rate> a second and <burst> at 80 %
@@ -45,12 +44,12 @@
     When limits and failures: it happens that 4 proxies are cut off for 5 s
     Then limits and failures: at most 0 are refused for each seed, and no window holds more than the limit bears
 
-  Scenario Outline: limits and failures: a leader hangs for 2 s soon after clients came, <rate> a second at 60 %
+  Scenario Outline: limits and failures: a leader hangs for 2 s soon after clients connected, <rate> a second at 60 %
     Given limits and failures: 12 proxies, and a tenant of <rate> a second and <rate> at 60 %, since 2.8 s
     When limits and failures: it happens that a leader hangs for 2 s
     Then limits and failures: at most <refused> are refused for each seed, and no window holds more than the limit bears
 
-    Examples: of 2, 6 and 24 operations that come meanwhile
+    Examples: of 2, 6 and 24 operations that arrive meanwhile
       | rate | refused |
       | 2    | 1       |
       | 5    | 2       |
@@ -84,9 +83,9 @@
       | 150  | 150   | 4 proxies are cut off for 5 s               |
       | 150  | 150   | a leader dies while 4 proxies are cut off   |
 
-  Scenario Outline: limits and failures: a tenant that comes suddenly, a tenth of its limit before, <what>
+  Scenario Outline: limits and failures: a tenant that rises suddenly from a tenth of its limit, <what>
     Given limits and failures: 12 proxies, and a tenant of 20 a second and 20 at 10 %
-    When limits and failures: sent three times its limit, 0.3 s later <what>
+    When limits and failures: clients send three times the limit, and 0.3 s later <what>
     Then limits and failures: no window holds more than the limit bears
 
     Examples:
@@ -97,31 +96,31 @@
       | 4 proxies are cut off for 5 s               |
       | a leader dies while 4 proxies are cut off   |
 
-  Scenario: limits and failures: a proxy tells a new leader what it ran, once a link
-    Given tenants: one holds k1 and two holds k2
-    And operation limits: one may run 20 a second and 20, and the leader counts
+  Scenario: limits and failures: a proxy reports its use to a new leader once per link
+    Given tenants: tenant one holds key k1 and tenant two holds key k2
+    And operation limits: tenant one may run 20 a second and 20, and a leader grants operations
     When operation limits: a client with k1 writes 12 times
     And limits and failures: another leader leads, and the proxy links to it
-    Then limits and failures: it was told once of 12 operations, and of a share
+    Then limits and failures: it got one report, of at least 12 operations and a share
     When operation limits: a client with k1 writes 12 times
-    Then limits and failures: it was told once of 12 operations, and of a share
+    Then limits and failures: it got one report, of at least 12 operations and a share
     And limits and failures: that leader's bucket holds less than 8
 
-  Scenario Outline: limits and failures: a proxy that has run for <seconds> s, and ran nothing, sends <messages> to a new leader
-    Given tenants: one holds k1 and two holds k2
-    And operation limits: one may run 20 a second and 20, and the leader counts
+  Scenario Outline: limits and failures: a proxy without use that started <seconds> s ago sends <messages> messages to a new leader
+    Given tenants: tenant one holds key k1 and tenant two holds key k2
+    And operation limits: tenant one may run 20 a second and 20, and a leader grants operations
     And limits and failures: the proxy has run for <seconds> s
     When limits and failures: another leader leads, and the proxy links to it
     Then operation limits: the leader was asked <messages> times
 
-    Examples: one that started a moment ago says so, as the process in its place before has ended
+    Examples: a recently started proxy reports its age, which proves that the process it replaced has ended
       | seconds | messages |
       | 60      | 0        |
       | 2       | 1        |
 
-  Scenario Outline: limits and failures: a proxy and a leader of which one is of an earlier version, <which>
+  Scenario Outline: limits and failures: proxies of an earlier version do not report their use, <which>
     Given limits and failures: 12 proxies, and a tenant of 20 a second and 20 at 300 %
-    And limits and failures: <which> tells nothing of what ran
+    And limits and failures: <which> does not report its use to new leaders
     When limits and failures: it happens that three leaders die within 3 s
     Then limits and failures: no window holds more than the limit bears
 
@@ -130,16 +129,16 @@
       | each proxy     |
       | half of them   |
 
-  Scenario Outline: limits and failures: in calm times few messages go to the leader, <rate> a second
+  Scenario Outline: limits and failures: in normal operation few messages go to the leader, <rate> a second
     Given limits and failures: 12 proxies, and a tenant of <rate> a second and <rate> at 80 %
     Then limits and failures: in 5 s at most <messages> messages go to the leader, and none is refused
 
-    Examples: without asking ahead there would be as many as operations, 80 and 240
+    Examples: without requests ahead there would be one message per operation, 80 and 240
       | rate | messages |
       | 20   | 60       |
       | 60   | 130      |
 
-  Scenario: limits and failures: a proxy that has no share of a tenant tells 200 refused ones to come back, spread
-    Given limits and failures: a proxy that lost the leader and was told no share
-    When limits and failures: 200 operations want to run
-    Then limits and failures: each is told to come back within 2 s, at most 30 within the same 100 ms
+  Scenario: limits and failures: a proxy without a share of a tenant's limit spreads the retry times of 200 refused operations
+    Given limits and failures: a proxy that lost the leader and has no share
+    When limits and failures: 200 operations arrive
+    Then limits and failures: each gets a retry time within 2 s, at most 30 within the same 100 ms
--- a/features/routing_decisions.feature
+++ b/features/routing_decisions.feature
@@ -1,5 +1,5 @@
 Feature: Routing decisions
-  Which member serves a unit is a pure function of what is known of the group.
+  The member that serves a unit is a pure function of the known state of the group.
 
   Background:
     Given routing: members a in z1 primary at 100, b in z2 at 100, c in z3 at 100, term 2
--- a/features/steps/operation_limit_failures_steps.py
+++ b/features/steps/operation_limit_failures_steps.py
@@ -129,7 +129,7 @@
         world.refused.clear()
 
 
-@when("limits and failures: sent three times its limit, {pause_s:g} s later {what}")
+@when("limits and failures: clients send three times the limit, and {pause_s:g} s later {what}")
 def step_suddenly(context, pause_s, what):
     for world in context.worlds:
         world.set_load(3 * context.rate)
@@ -160,7 +160,7 @@
     assert max(found) <= context.worlds[0].bound, (found, context.worlds[0].bound)
 
 
-@given("limits and failures: {which} tells nothing of what ran")
+@given("limits and failures: {which} does not report its use to new leaders")
 def step_earlier_version(context, which):
     for world in context.worlds:
         world.telling = 0 if which == "each proxy" else len(world.proxies) // 2
@@ -176,7 +176,7 @@
     path.leader.set_connected_share(1.0, time.monotonic())
 
 
-@then("limits and failures: it was told once of {count:d} operations, and of a share")
+@then("limits and failures: it got one report, of at least {count:d} operations and a share")
 def step_told(context, count):
     reports = [report for message in context.path.asked for report in message.reports]
     assert len(reports) == 1, reports
@@ -204,13 +204,13 @@
     context.path.limits._began_at -= seconds
 
 
-@given("limits and failures: a proxy that lost the leader and was told no share")
+@given("limits and failures: a proxy that lost the leader and has no share")
 def step_no_share(context):
     context.allowance = OperationAllowance()
     context.allowance.count_granted(0, 0.0, 1_000.0)
 
 
-@when("limits and failures: {count:d} operations want to run")
+@when("limits and failures: {count:d} operations arrive")
 def step_want(context, count):
     context.after_s = []
     for _ in range(count):
@@ -219,7 +219,7 @@
 
 
 @then(
-    "limits and failures: each is told to come back within {last_s:g} s, at most {most:d} within "
+    "limits and failures: each gets a retry time within {last_s:g} s, at most {most:d} within "
     "the same {span_ms:d} ms"
 )
 def step_spread(context, last_s, most, span_ms):
--- a/features/steps/operation_limits_steps.py
+++ b/features/steps/operation_limits_steps.py
@@ -25,34 +25,38 @@
 CUT_OFF = {"a third is cut off": 1, "two thirds are cut off": 2, "all are cut off": 3}
 
 
-@given("operation limits: a tenant of {rate:g} a second and {burst:d}, and a leader of {led_s:g} s")
+@given(
+    "operation limits: a tenant of {rate:g} a second and {burst:d}, and a leader since {led_s:g} s"
+)
 def step_world(context, rate, burst, led_s):
     context.world = LimitsWorld(rate, burst, led_s)
 
 
-@given("operation limits: half of the proxies have come to it")
+@given("operation limits: half of the proxies have connected to the leader")
 def step_half(context):
     context.world.limits.set_connected_share(0.5, context.world.now)
 
 
-@when("operation limits: proxy p asks for {count:d} each 100 ms for {seconds:g} s")
+@when("operation limits: proxy p requests {count:d} operations every 100 ms for {seconds:g} s")
 def step_one_asks(context, count, seconds):
     context.world.play(("p",), (), count, seconds)
 
 
-@when("operation limits: proxies {names} ask for {count:d} each 100 ms for {seconds:g} s")
+@when(
+    "operation limits: proxies {names} request {count:d} operations every 100 ms for {seconds:g} s"
+)
 def step_some_ask(context, names, count, seconds):
     context.world.play(tuple(names.split(" ")), (), count, seconds)
 
 
-@when("operation limits: proxy p asks for {count:d} at once")
+@when("operation limits: proxy p requests {count:d} operations at once")
 def step_at_once(context, count):
     context.granted = context.world.ask("p", count)
 
 
 @when(
     "operation limits: {count:d} leaders follow, each for {gap_s:g} s and after {pause_s:g} s "
-    "without one, asked for {each:d} each 100 ms"
+    "without one, with {each:d} operations requested every 100 ms"
 )
 def step_leaders_follow(context, count, gap_s, pause_s, each):
     world = context.world
@@ -68,7 +72,7 @@
     assert len(context.world.ran) >= count, len(context.world.ran)
 
 
-@when("operation limits: they lose the leader, {how}, for {seconds:g} s")
+@when("operation limits: proxies lose the leader, {how}, for {seconds:g} s")
 def step_cut(context, how, seconds):
     count = CUT_OFF[how]
     context.world.play(PROXIES[count:], PROXIES[:count], 3, seconds)
@@ -92,9 +96,7 @@
     world.limits.tenants_changed([TENANT], world.now)
 
 
-@then(
-    "operation limits: {count:d} were granted, and the rest is to come back in {retry:d} ms",
-)
+@then("operation limits: {count:d} were granted, and the retry time of the rest is {retry:d} ms")
 def step_granted(context, count, retry):
     told = (context.granted, context.world.retry_after_ms)
     assert told == (count, retry), told
@@ -107,7 +109,7 @@
     assert bool(context.world.refused) == (refused == "some"), len(context.world.refused)
 
 
-@then("operation limits: those that can't ask ran at least {least:d}")
+@then("operation limits: proxies without the leader ran at least {least:d}")
 def step_alone(context, least):
     assert context.world.alone >= least, context.world.alone
 
@@ -129,8 +131,8 @@
 
 
 @when(
-    "operation limits: the leader answers no more, and {count:d} want to run each 100 ms for "
-    "{seconds:d} s"
+    "operation limits: the leader stops answering, and {count:d} operations arrive every 100 "
+    "ms for {seconds:d} s"
 )
 def step_no_leader(context, count, seconds):
     context.ran = 0
@@ -150,13 +152,14 @@
     context.now += seconds
 
 
-@then("operation limits: none is in stock")
+@then("operation limits: no granted operation is left")
 def step_no_stock(context):
     assert not context.allowance.take_granted(context.now)
 
 
 @given(
-    "operation limits: one may run {rate:g} a second and {burst:d}, and the leader counts",
+    "operation limits: tenant one may run {rate:g} a second and {burst:d}, and a leader grants "
+    "operations"
 )
 def step_limited(context, rate, burst):
     path = context.path
@@ -214,8 +217,8 @@
 
 
 @then(
-    "operation limits: {least:d} to {most:d} are done, and the others are refused as not run with "
-    "a time to come back"
+    "operation limits: {least:d} to {most:d} are done, and the others are refused as not run "
+    "with a retry time"
 )
 def step_done(context, least, most):
     done = [answer for answer, _, _ in context.told if answer == "done I"]
@@ -232,7 +235,7 @@
     assert not slow, slow
 
 
-@then("operation limits: all was told within {milliseconds:d} ms")
+@then("operation limits: all answers came within {milliseconds:d} ms")
 def step_all_told(context, milliseconds):
     took_ms = sum(took for _, _, took in context.told) * 1_000
     assert took_ms <= milliseconds, took_ms
--- a/features/steps/operation_waiting_steps.py
+++ b/features/steps/operation_waiting_steps.py
@@ -33,8 +33,8 @@
 
 
 @when(
-    "waiting for tokens: {count:d} of priority {priority:d} come at once, each may wait "
-    "{wait_ms:d} ms"
+    "waiting for tokens: {count:d} operations of priority {priority:d} arrive at once, each "
+    "may wait {wait_ms:d} ms"
 )
 def step_come(context, count, priority, wait_ms):
     world: WaitingWorld = context.world
@@ -53,7 +53,7 @@
     context.world.play([], seconds)
 
 
-@when("waiting for tokens: the client of the first that waits leaves")
+@when("waiting for tokens: the client of the first waiting operation leaves")
 def step_leaves(context):
     queue = context.world.queues[0]
     queue.remove(queue.waiters[0], context.world.now)
@@ -95,8 +95,8 @@
 
 
 @then(
-    "waiting for tokens: in each {span_ms:d} ms at most {most:d} of those refused are told to "
-    "come back, until {end_s:g} s from now"
+    "waiting for tokens: at most {most:d} retry times of refused operations are within the "
+    "same {span_ms:d} ms, until {end_s:g} s from now"
 )
 def step_spread(context, span_ms, most, end_s):
     world: WaitingWorld = context.world
@@ -109,8 +109,8 @@
 
 
 @then(
-    "waiting for tokens: of priority {priority:d} {ran:d} ran, and {gave_way:d} were told at once "
-    "that they gave way"
+    "waiting for tokens: of priority {priority:d} {ran:d} ran, and {gave_way:d} were displaced "
+    "and refused at once"
 )
 def step_gave_way(context, priority, ran, gave_way):
     arrivals = context.world.of(priority)
@@ -138,7 +138,9 @@
     context.lines = handler
 
 
-@then("waiting for tokens: {least:d} to {most:d} were counted as having waited, with a line each")
+@then(
+    "waiting for tokens: {least:d} to {most:d} were counted as having waited, with a log line each"
+)
 def step_counted(context, least, most):
     name = "limedyke_limits_wait_seconds_count"
     count = context.path.registry.get_sample_value(name, {"priority": "1"})
@@ -183,7 +185,7 @@
     context.told = run(context, write_all)
 
 
-@then("waiting for tokens: no two of those refused are told the same time to come back")
+@then("waiting for tokens: no two refused calls get the same retry time")
 def step_one_by_one(context):
     lines = [lines[0] for answer, lines, _ in context.told if answer != "done I"]
     times = [line.partition("try again in ")[2] for line in lines]
@@ -225,7 +227,7 @@
     assert context.took_s * MS_PER_S <= milliseconds, context.took_s
 
 
-@when("waiting for tokens: calls come for {seconds:g} s")
+@when("waiting for tokens: calls arrive for {seconds:g} s")
 def step_calls(context, seconds):
     kinds = [
         Kind(int(row["priority"]), float(row["a second"]), int(row["may wait ms"]))
@@ -259,20 +261,22 @@
     assert ran >= count, ran
 
 
-@given("waiting for tokens: {percent:d} % are kept for urgent calls")
+@given("waiting for tokens: {percent:d} % of the burst are reserved for urgent calls")
 def step_kept(context, percent):
     tenants = context.world.tenants
     tenants[TENANT] = replace(tenants[TENANT], operation_urgent_percent=percent)
 
 
-@when("waiting for tokens: a proxy asks for {count:d} and tells no priorities")
+@when("waiting for tokens: a proxy requests {count:d} operations without priorities")
 def step_untold(context, count):
     world = context.world
     request = OperationsRequest(1, (OperationDemand(TENANT, count),))
     context.grant = world.limits.wanted("p0", request, world.now).grants[0]
 
 
-@then("waiting for tokens: it is granted {count:d}, and told to come back in {retry_ms:d} ms")
+@then(
+    "waiting for tokens: it is granted {count:d}, with a retry time of {retry_ms:d} ms for the rest"
+)
 def step_untold_grant(context, count, retry_ms):
     told = (context.grant.operations, context.grant.retry_after_ms)
     assert told == (count, retry_ms), told
@@ -285,8 +289,8 @@
 
 
 @when(
-    "waiting for tokens: a tenant is declared anew with {percent:d} % kept and a wait of "
-    "{wait_ms:d} ms"
+    "waiting for tokens: a tenant's declaration changes to {percent:d} % reserved and a wait "
+    "of {wait_ms:d} ms"
 )
 def step_declared_anew(context, percent, wait_ms):
     before = Tenant(TENANT, (), operations_per_minute=60, operation_burst=5)
@@ -300,7 +304,10 @@
     assert context.plan[0].detail == text, context.plan
 
 
-@when("waiting for tokens: {count:d} of the proxies run half of what comes, and are missed")
+@when(
+    "waiting for tokens: {count:d} of the proxies run half of the operations, and lose contact "
+    "to the leader"
+)
 def step_missed(context, count):
     world = context.world
     world.play([Kind(0, 18.0, 0)], 5.0)
@@ -316,8 +323,8 @@
 
 
 @then(
-    "waiting for tokens: those refused are told to come back within {last_s:g} s, half of them "
-    "within {half_s:g} s"
+    "waiting for tokens: all retry times are within {last_s:g} s, and half of them within "
+    "{half_s:g} s"
 )
 def step_come_back(context, last_s, half_s):
     world = context.world
--- a/features/steps/tenants_steps.py
+++ b/features/steps/tenants_steps.py
@@ -31,12 +31,12 @@
     context.most_connections = 0
 
 
-@given("tenants: one holds k1 and two holds k2")
+@given("tenants: tenant one holds key k1 and tenant two holds key k2")
 def step_two_tenants(context):
     start(context, StatementPath(Consistency.SESSION))
 
 
-@given("tenants: a proxy without a lease, one holds k1 and two holds k2")
+@given("tenants: a proxy without a lease, tenant one holds key k1 and tenant two holds key k2")
 def step_without_lease(context):
     start(context, ForwardingPath(Consistency.SESSION, (("h1", "z2", "r1"),)))
 
@@ -64,13 +64,13 @@
     context.path.is_cut_off = True
 
 
-@when('tenants: a client opens {database:w} with {key:w} and is told "{told}"')
+@when('tenants: a client opens {database:w} with {key:w} and gets "{told}"')
 def step_open(context, database, key, told):
     context.client, answer = run(context, context.path.connect, database, key)
     assert answer == told, answer
 
 
-@when('tenants: it asks "{asked}" and is told "{told}" within {milliseconds:d} ms')
+@when('tenants: it sends "{asked}" and gets "{told}" within {milliseconds:d} ms')
 def step_ask_within(context, asked, told, milliseconds):
     began_at = time.monotonic()
     step_ask(context, asked, told)
@@ -78,7 +78,7 @@
     assert took_ms <= milliseconds, took_ms
 
 
-@when('tenants: it asks "{asked}" and is told "{told}"')
+@when('tenants: it sends "{asked}" and gets "{told}"')
 def step_ask(context, asked, told):
     answer = run(context, context.client.ask, asked)
     assert answer == told, answer
@@ -122,7 +122,7 @@
     context.told = run(context, write)
 
 
-@when("tenants: {count:d} clients of one read over and over")
+@when("tenants: {count:d} clients of tenant one read continuously")
 def step_flood(context, count):
     async def read():
         client, _ = await context.path.connect("db", KEYS["one"])
@@ -156,7 +156,7 @@
     assert context.most_connections <= 1, context.most_connections
 
 
-@then("tenants: members were opened {count:d} connections in all")
+@then("tenants: {count:d} connections to members were opened in total")
 def step_opened(context, count):
     opened = sum(member.opened for member in context.path.group.members.values())
     assert opened == count, opened
@@ -255,7 +255,7 @@
     context.declaration = declaration_of(read.unwrap())
 
 
-@then("tenants: no key stands in the declaration, and each finds its tenant")
+@then("tenants: the declaration contains no key, and each key's digest finds its tenant")
 def step_digests(context):
     data = encode(context.declaration)
     assert FIRST_KEY.encode() not in data and SECOND_KEY.encode() not in data
--- a/features/tenants.feature
+++ b/features/tenants.feature
@@ -1,9 +1,9 @@
-Feature: A client speaks for the tenant that holds its key, and shares a connection with no other tenant
-  Members are told the tenant when a connection is opened, and keep it with what they run.
+Feature: Keys identify tenants, and a connection serves a single tenant
+  Members learn the tenant when a connection is opened, and record it with what they run.
 
   Scenario Outline: tenants: a session is opened with <key>
-    Given tenants: one holds k1 and two holds k2
-    When tenants: a client opens <database> with <key> and is told "<told>"
+    Given tenants: tenant one holds key k1 and tenant two holds key k2
+    When tenants: a client opens <database> with <key> and gets "<told>"
 
     Examples:
       | database | key  | told     |
@@ -13,20 +13,20 @@
       | nodb     | k1   | NODB     |
       | open     | k3   | I        |
 
-  Scenario: tenants: members are told the tenant that holds the key
-    Given tenants: one holds k1 and two holds k2
-    When tenants: a client opens db with k1 and is told "I"
-    And tenants: it asks "WRITE x 1" and is told "done I"
-    And tenants: a client opens db with k2 and is told "I"
-    And tenants: it asks "WRITE x 2" and is told "done I"
-    And tenants: a client opens open with k1 and is told "I"
-    And tenants: it asks "WRITE x 3" and is told "done I"
+  Scenario: tenants: members learn the tenant that holds the key
+    Given tenants: tenant one holds key k1 and tenant two holds key k2
+    When tenants: a client opens db with k1 and gets "I"
+    And tenants: it sends "WRITE x 1" and gets "done I"
+    And tenants: a client opens db with k2 and gets "I"
+    And tenants: it sends "WRITE x 2" and gets "done I"
+    And tenants: a client opens open with k1 and gets "I"
+    And tenants: it sends "WRITE x 3" and gets "done I"
     Then tenants: "WRITE x 1" ran for one
     And tenants: "WRITE x 2" ran for two
     And tenants: "WRITE x 3" ran for limedyke
 
-  Scenario Outline: tenants: one connection to each member, and two tenants that want it <how>
-    Given tenants: one holds k1 and two holds k2
+  Scenario Outline: tenants: two tenants share one connection to each member, writing <how>
+    Given tenants: tenant one holds key k1 and tenant two holds key k2
     And tenants: the lease is for 1 connection
     When tenants: clients of one and two write <how> 6 times each
     Then tenants: each write was done and ran for its own tenant
@@ -37,42 +37,42 @@
       | in turn    |
       | at once    |
 
-  Scenario: tenants: a tenant with many requests does not keep all connections
-    Given tenants: one holds k1 and two holds k2
+  Scenario: tenants: a tenant with many requests does not occupy all connections
+    Given tenants: tenant one holds key k1 and tenant two holds key k2
     And tenants: the lease is for 1 connection
     And tenants: members take 20 ms for a read
-    When tenants: 12 clients of one read over and over
-    And tenants: a client opens db with k2 and is told "I"
-    And tenants: it asks "WRITE x 2" and is told "done I" within 600 ms
+    When tenants: 12 clients of tenant one read continuously
+    And tenants: a client opens db with k2 and gets "I"
+    And tenants: it sends "WRITE x 2" and gets "done I" within 600 ms
 
-  Scenario: tenants: a connection of the same tenant is used again
-    Given tenants: one holds k1 and two holds k2
+  Scenario: tenants: a connection is reused for the same tenant
+    Given tenants: tenant one holds key k1 and tenant two holds key k2
     When tenants: clients of one and two write in turn 6 times each
-    Then tenants: members were opened 2 connections in all
+    Then tenants: 2 connections to members were opened in total
 
   Scenario: tenants: a home proxy runs forwarded statements for their tenant
-    Given tenants: a proxy without a lease, one holds k1 and two holds k2
+    Given tenants: a proxy without a lease, tenant one holds key k1 and tenant two holds key k2
     When tenants: clients of one and two write in turn 6 times each
     Then tenants: each write was done and ran for its own tenant
 
-  Scenario: tenants: a key that is newer than the proxy's view is asked about
-    Given tenants: one holds k1 and two holds k2
+  Scenario: tenants: a proxy asks the controllers about a key that is newer than its view
+    Given tenants: tenant one holds key k1 and tenant two holds key k2
     And tenants: the controllers know that one holds k9 too
-    When tenants: a client opens db with k9 and is told "I"
+    When tenants: a client opens db with k9 and gets "I"
     Then tenants: the controllers were asked 1 times
 
-  Scenario: tenants: a proxy that is cut off can't say that a key is unknown
-    Given tenants: one holds k1 and two holds k2
+  Scenario: tenants: an isolated proxy does not reject a key as unknown
+    Given tenants: tenant one holds key k1 and tenant two holds key k2
     And tenants: the controllers can't be reached
-    When tenants: a client opens db with k9 and is told "BUSY"
-    And tenants: a client opens db with k1 and is told "I"
+    When tenants: a client opens db with k9 and gets "BUSY"
+    And tenants: a client opens db with k1 and gets "I"
 
-  Scenario Outline: tenants: <change> binds an open session from its next operation on
-    Given tenants: one holds k1 and two holds k2
-    When tenants: a client opens db with k1 and is told "I"
-    And tenants: it asks "WRITE x 1" and is told "done I"
+  Scenario Outline: tenants: <change> takes effect in an open session with its next operation
+    Given tenants: tenant one holds key k1 and tenant two holds key k2
+    When tenants: a client opens db with k1 and gets "I"
+    And tenants: it sends "WRITE x 1" and gets "done I"
     And tenants: <change>
-    And tenants: it asks "WRITE x 2" and is told "<told>"
+    And tenants: it sends "WRITE x 2" and gets "<told>"
     Then tenants: "WRITE x 2" ran for <tenant>
 
     Examples:
@@ -83,21 +83,21 @@
       | two holds k1 now, one none   | done I     | two    |
 
   Scenario: tenants: a session whose key was taken away is ended
-    Given tenants: one holds k1 and two holds k2
-    When tenants: a client opens db with k1 and is told "I"
+    Given tenants: tenant one holds key k1 and tenant two holds key k2
+    When tenants: a client opens db with k1 and gets "I"
     And tenants: one holds no key now
-    And tenants: it asks "READ x" and is told "AUTHFAIL I"
+    And tenants: it sends "READ x" and gets "AUTHFAIL I"
     Then tenants: its session is closed
 
   Scenario: tenants: an open transaction ends under the tenant that began it
-    Given tenants: one holds k1 and two holds k2
-    When tenants: a client opens db with k1 and is told "I"
-    And tenants: it asks "BEGIN" and is told "done T"
-    And tenants: it asks "WRITE x 1" and is told "done T"
+    Given tenants: tenant one holds key k1 and tenant two holds key k2
+    When tenants: a client opens db with k1 and gets "I"
+    And tenants: it sends "BEGIN" and gets "done T"
+    And tenants: it sends "WRITE x 1" and gets "done T"
     And tenants: two holds k1 now, one none
-    And tenants: it asks "WRITE x 2" and is told "done T"
-    And tenants: it asks "COMMIT" and is told "done I"
-    And tenants: it asks "WRITE x 3" and is told "done I"
+    And tenants: it sends "WRITE x 2" and gets "done T"
+    And tenants: it sends "COMMIT" and gets "done I"
+    And tenants: it sends "WRITE x 3" and gets "done I"
     Then tenants: "WRITE x 2" ran for one
     And tenants: "WRITE x 3" ran for two
 
@@ -117,6 +117,6 @@
       | a negative limit               | limits.maxBodyBytes                  |
       | keys that are numbers          | tenants.0.apiKeys.0                  |
 
-  Scenario: tenants: a declaration holds digests of keys only
+  Scenario: tenants: a declaration contains only digests of keys
     When tenants: a valid configuration is declared
-    Then tenants: no key stands in the declaration, and each finds its tenant
+    Then tenants: the declaration contains no key, and each key's digest finds its tenant
