--- a/features/mutants/tenants_safeguards.py
+++ b/features/mutants/tenants_safeguards.py
@@ -1,4 +1,4 @@
-"""Mutants of what keeps tenants apart and within their limits."""
+"""Mutants of the code that isolates tenants and enforces their limits."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 RATE, BURST = 20.0, 20
 MOST_IN_WINDOW = (RATE * 5 + BURST) * 1.1 + 20
-"""Within 5 s, with the share and the number by which a limit may be exceeded."""
+"""Most operations within 5 s, including the permitted excess of 10 % and 20 operations."""
 ONE_OF_TWO_RUNS = 6
 
 
 async def _tenants_are_mixed() -> bool:
-    """Have two tenants write in turn over one connection; tell whether one ran for the other."""
+    """Let two tenants write in turn over one connection; return whether one ran for the other."""
     path = StatementPath(Consistency.SESSION)
     path.hold_key("one", "k1")
     path.hold_key("two", "k2")
@@ -44,20 +44,20 @@
 
 
 async def _removed_key_is_served() -> bool:
-    """Take a key away from an open session; tell whether it is served on."""
+    """Remove the key of an open session; return whether the session is still served."""
     path = StatementPath(Consistency.SESSION)
     path.hold_key("one", "k1")
     await path.start()
     client, _ = await path.connect("db", "k1")
     path.hold_key("one", "k9")
     await path.tell_view()
-    told = await client.ask("WRITE x 1")
+    answer = await client.ask("WRITE x 1")
     await path.stop()
-    return told == "done I"
+    return answer == "done I"
 
 
 def _passes_limit_after_leader_change() -> bool:
-    """Ask one leader after the other, each a second; tell whether the limit was passed."""
+    """Use five successive leaders for a second each; return whether the limit was exceeded."""
     world = LimitsWorld(RATE, BURST, 100.0)
     for _ in range(5):
         world.limits = OperationLimits(world.tenants, 12.0, world.now)
@@ -66,18 +66,18 @@
 
 
 def _passes_limit_under_many_leaders() -> bool:
-    """Have ten leaders follow one another, with losses between them."""
+    """Use ten successive leaders with times without a leader in between."""
     world = LimitsWorld(RATE, BURST, 100.0)
     world.play(PROXIES, (), 8, 1.0)
     for _ in range(10):
         world.play((), PROXIES, 8, 0.3)
-        world.next_leader()
+        world.change_leader()
         world.play(PROXIES, (), 8, 0.4)
     return world.most_in_window() > MOST_IN_WINDOW
 
 
-def _passes_limit_under_leaders_that_are_told() -> bool:
-    """Have ten leaders follow one another, told by a dozen proxies what these ran."""
+def _passes_limit_under_leaders_with_reports() -> bool:
+    """Use ten successive leaders, to which a dozen proxies report their use."""
     world = LeadersWorld(150.0, 150, 12, 3.0, 1)
     world.play(6.0)
     for _ in range(10):
@@ -88,7 +88,7 @@
 
 
 def _passes_limit_of_stale_shares() -> bool:
-    """Have a tenant's work move from proxy to proxy each 2 s, then all of them lose the leader."""
+    """Move a tenant's work from proxy to proxy every 2 s, then cut all proxies off."""
     world = LimitsWorld(RATE, BURST, 100.0)
     for proxy in PROXIES:
         for _ in range(20):
@@ -100,7 +100,7 @@
 
 
 def _passes_limit_while_cut_off() -> bool:
-    """Cut two of three proxies off under three times the demand."""
+    """Cut two of three proxies off at three times the limit."""
     world = LimitsWorld(RATE, BURST, 100.0)
     world.play(PROXIES, (), 3, 5.0)
     world.play(PROXIES[2:], PROXIES[:2], 3, 8.0)
@@ -170,7 +170,7 @@
         "a tenant keeps within its limit",
         lambda: _is_caught(
             lambda: mock.patch.object(operation_allowance, "RESERVE_REFILL_S", 0.01),
-            _passes_limit_under_leaders_that_are_told,
+            _passes_limit_under_leaders_with_reports,
         ),
     ),
     Mutant(
@@ -179,7 +179,7 @@
         "a tenant keeps within its limit",
         lambda: _is_caught(
             lambda: mock.patch.object(UseWindow, "level", lambda _self, _rate, burst, _now: burst),
-            _passes_limit_under_leaders_that_are_told,
+            _passes_limit_under_leaders_with_reports,
         ),
     ),
     Mutant(
--- a/features/steps/member_choice_steps.py
+++ b/features/steps/member_choice_steps.py
@@ -1,4 +1,4 @@
-"""Steps that replay reads on members with the choices and limits of all home proxies."""
+"""Steps that replay reads with the choices and limits of all home proxies."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 NETWORK_S = 0.001
 SERVICE_S = 0.012
 PROXIES = 7
-PATIENCE_S = 0.1
+READ_TIMEOUT_S = 0.1
 TARGET_S = 0.5
 READ = "read"
 NOWHERE = LogPosition()
@@ -62,7 +62,7 @@
 
 @dataclass
 class _Read:
-    came_at: float
+    arrived_at: float
     sent_at: float = 0.0
     is_over: bool = False
 
@@ -85,7 +85,7 @@
 
     def run(self, rate, seconds):
         for number in range(int(rate * seconds)):
-            self._at(number / rate, self._come, number % PROXIES)
+            self._at(number / rate, self._add_read, number % PROXIES)
         while self._events:
             self.now, _, action, details = heapq.heappop(self._events)
             action(*details)
@@ -93,7 +93,7 @@
     def _at(self, moment, action, *details):
         heapq.heappush(self._events, (moment, next(self._numbers), action, details))
 
-    def _come(self, proxy):
+    def _add_read(self, proxy):
         self.waiting[proxy].append(_Read(self.now))
         self._send(proxy)
 
@@ -119,8 +119,8 @@
             name = chosen.record.identity
             chosen.sent(self.now)
             self.sent.append((self.now, name))
-            patience_s = max(PATIENCE_S, chosen.answer.longest_s)
-            self._at(self.now + patience_s, self._give_up, proxy, chosen, read)
+            timeout_s = max(READ_TIMEOUT_S, chosen.answer.longest_s)
+            self._at(self.now + timeout_s, self._time_out, proxy, chosen, read)
             self._at(self.now + NETWORK_S, self._arrive, proxy, chosen, read)
 
     def _arrive(self, proxy, observed, read):
@@ -155,7 +155,7 @@
         observed.served(taken_s, self.now)
         under_way = observed.under_way(self.now) + 1
         observed.concurrency.answered(READ, taken_s, under_way, self.now)
-        self.served.append(self.now - read.came_at)
+        self.served.append(self.now - read.arrived_at)
         self._send(proxy)
 
     def _failed(self, proxy, observed, read, breaks):
@@ -170,7 +170,7 @@
         self.lost.append(self.now)
         self._send(proxy)
 
-    def _give_up(self, proxy, observed, read):
+    def _time_out(self, proxy, observed, read):
         if read.is_over:
             return
         is_answered = observed.contact_at >= read.sent_at
@@ -200,7 +200,7 @@
 
 
 @given("choice: nothing is wrong")
-def step_well(context):
+def step_healthy(context):
     return
 
 
@@ -368,7 +368,7 @@
 
 
 def _lines(context, looks):
-    """Return event and cause of each line that looks at the judgement of member a give."""
+    """Store event and cause of each log line about member a."""
     lines = []
     with mock.patch.object(member_judgement, "EVENTS") as events:
         for look in looks:
--- a/features/steps/member_concurrency_steps.py
+++ b/features/steps/member_concurrency_steps.py
@@ -18,7 +18,7 @@
 QUEUE = 32
 NETWORK_S = 0.001
 SERVICE_S = 0.012
-PATIENCE_S = 0.5
+WAIT_TIMEOUT_S = 0.5
 BUSY_S = 0.001
 WORK = "read"
 SHARE_MOVES_AT = 0.5
@@ -27,7 +27,7 @@
 
 @dataclass
 class _FixedLimit:
-    """A lease alone: so many under way, whatever is seen."""
+    """The fixed limit of a lease, independent of observations."""
 
     limit: int
 
@@ -66,12 +66,12 @@
             proxy.limit.connected(2 * NETWORK_S) if hasattr(proxy.limit, "connected") else None
 
     def run(self, rate, seconds, choose):
-        """Play so many requests a second; ``choose`` gives the proxy by number and share."""
+        """Simulate ``rate`` requests per second; ``choose`` selects the proxy of each."""
         began_at = self.now
         count = int(rate * seconds)
         for number in range(count):
             proxy = self.proxies[choose(number, number / count) % len(self.proxies)]
-            self._at(began_at + number / rate, self._come, proxy)
+            self._at(began_at + number / rate, self._add_request, proxy)
         while self._events and self._events[0][0] < began_at + seconds:
             self.now, _, action, details = heapq.heappop(self._events)
             action(*details)
@@ -80,13 +80,13 @@
     def _at(self, moment, action, *details):
         heapq.heappush(self._events, (moment, next(self._numbers), action, details))
 
-    def _come(self, proxy):
+    def _add_request(self, proxy):
         proxy.waiting.append(self.now)
         self._send(proxy)
 
     def _send(self, proxy):
         while proxy.waiting and proxy.limit.has_room(proxy.under_way):
-            if proxy.waiting.popleft() + PATIENCE_S < self.now:
+            if proxy.waiting.popleft() + WAIT_TIMEOUT_S < self.now:
                 continue
             proxy.under_way += 1
             self._at(self.now + NETWORK_S, self._arrive, proxy, self.now)
--- a/features/steps/operation_limit_failures_steps.py
+++ b/features/steps/operation_limit_failures_steps.py
@@ -1,4 +1,4 @@
-"""Steps on limits of operations while leaders die, proxies lose power and links are cut."""
+"""Steps on operation limits while leaders die, proxies lose power and links are cut."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from limedyke.core.limits.operation_limits import OperationLimits
 
 SEEDS = range(1, 6)
-CALM_S = 6.0
+WARM_UP_S = 6.0
 AFTER_S = 6.0
 WITHOUT_LEADER_S = 0.4
 CUT = 4
@@ -64,16 +64,16 @@
 
 
 def _all_lose_power(world: LeadersWorld, seconds: float = 1.4) -> None:
-    """Have proxies and controllers lose power; clients come back with the proxies."""
+    """Cut the power of all proxies and controllers; clients reconnect with the proxies."""
     count = len(world.proxies)
     world.power(count, is_on=False)
     world.let_time_pass(seconds)
     world.power(count, is_on=True)
-    world.leader_dies(WITHOUT_LEADER_S, knows_former=False)
+    world.leader_dies(WITHOUT_LEADER_S, knows_predecessor=False)
 
 
 def _clients_come_back(world: LeadersWorld) -> None:
-    """Have clients ask again for what they could not have meanwhile."""
+    """Let clients repeat the operations that failed during the power loss."""
     _all_lose_power(world)
     world.set_load(2.5 * world.load)
     world.play(0.8)
@@ -113,7 +113,7 @@
     context.rate = rate
     context.worlds = [LeadersWorld(rate, burst, count, percent / 100, seed) for seed in SEEDS]
     for world in context.worlds:
-        world.play(CALM_S)
+        world.play(WARM_UP_S)
         if percent <= 100:
             world.refused.clear()
 
@@ -122,7 +122,7 @@
     "limits and failures: {count:d} proxies, and a tenant of {rate:g} a second and {burst:d} at "
     "{percent:d} %, since {since_s:g} s"
 )
-def step_young_world(context, count, rate, burst, percent, since_s):
+def step_recent_world(context, count, rate, burst, percent, since_s):
     context.worlds = [LeadersWorld(rate, burst, count, percent / 100, seed) for seed in SEEDS]
     for world in context.worlds:
         world.play(since_s)
@@ -163,7 +163,7 @@
 @given("limits and failures: {which} does not report its use to new leaders")
 def step_earlier_version(context, which):
     for world in context.worlds:
-        world.telling = 0 if which == "each proxy" else len(world.proxies) // 2
+        world.reporting = 0 if which == "each proxy" else len(world.proxies) // 2
 
 
 @when("limits and failures: another leader leads, and the proxy links to it")
@@ -177,7 +177,7 @@
 
 
 @then("limits and failures: it got one report, of at least {count:d} operations and a share")
-def step_told(context, count):
+def step_reported(context, count):
     reports = [report for message in context.path.asked for report in message.reports]
     assert len(reports) == 1, reports
     assert sum(reports[0].granted) >= count, reports
@@ -211,7 +211,7 @@
 
 
 @when("limits and failures: {count:d} operations arrive")
-def step_want(context, count):
+def step_arrive(context, count):
     context.after_s = []
     for _ in range(count):
         assert not context.allowance.take_reserve(1_000.0)
--- a/features/steps/operation_limits_steps.py
+++ b/features/steps/operation_limits_steps.py
@@ -21,7 +21,7 @@
 from limedyke.result_codes import CODE_BY_NUMBER, ResultCode
 
 TARGET_MS = 100
-"""Operations should be done so soon that none can wait for a token."""
+"""Target latency that is too short to wait for a token."""
 CUT_OFF = {"a third is cut off": 1, "two thirds are cut off": 2, "all are cut off": 3}
 
 
@@ -63,7 +63,7 @@
     world.play(PROXIES, (), each, 1.0)
     for _ in range(count):
         world.play((), PROXIES, each, pause_s)
-        world.next_leader()
+        world.change_leader()
         world.play(PROXIES, (), each, gap_s)
 
 
@@ -98,8 +98,8 @@
 
 @then("operation limits: {count:d} were granted, and the retry time of the rest is {retry:d} ms")
 def step_granted(context, count, retry):
-    told = (context.granted, context.world.retry_after_ms)
-    assert told == (count, retry), told
+    found = (context.granted, context.world.retry_after_ms)
+    assert found == (count, retry), found
 
 
 @then("operation limits: in 5 s at most {most:d} ran, and {refused:w} were refused")
@@ -110,8 +110,8 @@
 
 
 @then("operation limits: proxies without the leader ran at least {least:d}")
-def step_alone(context, least):
-    assert context.world.alone >= least, context.world.alone
+def step_without_leader(context, least):
+    assert context.world.without_leader >= least, context.world.without_leader
 
 
 @then("operation limits: none of the last {count:d} was refused")
@@ -197,15 +197,15 @@
 def step_writes(context, key, count):
     async def write():
         client, _ = await context.path.connect("db", key)
-        told = []
+        answers = []
         for _ in range(count):
             began_at = time.monotonic()
             answer = await client.ask("WRITE x 1")
-            told.append((answer, list(client.last_answer), time.monotonic() - began_at))
-        return told
+            answers.append((answer, list(client.last_answer), time.monotonic() - began_at))
+        return answers
 
     context.ran_before = len(context.path.group.runs)
-    context.told = run(context, write)
+    context.answers = run(context, write)
 
 
 @when("operation limits: it is refused {count:d} times")
@@ -221,9 +221,9 @@
     "with a retry time"
 )
 def step_done(context, least, most):
-    done = [answer for answer, _, _ in context.told if answer == "done I"]
-    assert least <= len(done) <= most, context.told
-    for answer, lines, _ in context.told:
+    done = [answer for answer, _, _ in context.answers if answer == "done I"]
+    assert least <= len(done) <= most, context.answers
+    for answer, lines, _ in context.answers:
         if answer != "done I":
             assert answer == "BUSY I", answer
             assert re.search(r"try again in \d+ ms", lines[0]), lines
@@ -231,19 +231,19 @@
 
 @then("operation limits: each refusal came within {milliseconds:d} ms")
 def step_quick(context, milliseconds):
-    slow = [took for answer, _, took in context.told if took * 1_000 > milliseconds]
+    slow = [took for answer, _, took in context.answers if took * 1_000 > milliseconds]
     assert not slow, slow
 
 
 @then("operation limits: all answers came within {milliseconds:d} ms")
-def step_all_told(context, milliseconds):
-    took_ms = sum(took for _, _, took in context.told) * 1_000
+def step_all_answers(context, milliseconds):
+    took_ms = sum(took for _, _, took in context.answers) * 1_000
     assert took_ms <= milliseconds, took_ms
 
 
 @then("operation limits: no more ran than were done")
 def step_no_more(context):
-    done = [answer for answer, _, _ in context.told if answer == "done I"]
+    done = [answer for answer, _, _ in context.answers if answer == "done I"]
     ran = len(context.path.group.runs) - context.ran_before
     assert ran == len(done), (ran, len(done))
 
--- a/features/steps/operation_waiting_steps.py
+++ b/features/steps/operation_waiting_steps.py
@@ -1,4 +1,4 @@
-"""Steps on operations that wait for a token of their tenant's limit."""
+"""Steps on operations that wait for tokens of their tenant's limit."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 MS_PER_S = 1_000
 LAST_STEP_S = 2.0
-"""What one proxy refuses at once is spread beyond the last moment that the leader tells."""
+"""Retry times of one proxy may exceed the last one of the leader by this step."""
 TENANT = "one"
 
 
@@ -36,7 +36,7 @@
     "waiting for tokens: {count:d} operations of priority {priority:d} arrive at once, each "
     "may wait {wait_ms:d} ms"
 )
-def step_come(context, count, priority, wait_ms):
+def step_arrive(context, count, priority, wait_ms):
     world: WaitingWorld = context.world
     kind = Kind(priority, 0.0, wait_ms)
     each: list[list[Arrival]] = [[] for _ in world.queues]
@@ -45,7 +45,7 @@
     for proxy, arrivals in enumerate(each):
         world.ask(proxy, arrivals)
     world.run_due()
-    context.came = count
+    context.arrived = count
 
 
 @step("waiting for tokens: {seconds:g} s pass")
@@ -76,7 +76,7 @@
 def _check_ran(arrivals, count, within_ms):
     ran = [arrival for arrival in arrivals if arrival.ran_at is not None]
     assert len(ran) == count, len(ran)
-    longest_ms = max(arrival.ran_at - arrival.came_at for arrival in ran) * MS_PER_S
+    longest_ms = max(arrival.ran_at - arrival.arrived_at for arrival in ran) * MS_PER_S
     assert longest_ms <= within_ms + STEP_S * MS_PER_S, longest_ms
 
 
@@ -91,7 +91,7 @@
     assert others
     for arrival in others:
         assert arrival.refused_at is not None
-        assert (arrival.refused_at - arrival.came_at) * MS_PER_S <= within_ms
+        assert (arrival.refused_at - arrival.arrived_at) * MS_PER_S <= within_ms
 
 
 @then(
@@ -109,15 +109,15 @@
 
 
 @then(
-    "waiting for tokens: of priority {priority:d} {ran:d} ran, and {gave_way:d} were displaced "
+    "waiting for tokens: of priority {priority:d} {ran:d} ran, and {displaced:d} were displaced "
     "and refused at once"
 )
-def step_gave_way(context, priority, ran, gave_way):
+def step_displaced(context, priority, ran, displaced):
     arrivals = context.world.of(priority)
     assert sum(a.ran_at is not None for a in arrivals) == ran, arrivals
-    came_at = context.world.of(0)[0].came_at
-    told = [a for a in arrivals if a.refused_at is not None and a.refused_at >= came_at]
-    assert len(told) == gave_way, len(told)
+    arrived_at = context.world.of(0)[0].arrived_at
+    refused = [a for a in arrivals if a.refused_at is not None and a.refused_at >= arrived_at]
+    assert len(refused) == displaced, len(refused)
 
 
 @then("waiting for tokens: at most {most:d} wait")
@@ -170,7 +170,7 @@
     _write_at_once(context, count, key, nothing)
 
 
-def _write_at_once(context, count, key, beside):
+def _write_at_once(context, count, key, meanwhile):
     async def write(client):
         began_at = time.monotonic()
         answer = await client.ask("WRITE x 1")
@@ -179,22 +179,22 @@
     async def write_all():
         clients = [(await context.path.connect("db", key))[0] for _ in range(count)]
         tasks = [await curio.spawn(write, client) for client in clients]
-        await beside()
+        await meanwhile()
         return [await task.join() for task in tasks]
 
-    context.told = run(context, write_all)
+    context.answers = run(context, write_all)
 
 
 @then("waiting for tokens: no two refused calls get the same retry time")
-def step_one_by_one(context):
-    lines = [lines[0] for answer, lines, _ in context.told if answer != "done I"]
+def step_distinct_retry_times(context):
+    lines = [lines[0] for answer, lines, _ in context.answers if answer != "done I"]
     times = [line.partition("try again in ")[2] for line in lines]
     assert len(times) > 1 and len(set(times)) == len(times), times
 
 
 @then("operation limits: each answer came within {milliseconds:d} ms")
 def step_each_answer(context, milliseconds):
-    slow = [took for _, _, took in context.told if took * MS_PER_S > milliseconds]
+    slow = [took for _, _, took in context.answers if took * MS_PER_S > milliseconds]
     assert not slow, slow
 
 
@@ -262,13 +262,13 @@
 
 
 @given("waiting for tokens: {percent:d} % of the burst are reserved for urgent calls")
-def step_kept(context, percent):
+def step_reserved(context, percent):
     tenants = context.world.tenants
     tenants[TENANT] = replace(tenants[TENANT], operation_urgent_percent=percent)
 
 
 @when("waiting for tokens: a proxy requests {count:d} operations without priorities")
-def step_untold(context, count):
+def step_without_priorities(context, count):
     world = context.world
     request = OperationsRequest(1, (OperationDemand(TENANT, count),))
     context.grant = world.limits.wanted("p0", request, world.now).grants[0]
@@ -277,9 +277,9 @@
 @then(
     "waiting for tokens: it is granted {count:d}, with a retry time of {retry_ms:d} ms for the rest"
 )
-def step_untold_grant(context, count, retry_ms):
-    told = (context.grant.operations, context.grant.retry_after_ms)
-    assert told == (count, retry_ms), told
+def step_granted_without_priorities(context, count, retry_ms):
+    found = (context.grant.operations, context.grant.retry_after_ms)
+    assert found == (count, retry_ms), found
 
 
 @given("waiting for tokens: its operations may wait for {wait_ms:d} ms")
@@ -308,7 +308,7 @@
     "waiting for tokens: {count:d} of the proxies run half of the operations, and lose contact "
     "to the leader"
 )
-def step_missed(context, count):
+def step_lose_contact(context, count):
     world = context.world
     world.play([Kind(0, 18.0, 0)], 5.0)
     for number in range(count, len(world.queues)):
@@ -326,7 +326,7 @@
     "waiting for tokens: all retry times are within {last_s:g} s, and half of them within "
     "{half_s:g} s"
 )
-def step_come_back(context, last_s, half_s):
+def step_retry_times(context, last_s, half_s):
     world = context.world
     after = sorted(a.return_at - world.now for a in world.arrivals if a.refused_at is not None)
     assert after and after[-1] <= last_s + LAST_STEP_S, after[-1]
--- a/features/steps/replica_lag_steps.py
+++ b/features/steps/replica_lag_steps.py
@@ -1,4 +1,4 @@
-"""Steps that replay reads on replicas whose log comes late."""
+"""Steps that replay reads on lagging replicas."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 ANSWER_S = 0.014
 TOLERANCE_MS = 1.0
 ROUNDED_MS = 20.0
-"""Positions are a commit apart; a lag counts as a pause longer than what was lacking is old."""
+"""Tolerance: positions are one commit apart, and a lag includes the shortest pause."""
 
 
 def _at(moment):
-    """Return the position of the primary at a moment: a commit each 20 ms."""
+    """Return the primary's position at a moment; it commits every 20 ms."""
     return LogPosition(1, int(moment / COMMIT_S + 1e-6))
 
 
@@ -48,24 +48,24 @@
 
 
 @given("lag: a replica that now reports a lag of {late:d} ms, and lacked a commit {ago:d} ms ago")
-def step_told_late(context, late, ago):
+def step_reported_lag(context, late, ago):
     context.lag = ReplicaLag()
-    told_until = NOW - late / MS_PER_S
-    lacked = LogPosition(1, _at(told_until).position + 1)
+    reported_until = NOW - late / MS_PER_S
+    lacked = LogPosition(1, _at(reported_until).position + 1)
     context.lag.lacked(lacked, None, NOW - ago / MS_PER_S)
-    context.lag.told(_at(told_until), told_until, told_until, NOW)
+    context.lag.told(_at(reported_until), reported_until, reported_until, NOW)
 
 
 @then("lag: a position {age:d} ms old is expected there in {ready:d} ms")
-def step_there_in(context, age, ready):
+def step_expected_in(context, age, ready):
     held_since = NOW - age / MS_PER_S
     found = context.lag.ready_in_s(_at(held_since), held_since, NOW) * MS_PER_S
     assert abs(found - ready) <= ROUNDED_MS, found
 
 
 @then("lag: a position {age:d} ms old is expected there now")
-def step_there_now(context, age):
-    step_there_in(context, age, 0)
+def step_expected_now(context, age):
+    step_expected_in(context, age, 0)
 
 
 @when("lag: it reports the primary's own position repeatedly")
@@ -82,7 +82,7 @@
 
 
 @then("lag: other reads avoid it for {time:d} ms")
-def step_left_alone(context, time):
+def step_avoided(context, time):
     found = context.lag.ready_in_s(_at(NOW), NOW - 1.0, context.now) * MS_PER_S
     assert abs(found - time) < TOLERANCE_MS, found
 
@@ -130,7 +130,7 @@
 def step_play(context, rate, age, time):
     late_s, begin, end = context.late
     lag, positions = ReplicaLag(), PrimaryPositions()
-    context.turned_back, context.read_at = 0, []
+    context.refused_count, context.read_at = 0, []
     known = LogPosition()
     for step in range(int(time / COMMIT_S)):
         now = step * COMMIT_S
@@ -146,14 +146,14 @@
         lag.told(own, positions.held_since(own), positions.passed_at(own), NOW + now)
         if own < required:
             lag.lacked(required, held_since, NOW + now)
-            context.turned_back += 1
+            context.refused_count += 1
         else:
             context.read_at.append(now)
 
 
 @then("lag: at most {count:d} of them are refused by the replica")
-def step_turned_back(context, count):
-    assert context.turned_back <= count, context.turned_back
+def step_refused(context, count):
+    assert context.refused_count <= count, context.refused_count
 
 
 @then("lag: the replica serves reads again within {time:d} ms after it caught up")
--- a/features/steps/request_queue_steps.py
+++ b/features/steps/request_queue_steps.py
@@ -23,7 +23,7 @@
     context.names = {}
 
 
-def _come(context, span_ms, count, priority, tenants, limit_ms, target_ms, from_ms=0.0):
+def _add_arrivals(context, span_ms, count, priority, tenants, limit_ms, target_ms, from_ms=0.0):
     for number in range(count):
         at = (from_ms + span_ms * number / count) / MS
         tenant = tenants[number % len(tenants)]
@@ -37,7 +37,7 @@
 )
 def step_load(context, span, count, priority, tenants, limit, target):
     names = [f"t{number}" for number in range(tenants)]
-    _come(context, span, count, priority, names, limit, target)
+    _add_arrivals(context, span, count, priority, names, limit, target)
 
 
 @given(
@@ -45,7 +45,7 @@
     "{tenant:w} arrive, with a deadline of {limit:d} ms and a target of {target:d} ms"
 )
 def step_load_of(context, span, count, priority, tenant, limit, target):
-    _come(context, span, count, priority, [tenant], limit, target)
+    _add_arrivals(context, span, count, priority, [tenant], limit, target)
 
 
 @given("queueing: at {at:d} ms {lost:d} of the slots are lost")
@@ -56,7 +56,7 @@
 @given("queueing: at {at:d} ms {count:d} of priority 0 come")
 def step_urgent(context, at, count):
     names = [f"t{number}" for number in range(10)]
-    _come(context, 0, count, 0, names, 400, 400, from_ms=at)
+    _add_arrivals(context, 0, count, 0, names, 400, 400, from_ms=at)
 
 
 @given(
@@ -80,9 +80,9 @@
 
 
 @then("queueing: {share:d} % of the refusals were on arrival")
-def step_told_on_arrival(context, share):
+def step_refused_on_arrival(context, share):
     refused = context.replay.refused
-    at_once = sum(not told.was_queued for told in refused)
+    at_once = sum(not outcome.was_queued for outcome in refused)
     assert refused
     assert at_once >= share / 100 * len(refused), (at_once, len(refused))
 
@@ -91,23 +91,26 @@
     "queueing: {share:d} % of the refusals were within {limit:d} ms of that, or of the last "
     "arrival of a more urgent request"
 )
-def step_told(context, share, limit):
+def step_refused_quickly(context, share, limit):
     refused = context.replay.refused
-    quick = sum(told.at - _impossible_since(context, told) <= limit / MS for told in refused)
+    quick = sum(
+        outcome.at - _last_more_urgent_arrival(context, outcome) <= limit / MS
+        for outcome in refused
+    )
     assert quick >= share / 100 * len(refused), (quick, len(refused))
 
 
-def _impossible_since(context, told):
-    own = told.request
+def _last_more_urgent_arrival(context, outcome):
+    own = outcome.request
     return max(
         other.arrived_at
         for other in context.replay.arrivals
-        if other is own or (other.priority < own.priority and other.arrived_at <= told.at)
+        if other is own or (other.priority < own.priority and other.arrived_at <= outcome.at)
     )
 
 
-def _of(tolds, priority):
-    return [told for told in tolds if told.request.priority == priority]
+def _of(outcomes, priority):
+    return [outcome for outcome in outcomes if outcome.request.priority == priority]
 
 
 @then("queueing: some of priority {some:d} were refused, and none of priority {none:d}")
@@ -124,7 +127,7 @@
 
 @then("queueing: requests of priority {priority:d} waited {limit:d} ms at most")
 def step_waited(context, priority, limit):
-    longest = max(told.waited_s for told in _of(context.replay.served, priority))
+    longest = max(outcome.waited_s for outcome in _of(context.replay.served, priority))
     assert longest <= limit / MS + 1e-9, longest
 
 
@@ -135,10 +138,10 @@
 
 
 @then("queueing: at least {share:d} % of the admitted requests were served in time")
-def step_let_in(context, share):
+def step_admitted(context, share):
     replay = context.replay
-    let_in = len(replay.served) + sum(told.was_queued for told in replay.refused)
-    assert _in_time(replay) >= share / 100 * let_in, (_in_time(replay), let_in)
+    admitted = len(replay.served) + sum(outcome.was_queued for outcome in replay.refused)
+    assert _in_time(replay) >= share / 100 * admitted, (_in_time(replay), admitted)
 
 
 @then(
@@ -151,12 +154,12 @@
 
 
 def _in_time(replay):
-    return sum(told.at <= told.request.deadline_at for told in replay.served)
+    return sum(outcome.at <= outcome.request.deadline_at for outcome in replay.served)
 
 
 @then("queueing: no slot was idle while a request waited")
 def step_busy(context):
-    assert not context.replay.rested
+    assert not context.replay.was_idle_while_waiting
 
 
 @then(
@@ -164,7 +167,7 @@
     "{latest:d} ms"
 )
 def step_at_event(context, priority, at, latest):
-    times = [round(told.at * MS) for told in _of(context.replay.refused, priority)]
+    times = [round(outcome.at * MS) for outcome in _of(context.replay.refused, priority)]
     assert any(at <= time <= latest for time in times), times
     assert max(times) <= latest, times
 
@@ -175,7 +178,7 @@
 
 
 @when("queueing: these requests arrive: {arrivals}")
-def step_come(context, arrivals):
+def step_arrive(context, arrivals):
     queue = context.replay.queue
     drain = QueueDrain(1, 1, waiting_limit=context.limit)
     for arrival in arrivals.split(", "):
@@ -225,9 +228,9 @@
 
 @then("queueing: requests of other tenants waited {limit:d} ms at most")
 def step_others_waited(context, limit):
-    others = [told for told in context.replay.served if told.request.tenant != "flood"]
+    others = [outcome for outcome in context.replay.served if outcome.request.tenant != "flood"]
     assert len(others) == sum(r.tenant != "flood" for r in context.replay.arrivals)
-    longest = max(told.waited_s for told in others)
+    longest = max(outcome.waited_s for outcome in others)
     assert longest <= limit / MS, longest
 
 
@@ -240,9 +243,9 @@
 @then("queueing: each request was served or refused once")
 def step_once(context):
     replay = context.replay
-    told = [told.request for told in replay.served + replay.refused]
-    assert len(told) == len(replay.arrivals), (len(told), len(replay.arrivals))
-    assert set(told) == set(replay.arrivals)
+    requests = [outcome.request for outcome in replay.served + replay.refused]
+    assert len(requests) == len(replay.arrivals), (len(requests), len(replay.arrivals))
+    assert set(requests) == set(replay.arrivals)
 
 
 @given("queueing: the relative variation of the time between two dequeues is {share:g}")
@@ -259,7 +262,7 @@
 
 
 @then("queueing: it is let in")
-def step_is_let_in(context):
+def step_is_admitted(context):
     assert isinstance(context.answer, Queued), context.answer
 
 
@@ -273,8 +276,8 @@
 
     count = sum(has_limit(request) for request in context.replay.arrivals)
     in_time = [
-        told
-        for told in context.replay.served
-        if has_limit(told.request) and told.at <= told.request.target_at
+        outcome
+        for outcome in context.replay.served
+        if has_limit(outcome.request) and outcome.at <= outcome.request.target_at
     ]
     assert len(in_time) >= share / 100 * count, (len(in_time), count)
--- a/features/steps/retry_budget_steps.py
+++ b/features/steps/retry_budget_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the budget of tries beyond the first."""
+"""Steps on the retry budget."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 @when(
     "retry budget: {rate:d} requests a second arrive for {seconds:d} s, of which {share:d} % "
-    "want retries, each up to {tries:d}"
+    "want retries, each up to {retries:d}"
 )
-def step_requests(context, rate, seconds, share, tries):
+def step_requests(context, rate, seconds, share, retries):
     for number in range(rate * seconds):
         context.now += 1.0 / rate
         context.budget.first_try(context.now)
         context.requests.append(context.now)
         if number * 37 % 100 >= share:
             continue
-        for _ in range(tries):
+        for _ in range(retries):
             context.outcomes.append((context.now, context.budget.may_retry(context.now)))
 
 
--- a/features/steps/return_schedule_steps.py
+++ b/features/steps/return_schedule_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the times to come back of those that were refused."""
+"""Steps for the retry times of refused requests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     context.schedule = RetrySchedule()
     context.gap_ms = gap
     context.ready_ms = ready
-    context.told = {}
+    context.delays_ms = {}
 
 
 def _refuse(context, count, priority, now):
@@ -25,7 +25,7 @@
         * context.schedule.retry_after_s(priority, context.ready_ms / MS, now, context.gap_ms / MS)
         for _ in range(count)
     ]
-    context.told.setdefault(priority, []).extend(times)
+    context.delays_ms.setdefault(priority, []).extend(times)
 
 
 @when("returns: {count:d} requests of priority {priority:d} are refused at once")
@@ -46,33 +46,33 @@
     "returns: none is retried before {ready:d} ms, and in any 50 ms at most as many as slots "
     "become free"
 )
-def step_as_room_comes(context, ready):
-    times = context.told[2]
+def step_as_slots_become_free(context, ready):
+    times = context.delays_ms[2]
     assert min(times) >= ready - ROUNDING_MS, min(times)
     assert _most_in_window(times) <= WINDOW_MS / context.gap_ms, _most_in_window(times)
 
 
 @then("returns: the last is retried within {last:d} ms")
 def step_last(context, last):
-    assert max(context.told[2]) <= last, max(context.told[2])
+    assert max(context.delays_ms[2]) <= last, max(context.delays_ms[2])
 
 
 @then("returns: all are retried within {last:d} ms, and less than {most:d} in any 50 ms")
 def step_spread(context, last, most):
-    assert max(context.told[2]) <= last, max(context.told[2])
-    assert _most_in_window(context.told[2]) < most, _most_in_window(context.told[2])
+    assert max(context.delays_ms[2]) <= last, max(context.delays_ms[2])
+    assert _most_in_window(context.delays_ms[2]) < most, _most_in_window(context.delays_ms[2])
 
 
 @then("returns: requests of priority {priority:d} are retried within {last:d} ms")
 def step_urgent(context, priority, last):
-    assert max(context.told[priority]) <= last, max(context.told[priority])
+    assert max(context.delays_ms[priority]) <= last, max(context.delays_ms[priority])
 
 
 @then("returns: the last refused one is retried after {earliest:d} ms")
 def step_after(context, earliest):
-    assert context.told[2][-1] >= earliest, context.told[2][-1]
+    assert context.delays_ms[2][-1] >= earliest, context.delays_ms[2][-1]
 
 
 @then("returns: the last refused one is retried within {latest:d} ms")
 def step_within(context, latest):
-    assert context.told[2][-1] <= latest + ROUNDING_MS, context.told[2][-1]
+    assert context.delays_ms[2][-1] <= latest + ROUNDING_MS, context.delays_ms[2][-1]
--- a/features/steps/routing_decisions_steps.py
+++ b/features/steps/routing_decisions_steps.py
@@ -33,7 +33,7 @@
 
 
 def _fall_behind(state, lag_s, seen_s_ago):
-    """Let a replica have answered that it lacks a position of that age."""
+    """Record an answer of a replica that lacks a position of that age."""
     asked_at = NOW - seen_s_ago
     timeline = PrimaryTimeline()
     timeline.reached(91, asked_at - lag_s)
--- a/features/steps/statement_decisions_steps.py
+++ b/features/steps/statement_decisions_steps.py
@@ -1,4 +1,4 @@
-"""Steps on pure decisions about statements: the member for a read, the wait for a primary."""
+"""Steps on the choice of the member for a read, and the wait for a primary."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def _seen(milliseconds):
-    """Return the estimate of times that vary by half."""
+    """Return an estimate whose spread is half of the usual time."""
     return TimeEstimate(milliseconds / 1_000, milliseconds / 2_000, True)
 
 
--- a/features/steps/tenants_steps.py
+++ b/features/steps/tenants_steps.py
@@ -1,4 +1,4 @@
-"""Steps on tenants: their keys, and connections that serve one tenant only."""
+"""Steps on tenants: their keys, and connections for a single tenant."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def start(context, path: StatementPath) -> None:
-    """Begin a scenario with the two tenants."""
+    """Start a scenario with the two tenants."""
     begin(context, path)
     for tenant, key in KEYS.items():
         path.hold_key(tenant, key)
@@ -64,33 +64,33 @@
     context.path.is_cut_off = True
 
 
-@when('tenants: a client opens {database:w} with {key:w} and gets "{told}"')
-def step_open(context, database, key, told):
+@when('tenants: a client opens {database:w} with {key:w} and gets "{expected}"')
+def step_open(context, database, key, expected):
     context.client, answer = run(context, context.path.connect, database, key)
-    assert answer == told, answer
+    assert answer == expected, answer
 
 
-@when('tenants: it sends "{asked}" and gets "{told}" within {milliseconds:d} ms')
-def step_ask_within(context, asked, told, milliseconds):
+@when('tenants: it sends "{asked}" and gets "{expected}" within {milliseconds:d} ms')
+def step_ask_within(context, asked, expected, milliseconds):
     began_at = time.monotonic()
-    step_ask(context, asked, told)
+    step_ask(context, asked, expected)
     took_ms = (time.monotonic() - began_at) * 1_000
     assert took_ms <= milliseconds, took_ms
 
 
-@when('tenants: it sends "{asked}" and gets "{told}"')
-def step_ask(context, asked, told):
+@when('tenants: it sends "{asked}" and gets "{expected}"')
+def step_ask(context, asked, expected):
     answer = run(context, context.client.ask, asked)
-    assert answer == told, answer
+    assert answer == expected, answer
 
 
 async def _write(context, tenant: str, count: int) -> list[str]:
     client, _ = await context.path.connect("db", KEYS[tenant])
-    told = []
+    answers = []
     for _ in range(count):
-        told.append(await client.ask(f"WRITE {tenant} 1"))
+        answers.append(await client.ask(f"WRITE {tenant} 1"))
         _note_connections(context)
-    return told
+    return answers
 
 
 def _note_connections(context) -> None:
@@ -103,14 +103,14 @@
 def step_in_turn(context, count):
     async def write():
         clients = [(await context.path.connect("db", key))[0] for key in KEYS.values()]
-        told = []
+        answers = []
         for _ in range(count):
             for tenant, client in zip(KEYS, clients, strict=True):
-                told.append(await client.ask(f"WRITE {tenant} 1"))
+                answers.append(await client.ask(f"WRITE {tenant} 1"))
                 _note_connections(context)
-        return told
+        return answers
 
-    context.told = run(context, write)
+    context.answers = run(context, write)
 
 
 @when("tenants: clients of one and two write at once {count:d} times each")
@@ -119,7 +119,7 @@
         tasks = [await curio.spawn(_write, context, tenant, count) for tenant in KEYS]
         return [answer for task in tasks for answer in await task.join()]
 
-    context.told = run(context, write)
+    context.answers = run(context, write)
 
 
 @when("tenants: {count:d} clients of tenant one read continuously")
@@ -144,9 +144,9 @@
 
 @then("tenants: each write was done and ran for its own tenant")
 def step_own_tenant(context):
-    assert set(context.told) == {"done I"}, context.told
+    assert set(context.answers) == {"done I"}, context.answers
     runs = context.path.group.runs
-    assert len(runs) == len(context.told), (len(runs), len(context.told))
+    assert len(runs) == len(context.answers), (len(runs), len(context.answers))
     mixed = [run for run in runs if run.text.split(" ")[1] != run.tenant]
     assert not mixed, mixed
 
@@ -244,9 +244,9 @@
 
 @then('tenants: it is refused for "{reason}", and no key is shown')
 def step_refused(context, reason):
-    told = context.read.unwrap_err()
-    assert reason in told, told
-    assert FIRST_KEY not in told and SECOND_KEY not in told, told
+    message = context.read.unwrap_err()
+    assert reason in message, message
+    assert FIRST_KEY not in message and SECOND_KEY not in message, message
 
 
 @when("tenants: a valid configuration is declared")
--- a/features/support/leaders_world.py
+++ b/features/support/leaders_world.py
@@ -1,4 +1,4 @@
-"""A tenant at a dozen proxies, while leaders die, proxies lose power and links are cut."""
+"""Simulation of a tenant at several proxies while leaders and proxies fail and links are cut."""
 
 from __future__ import annotations
 
@@ -13,9 +13,8 @@
 LEASE_S = 12.0
 STEP_S = 0.02
 HEARTBEAT_S = 0.4
-COME_BACK_S = 0.5
-"""A proxy that lost its leader is linked to the next one within so long; one that lost power has
-started again so long after it has power."""
+RECONNECT_S = 0.5
+"""Longest time until a proxy is linked to the next leader, or has restarted after a power loss."""
 WINDOW_S = 5.0
 WAIT_MS = 400
 MS_PER_S = 1_000
@@ -24,7 +23,7 @@
 
 @dataclass(slots=True)
 class Proxy:
-    """A home proxy: ``name`` differs in each life; it has power, and reaches the leader, or not."""
+    """A home proxy; ``name`` changes with each start of its process."""
 
     name: str
     allowance: OperationAllowance = field(default_factory=OperationAllowance)
@@ -32,19 +31,19 @@
     is_cut: bool = False
     linked_at: float = 0.0
     is_linked: bool = True
-    heard_at: float = 0.0
-    former: str = ""
+    contacted_at: float = 0.0
+    predecessor: str = ""
     started_at: float = 0.0
 
 
 class LeadersWorld:
-    """Home proxies of one group, and one leader after the other, on one clock.
+    """Home proxies of one group and successive leaders in simulated time.
 
-    :param load: operations a second that all clients send, as a share of the limit
+    :param load: operations per second that all clients send, as a share of the limit
 
-    :ivar load: operations a second that all clients send at first
-    :ivar telling: how many proxies tell a new leader what they ran; earlier versions don't
-    :ivar messages: how many of them asked a leader for something
+    :ivar load: initial operations per second of all clients
+    :ivar reporting: number of proxies that report their use to a new leader; older versions do not
+    :ivar messages: number of requests to leaders
     :ivar ran: when each operation ran
     :ivar refused: when each operation was refused
     """
@@ -56,63 +55,64 @@
         self.now = 1_000.0
         self.ran: list[float] = []
         self.refused: list[float] = []
-        self.telling = count
+        self.reporting = count
         self.proxies = [Proxy(f"p{number}") for number in range(count)]
         self.load = rate * load
         self._per_step = self.load * STEP_S
         self._due = 0.0
         self._random = Random(seed)
         self.messages = 0
-        self._led_from = self.now - 100.0
+        self._leader_since = self.now - 100.0
         self._leader: OperationLimits | None = None
         self._unreported: set[str] = set()
         self._registered = count
-        self._lead(float("-inf"))
+        self._start_leader(float("-inf"))
         self._unreported.clear()
 
     def set_load(self, rate: float) -> None:
-        """Have all clients send so many operations a second from now on."""
+        """Set the operations per second that all clients send."""
         self._per_step = rate * STEP_S
 
-    def leader_dies(self, without_s: float, knows_former: bool = True) -> None:
-        """Have the leader die, and another one lead after a while.
+    def leader_dies(self, without_s: float, knows_predecessor: bool = True) -> None:
+        """Stop the leader, and start another one after ``without_s`` seconds.
 
-        :param knows_former: the next one saw the one before begin; otherwise it has just started
+        :param knows_predecessor: whether the next one knows when this one began; otherwise it has
+            just started
         """
         self._leader = None
         for proxy in self.proxies:
             proxy.is_linked = False
         self.play(without_s)
-        before, self._led_from = self._led_from, self.now
-        self._lead(before if knows_former else self.now - without_s)
+        before, self._leader_since = self._leader_since, self.now
+        self._start_leader(before if knows_predecessor else self.now - without_s)
         for proxy in self.proxies:
-            proxy.linked_at = self.now + self._random.random() * COME_BACK_S
+            proxy.linked_at = self.now + self._random.random() * RECONNECT_S
 
     def power(self, count: int, is_on: bool) -> None:
-        """Have the first proxies lose power, or have it again: each starts under another name."""
+        """Switch the power of the first proxies; a proxy restarts under another name."""
         for proxy in self.proxies[:count]:
             proxy.has_power = is_on
             proxy.is_linked = False
             if is_on:
-                proxy.former, proxy.name = proxy.name, f"{proxy.name}x"
+                proxy.predecessor, proxy.name = proxy.name, f"{proxy.name}x"
                 proxy.allowance = OperationAllowance()
                 proxy.started_at = self.now
-                proxy.linked_at = self.now + COME_BACK_S * (0.6 + 0.4 * self._random.random())
+                proxy.linked_at = self.now + RECONNECT_S * (0.6 + 0.4 * self._random.random())
 
     def cut(self, count: int, is_cut: bool) -> None:
-        """Cut the last proxies off from the leader, or let them reach it again."""
+        """Cut the links of the last proxies to the leader, or restore them."""
         for proxy in self.proxies[-count:]:
             proxy.is_cut = is_cut
             proxy.is_linked = False
-            proxy.linked_at = self.now + self._random.random() * COME_BACK_S
+            proxy.linked_at = self.now + self._random.random() * RECONNECT_S
 
     def play(self, seconds: float) -> None:
-        """Let time pass while clients send operations to proxies that serve."""
+        """Simulate a time in which clients send operations to serving proxies."""
         for _ in range(round(seconds / STEP_S)):
             self._step()
 
     def let_time_pass(self, seconds: float) -> None:
-        """Let time pass in which clients reach nobody."""
+        """Advance the time without any operation."""
         self.now += seconds
 
     def most_in_window(self) -> int:
@@ -125,19 +125,19 @@
             most = max(most, last - first + 1)
         return most
 
-    def _lead(self, before: float) -> None:
+    def _start_leader(self, before: float) -> None:
         self._leader = OperationLimits(self.tenants, LEASE_S, self.now, before)
-        self._unreported = {proxy.former or proxy.name for proxy in self.proxies}
+        self._unreported = {proxy.predecessor or proxy.name for proxy in self.proxies}
         self._registered = len(self._unreported)
 
     def _step(self) -> None:
         self.now += STEP_S
         for proxy in self.proxies:
-            self._keep_linked(proxy)
+            self._update_link(proxy)
         if self._leader is not None:
             self._leader.set_connected_share(1 - len(self._unreported) / self._registered, self.now)
             self._leader.tick(self.now)
-        serving = [proxy for proxy in self.proxies if proxy.has_power and not proxy.former]
+        serving = [proxy for proxy in self.proxies if proxy.has_power and not proxy.predecessor]
         wanted = dict.fromkeys(range(len(serving)), 0)
         for _ in range(self._arrivals() if serving else 0):
             wanted[self._random.randrange(len(serving))] += 1
@@ -146,35 +146,35 @@
                 self._run(serving[number], count)
 
     def _arrivals(self) -> int:
-        """Return how many operations come in a step: evenly, at proxies by chance."""
+        """Return how many operations arrive in a step; they are evenly spaced."""
         self._due += self._per_step
         whole = int(self._due)
         self._due -= whole
         return whole
 
-    def _keep_linked(self, proxy: Proxy) -> None:
+    def _update_link(self, proxy: Proxy) -> None:
         if self._leader is None or proxy.is_cut or not proxy.has_power:
             return
         if not proxy.is_linked:
             if self.now < proxy.linked_at:
                 return
             self._link(proxy)
-        if self.now - proxy.heard_at >= HEARTBEAT_S:
-            proxy.heard_at = self.now
+        if self.now - proxy.contacted_at >= HEARTBEAT_S:
+            proxy.contacted_at = self.now
             self._leader.proxy_contacted(proxy.name, self.now)
 
     def _link(self, proxy: Proxy) -> None:
-        """Have a proxy come to the leader: it says what it holds, and what it ran."""
+        """Link a proxy to the leader, and report its use."""
         proxy.is_linked = True
-        if proxy.former:
-            self._leader.proxy_ended(proxy.former, self.now, proxy.name)
-            self._unreported.discard(proxy.former)
-            proxy.former = ""
+        if proxy.predecessor:
+            self._leader.proxy_ended(proxy.predecessor, self.now, proxy.name)
+            self._unreported.discard(proxy.predecessor)
+            proxy.predecessor = ""
         self._unreported.discard(proxy.name)
-        proxy.heard_at = self.now
+        proxy.contacted_at = self.now
         self._leader.proxy_contacted(proxy.name, self.now)
         self.messages += 1
-        if self.proxies.index(proxy) >= self.telling:
+        if self.proxies.index(proxy) >= self.reporting:
             return
         reports = proxy.allowance.reports(TENANT, self.now)
         running_ms = int((self.now - proxy.started_at) * MS_PER_S)
@@ -192,12 +192,14 @@
         if proxy.is_linked:
             self._ask(proxy, count)
         else:
-            self._run_alone(proxy, count)
+            self._run_without_leader(proxy, count)
 
     def _ask(self, proxy: Proxy, count: int) -> None:
         self.messages += 1
-        told = (OperationsOfPriority(1, count, WAIT_MS),)
-        demand = OperationDemand(TENANT, count, proxy.allowance.prefetch_count(self.now), told)
+        by_priority = (OperationsOfPriority(1, count, WAIT_MS),)
+        demand = OperationDemand(
+            TENANT, count, proxy.allowance.prefetch_count(self.now), by_priority
+        )
         request = OperationsRequest(self.messages, (demand,))
         grant = self._leader.wanted(proxy.name, request, self.now).grants[0]
         proxy.allowance.apply_grant(grant, self.now)
@@ -207,7 +209,7 @@
         self.ran += [self.now + wait_ms / MS_PER_S for wait_ms in grant.waits_ms]
         self.refused += [self.now] * (count - at_once - len(grant.waits_ms))
 
-    def _run_alone(self, proxy: Proxy, count: int) -> None:
+    def _run_without_leader(self, proxy: Proxy, count: int) -> None:
         for _ in range(count):
             if proxy.allowance.take_reserve(self.now, len(self.proxies) <= FEW_PROXIES):
                 self.ran.append(self.now)
--- a/features/support/limits_world.py
+++ b/features/support/limits_world.py
@@ -1,4 +1,4 @@
-"""A leader's count of a tenant's operations, and proxies that ask it, on one clock."""
+"""Simulation of a leader that limits a tenant's operations, and proxies that request them."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class LimitsWorld:
-    """A leader's count, and proxies that ask it on one clock.
+    """A leader and proxies in simulated time.
 
     :ivar ran: when each operation ran
-    :ivar alone: how many of them ran without the leader
+    :ivar without_leader: number of operations that ran without the leader
     """
 
     def __init__(self, rate: float, burst: int, led_s: float) -> None:
@@ -29,22 +29,22 @@
             )
         }
         self.now = 1_000.0
-        self.led_from = self.now - led_s
-        self.limits = OperationLimits(self.tenants, LEASE_S, self.led_from)
+        self.leader_since = self.now - led_s
+        self.limits = OperationLimits(self.tenants, LEASE_S, self.leader_since)
         self.allowances = {proxy: OperationAllowance() for proxy in PROXIES}
         self.ran: list[float] = []
         self.refused: list[float] = []
-        self.alone = 0
+        self.without_leader = 0
         self.number = 0
         self.retry_after_ms = 0
 
-    def next_leader(self) -> None:
-        """Have another controller lead from now on, which saw the one before begin."""
-        self.limits = OperationLimits(self.tenants, LEASE_S, self.now, self.led_from)
-        self.led_from = self.now
+    def change_leader(self) -> None:
+        """Replace the leader by one that knows when its predecessor began."""
+        self.limits = OperationLimits(self.tenants, LEASE_S, self.now, self.leader_since)
+        self.leader_since = self.now
 
     def ask(self, proxy: str, count: int) -> int:
-        """Have a proxy ask for operations, which run if granted; return how many were."""
+        """Request operations for a proxy and run those granted; return their number."""
         self.number += 1
         request = OperationsRequest(self.number, (OperationDemand(TENANT, count),))
         grant = self.limits.wanted(proxy, request, self.now).grants[0]
@@ -55,17 +55,19 @@
         self.retry_after_ms = grant.retry_after_ms
         return grant.operations
 
-    def run_alone(self, proxy: str, count: int) -> None:
-        """Have a proxy run what it may without the leader."""
+    def run_without_leader(self, proxy: str, count: int) -> None:
+        """Run the operations that a proxy may run without the leader."""
         for _ in range(count):
             if self.allowances[proxy].take_reserve(self.now):
                 self.ran.append(self.now)
-                self.alone += 1
+                self.without_leader += 1
             else:
                 self.refused.append(self.now)
 
-    def play(self, asking: tuple[str, ...], alone: tuple[str, ...], each: int, seconds: float):
-        """Let time pass; each proxy wants so many operations at each step."""
+    def play(
+        self, asking: tuple[str, ...], without_leader: tuple[str, ...], each: int, seconds: float
+    ):
+        """Simulate a time in which each proxy wants ``each`` operations per step."""
         steps = round(seconds / STEP_S)
         for number in range(steps):
             self.now += STEP_S
@@ -74,8 +76,8 @@
                 if number % round(HEARTBEAT_S / STEP_S) == 0:
                     self.limits.proxy_contacted(proxy, self.now)
                 self.ask(proxy, each)
-            for proxy in alone:
-                self.run_alone(proxy, each)
+            for proxy in without_leader:
+                self.run_without_leader(proxy, each)
 
     def most_in_window(self) -> int:
         """Return the most operations that ran within any window."""
--- a/features/support/waiting_world.py
+++ b/features/support/waiting_world.py
@@ -1,4 +1,4 @@
-"""Proxies whose operations wait for tokens, and the leader that grants them, on one clock."""
+"""Simulation of proxies whose operations wait for tokens, and the leader that grants them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A kind of operation: how urgent, how many a second, and for how long it may wait."""
+    """A kind of operation: its priority, rate per second and allowed wait."""
 
     priority: int
     per_s: float
@@ -28,19 +28,19 @@
 
 @dataclass(slots=True, eq=False)
 class Arrival(TokenWaiter):
-    """An operation; ``came_at`` tells when, ``ran_at`` and ``refused_at`` what became of it."""
+    """An operation with the times of its arrival and of its run or refusal."""
 
-    came_at: float = 0.0
+    arrived_at: float = 0.0
     ran_at: float | None = None
     refused_at: float | None = None
     return_at: float = 0.0
 
 
 class WaitingWorld:
-    """Some proxies before one leader; an answer comes a step after what it answers.
+    """Several proxies and one leader, which answers one step after a request.
 
-    :ivar first_proxy: number of the first proxy that is left
-    :ivar arrivals: all operations, in the order in which they came
+    :ivar first_proxy: number of the first remaining proxy
+    :ivar arrivals: all operations in order of arrival
     """
 
     def __init__(self, rate: float, burst: int, proxies: int) -> None:
@@ -56,33 +56,33 @@
         self.first_proxy = 0
 
     def play(self, kinds: list[Kind], seconds: float) -> None:
-        """Let time pass while operations of these kinds come evenly, to each proxy in turn."""
+        """Simulate a time in which operations arrive evenly, at each proxy in turn."""
         for _ in range(round(seconds / STEP_S)):
             self.step(kinds)
 
     def step(self, kinds: list[Kind]) -> None:
-        """Let one step pass."""
+        """Simulate one step."""
         self.now += STEP_S
-        came: dict[int, list[Arrival]] = {}
+        arrived: dict[int, list[Arrival]] = {}
         for kind in kinds:
             count = self._due.get(kind, 0.0) + kind.per_s * STEP_S
             for _ in range(int(count)):
                 self._next_proxy = (self._next_proxy + 1) % len(self.queues)
-                came.setdefault(self._next_proxy, []).append(self.arrival(kind))
+                arrived.setdefault(self._next_proxy, []).append(self.arrival(kind))
             self._due[kind] = count - int(count)
-        for proxy, arrivals in came.items():
+        for proxy, arrivals in arrived.items():
             self.ask(proxy, arrivals)
         self.run_due()
 
     def arrival(self, kind: Kind) -> Arrival:
-        """Have an operation come."""
+        """Add an operation that arrives now."""
         target_at = self.now + kind.wait_ms / MS_PER_S
-        arrival = Arrival(kind.priority, target_at, 0, came_at=self.now)
+        arrival = Arrival(kind.priority, target_at, 0, arrived_at=self.now)
         self.arrivals.append(arrival)
         return arrival
 
     def ask(self, proxy: int, arrivals: list[Arrival]) -> None:
-        """Ask the leader for operations that came to a proxy, and take its answer."""
+        """Request the operations that arrived at a proxy, and apply the leader's answer."""
         self._number += 1
         queue = self.queues[proxy]
         for arrival in arrivals:
@@ -98,18 +98,18 @@
         grant = self.limits.wanted(f"p{self.first_proxy + proxy}", request, self.now).grants[0]
         dues = [self.now] * grant.operations
         dues += [self.now + wait_ms / MS_PER_S for wait_ms in grant.waits_ms]
-        told = {one.priority: one for one in grant.returns}
+        retry_times = {one.priority: one for one in grant.returns}
         before: Counter[int] = Counter()
         for refused in queue.answered(self._number, dues, self.now):
             refused.refused_at = self.now
-            times = told.get(refused.priority)
+            times = retry_times.get(refused.priority)
             if times is not None:
                 after_ms = times.after_ms + before[refused.priority] * times.step_ms
                 refused.return_at = self.now + after_ms / MS_PER_S
                 before[refused.priority] += 1
 
     def run_due(self) -> None:
-        """Run what has its token by now."""
+        """Run the operations whose token is due."""
         for queue in self.queues:
             for waiter in queue.waiters:
                 if queue.take(waiter, self.now):
