--- a/limedyke/core/statements/concurrency_limit.py
+++ b/limedyke/core/statements/concurrency_limit.py
@@ -141,7 +141,7 @@
         """Tell whether one more request may be sent with ``under_way`` of them under way."""
         return under_way < self.limit
 
-    def shared_by(self, proxies: int) -> None:
+    def set_proxies(self, proxies: int) -> None:
         """Set the number of home proxies, and change the limit in proportion."""
         proxies = max(1, proxies)
         if proxies == self.proxies:
--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -128,7 +128,7 @@
         until = max(self.hold_until, self._connection_until if self._wants_connection else 0.0)
         now = time.monotonic()
         if self.group.lacks_primary(now):
-            self.group.outage.noticed(now)
+            self.group.outage.note_no_primary(now)
             until = max(until, self.group.hold_until(now))
         return min(until, self.deadline - LEAST_ATTEMPT_S)
 
@@ -182,7 +182,7 @@
         """Note that a member's queue took it not, or no longer; the log tells what was counted."""
         self.failed(NotSent.TURNED_AWAY, member)
         self.last = f"{refused.reason} at {member}"
-        self._ready_in_s = refused.room_in_s
+        self._ready_in_s = refused.retry_likely_in_s
         self.log.turned_away(self.session.database, self.run.statement, member, refused)
 
     @property
