--- a/features/mutants/tenants_safeguards.py
+++ b/features/mutants/tenants_safeguards.py
@@ -114,12 +114,12 @@
         return violates()
 
 
-def _take_first_only(keys: AccessKeys, tenants: object) -> None:
+def _set_first_tenants_only(keys: AccessKeys, tenants: object) -> None:
     if keys._tenants is None:
-        _take(keys, tenants)
+        _set_tenants(keys, tenants)
 
 
-_take = AccessKeys.set_tenants
+_set_tenants = AccessKeys.set_tenants
 
 
 def _unbounded_reserve(allowance: OperationAllowance, now: float) -> bool:
@@ -138,11 +138,11 @@
         ),
     ),
     Mutant(
-        "go on with the keys of the first view",
-        "limedyke.core.access_keys.AccessKeys.take",
+        "keep the keys of the first view",
+        "limedyke.core.access_keys.AccessKeys.set_tenants",
         "a key that was taken away is refused",
         lambda: _is_caught(
-            lambda: mock.patch.object(AccessKeys, "take", _take_first_only),
+            lambda: mock.patch.object(AccessKeys, "set_tenants", _set_first_tenants_only),
             lambda: curio.run(_removed_key_is_served),
         ),
     ),
@@ -156,7 +156,7 @@
         ),
     ),
     Mutant(
-        "give first tokens with each leader",
+        "grant all first tokens with each leader",
         "limedyke.core.limits.operation_limits.FULL_FIRST_TOKENS_AFTER_S",
         "a tenant keeps within its limit",
         lambda: _is_caught(
@@ -165,7 +165,7 @@
         ),
     ),
     Mutant(
-        "give the reserve anew with each loss of the leader",
+        "refill the reserve with each loss of the leader",
         "limedyke.core.limits.operation_allowance.RESERVE_REFILL_S",
         "a tenant keeps within its limit",
         lambda: _is_caught(
@@ -174,7 +174,7 @@
         ),
     ),
     Mutant(
-        "take a tenant's use before the leader began for none",
+        "ignore a tenant's use before the leader began",
         "limedyke.core.limits.use_window.UseWindow.level",
         "a tenant keeps within its limit",
         lambda: _is_caught(
@@ -183,7 +183,7 @@
         ),
     ),
     Mutant(
-        "tell shares that together pass the limit",
+        "grant shares that together exceed the limit",
         "limedyke.core.limits.operation_limits.OperationLimits._granted_share_rate",
         "a tenant keeps within its limit",
         lambda: _is_caught(
@@ -192,7 +192,7 @@
         ),
     ),
     Mutant(
-        "withhold nothing for proxies that run by themselves",
+        "withhold nothing for proxies without a leader",
         "limedyke.core.limits.operation_limits.OperationLimits._start_leaderless",
         "a tenant keeps within its limit",
         lambda: _is_caught(
@@ -201,7 +201,7 @@
         ),
     ),
     Mutant(
-        "run by itself without bound",
+        "run without a leader and without bound",
         "limedyke.core.limits.operation_allowance.OperationAllowance.take_reserve",
         "a tenant keeps within its limit",
         lambda: _is_caught(
--- a/features/steps/lease_demand_steps.py
+++ b/features/steps/lease_demand_steps.py
@@ -352,7 +352,7 @@
 
 def _tell(context, now):
     wanted = ConnectionDemand("g", "m1", context.use.wanted(now))
-    told = context.news.take([wanted], whole=not context.sent)
+    told = context.news.changes_to_report([wanted], whole=not context.sent)
     if told:
         context.sent.append(told[0].connections)
 
--- a/features/steps/statement_decisions_steps.py
+++ b/features/steps/statement_decisions_steps.py
@@ -135,7 +135,7 @@
 @when("decisions: statements found no primary at {moments} ms")
 def step_noticed(context, moments):
     for milliseconds in moments.split():
-        context.outage.noticed(NOW + int(milliseconds) / 1_000)
+        context.outage.note_no_primary(NOW + int(milliseconds) / 1_000)
 
 
 @when("decisions: the primary answers")
