--- a/limedyke/core/access_keys.py
+++ b/limedyke/core/access_keys.py
@@ -36,7 +36,7 @@
         self._tenants: Mapping[str, Tenant] | None = None
         self._names: dict[bytes, str] = {}
 
-    def take(self, tenants: Mapping[str, Tenant]) -> None:
+    def set_tenants(self, tenants: Mapping[str, Tenant]) -> None:
         """Set the declared tenants; passing the same mapping again has no cost."""
         if tenants is self._tenants:
             return
--- a/limedyke/core/limits/leader_history.py
+++ b/limedyke/core/limits/leader_history.py
@@ -20,7 +20,7 @@
         self._term = 0
         self._began_at = started_at
 
-    def leads(self, term: int, now: float) -> None:
+    def record_leader(self, term: int, now: float) -> None:
         """Record that a controller leads in a term; each term has one leader."""
         if term <= self._term:
             return
--- a/limedyke/core/queueing/dequeue_rate.py
+++ b/limedyke/core/queueing/dequeue_rate.py
@@ -26,7 +26,7 @@
         self._spread_s = 0.0
         self.last_at = float("-inf")
 
-    def began(self, now: float, assumed_gap_s: float) -> None:
+    def start_waiting(self, now: float, assumed_gap_s: float) -> None:
         """Record that a request starts to wait in an empty queue.
 
         :param assumed_gap_s: gap between two dequeues, used unless one was measured recently
