--- a/limedyke/core/limits/inherited_use.py
+++ b/limedyke/core/limits/inherited_use.py
@@ -22,12 +22,12 @@
     """Known use of one tenant; rates are operations per second.
 
     :ivar shares: what each proxy that has reported may run without a leader
-    :ivar of_rate: what all proxies may run without one, as last stated by the previous leader
+    :ivar total_rate: what all proxies may run without one, as last stated by the previous leader
     """
 
     window: UseWindow = field(default_factory=UseWindow)
     shares: dict[str, float] = field(default_factory=dict)
-    of_rate: float = 0.0
+    total_rate: float = 0.0
     is_reported: bool = False
 
 
@@ -50,7 +50,7 @@
     def knows_shares(self, tenant: str) -> bool:
         """Tell whether a proxy has reported the total share of all proxies for a tenant."""
         known = self._tenants.get(tenant)
-        return known is not None and known.of_rate > 0.0
+        return known is not None and known.total_rate > 0.0
 
     def granted(self, tenant: str, operations: int, now: float) -> None:
         """Count operations that this leader grants."""
@@ -69,7 +69,9 @@
             known = self._of(report.tenant)
             known.window.add_slots(report.granted, now)
             known.shares[proxy] = report.alone_per_minute / SECONDS_PER_MINUTE
-            known.of_rate = max(known.of_rate, report.alone_of_per_minute / SECONDS_PER_MINUTE)
+            known.total_rate = max(
+                known.total_rate, report.alone_of_per_minute / SECONDS_PER_MINUTE
+            )
             known.is_reported = True
             updated.append(report.tenant)
         return updated
@@ -79,7 +81,7 @@
         known = self._tenants.get(tenant)
         if known is None or self.are_all_reported:
             return 0.0
-        return max(0.0, known.of_rate - sum(known.shares.values()))
+        return max(0.0, known.total_rate - sum(known.shares.values()))
 
     def set_all_reported(self, now: float) -> None:
         """Record that all proxies have reported or ended; none runs without a leader any more.
--- a/limedyke/core/limits/operation_allowance.py
+++ b/limedyke/core/limits/operation_allowance.py
@@ -92,21 +92,21 @@
     def reports(self, tenant: str, now: float) -> tuple[OperationReport, ...]:
         """Return recent use for a leader that has not received it yet; empty if there is none."""
         granted = self._window.slots(now)
-        alone_per_minute = math.ceil(self._leaderless_share(now) * SECONDS_PER_MINUTE)
-        if not granted and not alone_per_minute:
+        leaderless_per_minute = math.ceil(self._leaderless_share(now) * SECONDS_PER_MINUTE)
+        if not granted and not leaderless_per_minute:
             return ()
-        of_per_minute = math.ceil(self._leaderless_total_rate * SECONDS_PER_MINUTE)
-        return (OperationReport(tenant, granted, alone_per_minute, of_per_minute),)
+        total_per_minute = math.ceil(self._leaderless_total_rate * SECONDS_PER_MINUTE)
+        return (OperationReport(tenant, granted, leaderless_per_minute, total_per_minute),)
 
-    def count_granted(self, operations: int, alone_rate: float, now: float) -> None:
+    def count_granted(self, operations: int, leaderless_rate: float, now: float) -> None:
         """Count granted operations and update the share of the limit from the leader's answer.
 
-        :param alone_rate: operations per second that may run while no leader answers
+        :param leaderless_rate: operations per second that may run while no leader answers
         """
         if operations:
             self._granted.count(operations, now)
             self._window.count(operations, now)
-        self._leaderless_rate = alone_rate
+        self._leaderless_rate = leaderless_rate
         self._answered_at = now
         if self._reserve is not None:
             self._reserve.advance(now)
--- a/limedyke/core/limits/operation_limits.py
+++ b/limedyke/core/limits/operation_limits.py
@@ -104,7 +104,7 @@
         self._lease_s = lease_s
         self._began_at = now
         self._first_share = min(1.0, (now - last_lead_began_at) / FULL_FIRST_TOKENS_AFTER_S)
-        self._share = 1.0
+        self._connected_share = 1.0
         self._budgets: dict[str, TenantBudget] = {}
         self._uses: dict[str, dict[str, UseRate]] = {}
         self._contacted_at: dict[str, float] = {}
@@ -118,9 +118,9 @@
 
         The others may run without a leader, at rates that only the previous leader knew.
         """
-        if share == self._share:
+        if share == self._connected_share:
             return
-        self._share = share
+        self._connected_share = share
         if share == 1.0:
             self._inherited.set_all_reported(now)
         for tenant in self._budgets:
@@ -301,7 +301,7 @@
         """Return the rate that proxies not yet connected to this leader may run at."""
         if self._inherited.knows_shares(tenant.name):
             return min(_rate(tenant), self._inherited.unreported_rate(tenant.name))
-        return _rate(tenant) * (1.0 - self._share)
+        return _rate(tenant) * (1.0 - self._connected_share)
 
     def _budget(self, tenant: Tenant, now: float) -> TenantBudget:
         budget = self._budgets.get(tenant.name)
--- a/limedyke/core/statements/retry_budget.py
+++ b/limedyke/core/statements/retry_budget.py
@@ -23,7 +23,7 @@
 RESERVE_PER_S = 2.0
 """Retries per second accrued without first attempts, for requests that wait long before a retry."""
 MEMORY_S = 4.0
-"""The budget holds at most what the first attempts of this time filled."""
+"""Besides the reserve, the budget holds at most what the first attempts of this time added."""
 
 
 @dataclass(slots=True)
--- a/limedyke/core/statements/stop_schedule.py
+++ b/limedyke/core/statements/stop_schedule.py
@@ -20,8 +20,8 @@
 loaded days)."""
 ANSWERS_SHARE = 0.85
 END_SHARE = 0.92
-"""After this the last answers reach their clients and the process ends before it is killed. Ending
-takes 0.03 s, and a process without processor time may pause for 0.1 s."""
+"""The rest is left for the last answers to reach their clients, and for the process to end before
+it is killed. Ending takes 0.03 s, and a process short of processor time may pause for 0.1 s."""
 _BEGINS = frozenset({StatementKind.BEGIN, StatementKind.BEGIN_READ})
 
 
