--- a/features/support/limits_world.py
+++ b/features/support/limits_world.py
@@ -48,8 +48,8 @@
         self.number += 1
         request = OperationsRequest(self.number, (OperationDemand(TENANT, count),))
         grant = self.limits.wanted(proxy, request, self.now).grants[0]
-        alone_rate = grant.alone_per_minute / 60
-        self.allowances[proxy].count_granted(grant.operations, alone_rate, self.now)
+        leaderless_rate = grant.alone_per_minute / 60
+        self.allowances[proxy].count_granted(grant.operations, leaderless_rate, self.now)
         self.ran += [self.now] * grant.operations
         self.refused += [self.now] * (count - grant.operations)
         self.retry_after_ms = grant.retry_after_ms
--- a/limedyke/core/queueing/request_queue.py
+++ b/limedyke/core/queueing/request_queue.py
@@ -94,13 +94,13 @@
         self._rank(request, now)
         load, ahead = self._load(request, drain)
         left_s = request.deadline_at - now
-        stretch = self._urgent.stretch(request.priority, drain.slots, now)
+        wait_factor = self._urgent.wait_factor(request.priority, drain.slots, now)
         allowed_s = ADMISSION_SHARE * _max_expected_wait_s(left_s, ahead.count, drain)
-        refusal = admission.admit(load, allowed_s / stretch)
+        refusal = admission.admit(load, allowed_s / wait_factor)
         if refusal is None:
             self._enqueue(request, now, drain)
             return Queued()
-        wait_s = admission.expected_wait_s(load) * stretch
+        wait_s = admission.expected_wait_s(load) * wait_factor
         if wait_s > allowed_s:
             reason = RefusalReason.NO_TIME
         elif drain.waiting_limit and (displaced := self._request_to_displace(request)) is not None:
@@ -270,7 +270,7 @@
     ) -> tuple[admission.QueueLoad, PrecedingWork]:
         ahead = self._ahead(request)
         flow = self._flow(request.tenant)
-        limited = self._length if drain.waiting_limit else flow.of_priority(request.priority)
+        limited = self._length if drain.waiting_limit else flow.count_of_priority(request.priority)
         load = admission.QueueLoad(
             limited,
             flow.mean_cost_s + drain.extra_s,
@@ -284,15 +284,15 @@
     def _ahead(self, request: QueuedRequest) -> PrecedingWork:
         """Count the requests that precede a ranked request, of its tenant and of the others."""
         own = self._flow(request.tenant)
-        count = own.before(request)
+        count = own.count_before(request)
         work_s = count * own.mean_cost_s
         virtual_time = max(own.virtual_time, self._virtual_time) + work_s / own.weight
         for tenant, flow in self._active.items():
             if tenant == request.tenant:
                 continue
-            before = flow.above(request.level)
+            before = flow.count_above(request.level)
             turns = _turns_until(flow, virtual_time) - before
-            before += max(0, min(RECURRENCE_FACTOR * flow.at(request.level), turns))
+            before += max(0, min(RECURRENCE_FACTOR * flow.count_at(request.level), turns))
             count += before
             work_s += before * flow.mean_cost_s
         return PrecedingWork(count, work_s)
--- a/limedyke/core/queueing/tenant_flow.py
+++ b/limedyke/core/queueing/tenant_flow.py
@@ -60,20 +60,20 @@
         for level in sorted(self._levels):
             yield from self._levels[level]
 
-    def before(self, request: QueuedRequest) -> int:
+    def count_before(self, request: QueuedRequest) -> int:
         """Return how many requests precede a ranked request that need not wait here."""
-        count = self.above(request.level)
+        count = self.count_above(request.level)
         same = self._levels.get(request.level, [])
         return count + bisect.bisect_left(same, queue_sort_key(request), key=queue_sort_key)
 
-    def above(self, level: int) -> int:
+    def count_above(self, level: int) -> int:
         """Return how many requests are more urgent than a level."""
         return sum(len(waiting) for other, waiting in self._levels.items() if other < level)
 
-    def at(self, level: int) -> int:
+    def count_at(self, level: int) -> int:
         """Return how many requests wait at a level."""
         return len(self._levels.get(level, ()))
 
-    def of_priority(self, least: int) -> int:
+    def count_of_priority(self, least: int) -> int:
         """Return how many requests were sent with this priority or a more urgent one."""
         return sum(request.priority <= least for request in self.in_order())
--- a/limedyke/core/queueing/urgent_load.py
+++ b/limedyke/core/queueing/urgent_load.py
@@ -36,7 +36,7 @@
         observed_s = max(MIN_OBSERVED_S, now - self._began_at)
         return sum(more_urgent) / (MEMORY_S * (1.0 - math.exp(-observed_s / MEMORY_S)))
 
-    def stretch(self, priority: int, slots: float, now: float) -> float:
+    def wait_factor(self, priority: int, slots: float, now: float) -> float:
         """Return the factor by which urgent requests yet to arrive prolong a wait."""
         share = min(
             self.share_s(priority, now) / max(slots, admission.LEAST_SLOTS), MAX_URGENT_SHARE
