--- a/features/steps/operation_waiting_steps.py
+++ b/features/steps/operation_waiting_steps.py
@@ -1,4 +1,4 @@
-"""Steps on operations that wait for a token of their tenant's limit."""
+"""Steps on operations that wait for tokens of their tenant's limit."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 MS_PER_S = 1_000
 LAST_STEP_S = 2.0
-"""What one proxy refuses at once is spread beyond the last moment that the leader tells."""
+"""Retry times of one proxy may exceed the last one of the leader by this step."""
 TENANT = "one"
 
 
@@ -33,10 +33,10 @@
 
 
 @when(
-    "waiting for tokens: {count:d} of priority {priority:d} come at once, each may wait "
-    "{wait_ms:d} ms"
+    "waiting for tokens: {count:d} operations of priority {priority:d} arrive at once, each "
+    "may wait {wait_ms:d} ms"
 )
-def step_come(context, count, priority, wait_ms):
+def step_arrive(context, count, priority, wait_ms):
     world: WaitingWorld = context.world
     kind = Kind(priority, 0.0, wait_ms)
     each: list[list[Arrival]] = [[] for _ in world.queues]
@@ -45,7 +45,7 @@
     for proxy, arrivals in enumerate(each):
         world.ask(proxy, arrivals)
     world.run_due()
-    context.came = count
+    context.arrived = count
 
 
 @step("waiting for tokens: {seconds:g} s pass")
@@ -53,7 +53,7 @@
     context.world.play([], seconds)
 
 
-@when("waiting for tokens: the client of the first that waits leaves")
+@when("waiting for tokens: the client of the first waiting operation leaves")
 def step_leaves(context):
     queue = context.world.queues[0]
     queue.remove(queue.waiters[0], context.world.now)
@@ -76,7 +76,7 @@
 def _check_ran(arrivals, count, within_ms):
     ran = [arrival for arrival in arrivals if arrival.ran_at is not None]
     assert len(ran) == count, len(ran)
-    longest_ms = max(arrival.ran_at - arrival.came_at for arrival in ran) * MS_PER_S
+    longest_ms = max(arrival.ran_at - arrival.arrived_at for arrival in ran) * MS_PER_S
     assert longest_ms <= within_ms + STEP_S * MS_PER_S, longest_ms
 
 
@@ -91,12 +91,12 @@
     assert others
     for arrival in others:
         assert arrival.refused_at is not None
-        assert (arrival.refused_at - arrival.came_at) * MS_PER_S <= within_ms
+        assert (arrival.refused_at - arrival.arrived_at) * MS_PER_S <= within_ms
 
 
 @then(
-    "waiting for tokens: in each {span_ms:d} ms at most {most:d} of those refused are told to "
-    "come back, until {end_s:g} s from now"
+    "waiting for tokens: at most {most:d} retry times of refused operations are within the "
+    "same {span_ms:d} ms, until {end_s:g} s from now"
 )
 def step_spread(context, span_ms, most, end_s):
     world: WaitingWorld = context.world
@@ -109,15 +109,15 @@
 
 
 @then(
-    "waiting for tokens: of priority {priority:d} {ran:d} ran, and {gave_way:d} were told at once "
-    "that they gave way"
+    "waiting for tokens: of priority {priority:d} {ran:d} ran, and {displaced:d} were displaced "
+    "and refused at once"
 )
-def step_gave_way(context, priority, ran, gave_way):
+def step_displaced(context, priority, ran, displaced):
     arrivals = context.world.of(priority)
     assert sum(a.ran_at is not None for a in arrivals) == ran, arrivals
-    came_at = context.world.of(0)[0].came_at
-    told = [a for a in arrivals if a.refused_at is not None and a.refused_at >= came_at]
-    assert len(told) == gave_way, len(told)
+    arrived_at = context.world.of(0)[0].arrived_at
+    refused = [a for a in arrivals if a.refused_at is not None and a.refused_at >= arrived_at]
+    assert len(refused) == displaced, len(refused)
 
 
 @then("waiting for tokens: at most {most:d} wait")
@@ -138,7 +138,9 @@
     context.lines = handler
 
 
-@then("waiting for tokens: {least:d} to {most:d} were counted as having waited, with a line each")
+@then(
+    "waiting for tokens: {least:d} to {most:d} were counted as having waited, with a log line each"
+)
 def step_counted(context, least, most):
     name = "limedyke_limits_wait_seconds_count"
     count = context.path.registry.get_sample_value(name, {"priority": "1"})
@@ -168,7 +170,7 @@
     _write_at_once(context, count, key, nothing)
 
 
-def _write_at_once(context, count, key, beside):
+def _write_at_once(context, count, key, meanwhile):
     async def write(client):
         began_at = time.monotonic()
         answer = await client.ask("WRITE x 1")
@@ -177,22 +179,22 @@
     async def write_all():
         clients = [(await context.path.connect("db", key))[0] for _ in range(count)]
         tasks = [await curio.spawn(write, client) for client in clients]
-        await beside()
+        await meanwhile()
         return [await task.join() for task in tasks]
 
-    context.told = run(context, write_all)
+    context.answers = run(context, write_all)
 
 
-@then("waiting for tokens: no two of those refused are told the same time to come back")
-def step_one_by_one(context):
-    lines = [lines[0] for answer, lines, _ in context.told if answer != "done I"]
+@then("waiting for tokens: no two refused calls get the same retry time")
+def step_distinct_retry_times(context):
+    lines = [lines[0] for answer, lines, _ in context.answers if answer != "done I"]
     times = [line.partition("try again in ")[2] for line in lines]
     assert len(times) > 1 and len(set(times)) == len(times), times
 
 
 @then("operation limits: each answer came within {milliseconds:d} ms")
 def step_each_answer(context, milliseconds):
-    slow = [took for _, _, took in context.told if took * MS_PER_S > milliseconds]
+    slow = [took for _, _, took in context.answers if took * MS_PER_S > milliseconds]
     assert not slow, slow
 
 
@@ -225,7 +227,7 @@
     assert context.took_s * MS_PER_S <= milliseconds, context.took_s
 
 
-@when("waiting for tokens: calls come for {seconds:g} s")
+@when("waiting for tokens: calls arrive for {seconds:g} s")
 def step_calls(context, seconds):
     kinds = [
         Kind(int(row["priority"]), float(row["a second"]), int(row["may wait ms"]))
@@ -259,23 +261,25 @@
     assert ran >= count, ran
 
 
-@given("waiting for tokens: {percent:d} % are kept for urgent calls")
-def step_kept(context, percent):
+@given("waiting for tokens: {percent:d} % of the burst are reserved for urgent calls")
+def step_reserved(context, percent):
     tenants = context.world.tenants
     tenants[TENANT] = replace(tenants[TENANT], operation_urgent_percent=percent)
 
 
-@when("waiting for tokens: a proxy asks for {count:d} and tells no priorities")
-def step_untold(context, count):
+@when("waiting for tokens: a proxy requests {count:d} operations without priorities")
+def step_without_priorities(context, count):
     world = context.world
     request = OperationsRequest(1, (OperationDemand(TENANT, count),))
     context.grant = world.limits.wanted("p0", request, world.now).grants[0]
 
 
-@then("waiting for tokens: it is granted {count:d}, and told to come back in {retry_ms:d} ms")
-def step_untold_grant(context, count, retry_ms):
-    told = (context.grant.operations, context.grant.retry_after_ms)
-    assert told == (count, retry_ms), told
+@then(
+    "waiting for tokens: it is granted {count:d}, with a retry time of {retry_ms:d} ms for the rest"
+)
+def step_granted_without_priorities(context, count, retry_ms):
+    found = (context.grant.operations, context.grant.retry_after_ms)
+    assert found == (count, retry_ms), found
 
 
 @given("waiting for tokens: its operations may wait for {wait_ms:d} ms")
@@ -285,8 +289,8 @@
 
 
 @when(
-    "waiting for tokens: a tenant is declared anew with {percent:d} % kept and a wait of "
-    "{wait_ms:d} ms"
+    "waiting for tokens: a tenant's declaration changes to {percent:d} % reserved and a wait "
+    "of {wait_ms:d} ms"
 )
 def step_declared_anew(context, percent, wait_ms):
     before = Tenant(TENANT, (), operations_per_minute=60, operation_burst=5)
@@ -300,15 +304,18 @@
     assert context.plan[0].detail == text, context.plan
 
 
-@when("waiting for tokens: {count:d} of the proxies run half of what comes, and are missed")
-def step_missed(context, count):
+@when(
+    "waiting for tokens: {count:d} of the proxies run half of the operations, and lose contact "
+    "to the leader"
+)
+def step_lose_contact(context, count):
     world = context.world
     world.play([Kind(0, 18.0, 0)], 5.0)
     for number in range(count, len(world.queues)):
-        world.limits.heard(f"p{number}", world.now)
+        world.limits.proxy_contacted(f"p{number}", world.now)
     world.now += 1.2
     for number in range(count, len(world.queues)):
-        world.limits.heard(f"p{number}", world.now)
+        world.limits.proxy_contacted(f"p{number}", world.now)
     world.limits.tick(world.now)
     world.queues = world.queues[count:]
     world.first_proxy = count
@@ -316,10 +323,10 @@
 
 
 @then(
-    "waiting for tokens: those refused are told to come back within {last_s:g} s, half of them "
-    "within {half_s:g} s"
+    "waiting for tokens: all retry times are within {last_s:g} s, and half of them within "
+    "{half_s:g} s"
 )
-def step_come_back(context, last_s, half_s):
+def step_retry_times(context, last_s, half_s):
     world = context.world
     after = sorted(a.return_at - world.now for a in world.arrivals if a.refused_at is not None)
     assert after and after[-1] <= last_s + LAST_STEP_S, after[-1]
