--- a/limedyke/proxy/statements/__init__.py
+++ b/limedyke/proxy/statements/__init__.py
@@ -1,1 +1,1 @@
-"""A proxy without a disk, for sessions of statements: the shell around ``core.statements``."""
+"""The diskless statement proxy: sockets, tasks and timers around ``core.statements``."""
