--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -1,4 +1,4 @@
-"""One statement on its way to a member: its time, its tries and the pauses between them."""
+"""The execution of one statement on a member: its deadline, its tries and the pauses between."""
 
 from __future__ import annotations
 
@@ -24,29 +24,31 @@
 LONGEST_PAUSE_S = 0.1
 LEAST_ATTEMPT_S = 0.05
 LATE_SHARE_OF_TIME = 0.5
-"""While more of a statement's time is left it is sent, however slow the member is: what an estimate
-says must not keep a member that got quicker from showing it."""
+"""Share of a statement's time. While more is left, the statement is sent regardless of the expected
+answer time; otherwise a member that became faster could never correct its estimate."""
 HELD_SHARE_OF_TARGET = 0.2
-"""A statement that no member can run, and for which nothing says when one will, is held for so much
-of its target latency at most: its client may find another proxy in the rest (a refusal held
-longer helps nobody)."""
+"""Longest hold, as a share of the target latency, for a statement that no member can run and that
+no event is expected to unblock. The client needs the rest of the time to try another proxy."""
 
 TOKEN_WAIT_SHARE_OF_TARGET = 0.8
-"""The rest of a target latency is for the way to a home proxy and back, and a connection."""
+"""Longest wait for an operation token, as a share of the target latency. The rest covers the round
+trip to a home proxy and getting a connection."""
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One statement on its way: whose it is, how long it has, and what was tried.
+    """The execution of one statement: its session, its time limits and the tries so far.
 
-    :param log: gets a line for each try that failed
-    :param began_at: when it came, seconds of the monotonic clock
-    :param whole_s: its whole time
-    :param deadline: when that is over, seconds of the monotonic clock
-    :param hold_until: how long it is held while no member can run it
+    All times are seconds of the monotonic clock.
+
+    :param log: receives each failed try
+    :param began_at: when the statement arrived
+    :param whole_s: total time allowed, in seconds
+    :param deadline: when that time ends
+    :param hold_until: end of the hold while no member can run the statement
     :param tried: identities of members that did not run it
-    :param runs: how often a member may have run it
-    :param sends: how often it was sent to a member
+    :param runs: number of tries in which a member may have run it
+    :param sends: number of times it was sent to a member
     :param last: why the last try failed, for the refusal
     """
 
@@ -74,7 +76,7 @@
     def begin(
         cls, session: StatementSession, run: RunOnMember, group: StatementGroup, log: StatementLog
     ) -> Attempt:
-        """Begin an attempt: its time counts from now."""
+        """Create an attempt whose time starts now."""
         now = time.monotonic()
         database = session.database
         whole_s = session.statement_time_s(now)
@@ -82,9 +84,9 @@
         return cls(session, run, group, log, now, whole_s, now + whole_s, hold_until)
 
     def token_wait_until(self) -> float:
-        """Return until when it may wait for a token and still be done within its target latency.
+        """Return until when it may wait for a token and still meet its target latency.
 
-        An answer is taken to last as long as those of the primary do lately.
+        The answer is expected to take as long as the primary's recent answers.
         """
         pool = self.group.primary_pool()
         answer_s = LEAST_ATTEMPT_S if pool is None else pool.observed.answer.usual_s
@@ -93,14 +95,15 @@
         return min(self.began_at + wait_s, latest) - answer_s
 
     def time_left(self) -> float:
-        """Return the seconds left to the statement."""
+        """Return the seconds until the statement's deadline."""
         return self.deadline - time.monotonic()
 
     def connection_wait_s(self, pool: MemberPool) -> float:
-        """Return for how long a connection to a member may be waited for from now on.
+        """Return how long the statement may wait for a connection to a member.
 
-        As long as the member's connections come back, that is until an answer of it would no
-        longer come in time. Where its turn would come later the pool turns it away at once.
+        It may wait until the member could no longer answer in time. If its turn in the queue would
+        come later than that, the pool refuses it at once. For a member that seems silent only the
+        short hold applies.
         """
         now = time.monotonic()
         is_silent = pool.observed.seems_silent(now)
@@ -108,20 +111,20 @@
         return max(0.0, min(self._connection_until, self.deadline) - now)
 
     def start_by(self, pool: MemberPool) -> float:
-        """Return when it has to be sent to a member to be answered in time."""
+        """Return the latest time to send the statement to a member for an answer in time."""
         return self.deadline - max(LEAST_ATTEMPT_S, pool.observed.answer.usual_s)
 
     @property
     def target_at(self) -> float:
-        """When its answer is late."""
+        """End of the target latency."""
         return self.began_at + self.session.database.target_latency_ms / MS_PER_S
 
     def held_until(self) -> float:
         """Return until when the statement is held while no member can run it.
 
-        It is held longer when only a connection is wanted, or when the next primary is expected;
-        not at all where its turn comes too late, or the lease has ended: then it is better off
-        elsewhere.
+        It is held longer if it only lacks a connection or if a new primary is expected. It is not
+        held if the queue refused it or this proxy lost its lease, because another proxy can serve
+        it sooner.
         """
         if self._is_turned_away or self._has_lost_lease:
             return 0.0
@@ -133,38 +136,39 @@
         return min(until, self.deadline - LEAST_ATTEMPT_S)
 
     def is_too_late(self, answer_s: float = LEAST_ATTEMPT_S) -> bool:
-        """Tell whether so much time has passed that an answer would hardly come in time.
+        """Tell whether too little time is left for an answer.
 
-        Then it is better not to send the statement: it is surely not run, and may be asked again.
+        Such a statement is not sent: it then certainly did not run, and the client can retry it.
 
-        :param answer_s: how long an answer of the member takes lately
+        :param answer_s: recent answer time of the member, in seconds
         """
         least_s = min(max(LEAST_ATTEMPT_S, answer_s), LATE_SHARE_OF_TIME * self.whole_s)
         return self.time_left() < least_s
 
     def may_run_again(self) -> bool:
-        """Tell whether a read that may run at one member may run at a further one too."""
+        """Tell whether a read that may have run on one member may run on another one too."""
         is_time_left = self.time_left() > LEAST_ATTEMPT_S
         return is_time_left and self.runs + 1 < self.session.database.maximum_attempts
 
     def may_be_sent(self) -> bool:
-        """Tell whether it may be sent now, and count that: further times come out of the budget.
+        """Tell whether the statement may be sent now, and count the send.
 
-        Not after an answer that only another member could give: it took no room there.
+        Each send after the first takes a token from the group's retry budget, except after a
+        misrouted try, which cost the member hardly any work.
         """
         now = time.monotonic()
         if self.sends == 0:
             self.group.retries.first_try(now)
         elif not self._was_misrouted and not self.group.retries.may_retry(now):
-            self.last = f"{self.last}, and the group's tries are used up"
+            self.last = f"{self.last}, and the group's retry budget is used up"
             return False
         self.sends += 1
         return True
 
     def failed(self, reason: AnswerKind | NotSent, member: str = "") -> None:
-        """Note why a try failed; the log tells it when it is news.
+        """Record why a try failed, and log it if the reason differs from the last one.
 
-        :param member: the member that was tried, if one was
+        :param member: the member that was tried; empty for none
         """
         self._ready_in_s = UNKNOWN_READY_S
         self._lacks_lease = reason is NotSent.NO_LEASE
@@ -179,7 +183,7 @@
         self.log.tried(self.run.statement, group.name, seen)
 
     def turned_away(self, refused: Refused, member: str) -> None:
-        """Note that a member's queue took it not, or no longer; the log tells what was counted."""
+        """Record and log that a member's queue refused the statement or dropped it."""
         self.failed(NotSent.TURNED_AWAY, member)
         self.last = f"{refused.reason} at {member}"
         self._ready_in_s = refused.room_in_s
@@ -187,11 +191,11 @@
 
     @property
     def _has_lost_lease(self) -> bool:
-        """Whether this proxy can't run it: another one, which has a lease, may."""
+        """Whether this proxy lost its lease, so that only another proxy can run the statement."""
         return self._lacks_lease and self.group.limit == 0
 
     def give_up(self, code: ResultCode) -> StatementAnswer:
-        """Return the final answer to the statement, of which nothing was kept."""
+        """Return the final refusal of the statement, which had no lasting effect."""
         if self._has_lost_lease:
             code = ResultCode.NO_LEASE
         priority = self.session.database.priority
@@ -200,22 +204,26 @@
         return give_up(self.session, code, self.last, self.runs > 0, retry_after_ms)
 
     def had_better_run_elsewhere(self) -> bool:
-        """Tell whether another home proxy may reach the primary, which a read needs."""
+        """Tell whether to return a forwarded statement because this proxy can't reach the primary.
+
+        Another home proxy may reach it.
+        """
         may_leave = self.session.may_run_elsewhere and self.runs == 0
         return may_leave and self.group.has_unreachable_primary()
 
     def leave_to_others(self) -> StatementAnswer:
-        """Return the answer to the proxy that forwarded the statement, which asks another one."""
+        """Return the refusal that makes the forwarding proxy try another home proxy."""
         return refusal(ResultCode.PRIMARY_UNREACHED, self.group.primary)
 
     async def wait_for_primary(self) -> bool:
-        """Wait for a change of the primary while the statement may be held."""
+        """Wait for a new primary; return False when the statement may be held no longer."""
         return await self.group.wait_for_primary(self.held_until())
 
     async def pause(self, until: float | None = None) -> bool:
-        """Pause before another try; False when the statement may not be held that long.
+        """Pause before another try; return False when the statement may not be held that long.
 
-        Pauses grow: what no member could run for a while is likely to wait for the next primary.
+        Pauses grow, because a statement that fails repeatedly is probably waiting for a new
+        primary.
         """
         limit = min(self.held_until() if until is None else until, self.deadline)
         if time.monotonic() + RETRY_PAUSE_S >= limit:
