--- a/limedyke/proxy/statements/clients/__init__.py
+++ b/limedyke/proxy/statements/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of sessions of statements."""
+"""Client connections of the statement proxy: codec, admission, serving and session end."""
