--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -1,4 +1,4 @@
-"""One client's connection: reads its statements one after the other and answers them."""
+"""One client connection: reads its statements one after the other and answers them."""
 
 from __future__ import annotations
 
@@ -51,7 +51,8 @@
         StatementKind.ROLLBACK,
     }
 )
-"""Behind other statements, such as SET, the one that they prepare is already on its way."""
+"""Statements after which a session may be closed. After others, such as SET, the client usually has
+sent the statement that they prepare already."""
 SERVED_ELSEWHERE = frozenset(
     code.value.number
     for code in (
@@ -63,29 +64,30 @@
         ResultCode.TRANSACTION_LOST,
     )
 )
-"""What a proxy that is cut off answers, though another one may serve it."""
+"""Refusals by a proxy cut off from the controllers that another proxy might not give."""
 KEY_UNKNOWN = ResultCode.ACCESS_KEY_UNKNOWN.value.number
-"""Ends the session: the key that it was opened with has been taken away."""
+"""Ends the session: the access key it was opened with was revoked."""
 STOPPED_RETRY_AFTER_MS = 10
-"""Another proxy may serve at once."""
+"""Short, because another proxy can serve the client at once."""
 REST_BEFORE_LEAVING_S = 0.25
+"""Seconds a session must be idle before the first phase of a planned stop ends it."""
 EVENTS = EventLog("client")
 
 
 class LeaveAskedError(curio.CancelledError):
-    """The session is to end where it waits for its client."""
+    """Raised in a client task that waits for its client when the session is to end."""
 
 
 class StopDeadlineError(LeaveAskedError):
-    """The proxy ends soon: the statement under way is told what is known of it."""
+    """Raised in a client task whose statement must be answered now because the proxy exits."""
 
 
 @dataclass(slots=True)
 class ClientServices:
-    """What all clients of a proxy share.
+    """Services that all clients of a proxy share.
 
-    :param is_cut_off: whether the proxy has lost the controllers, so that others may serve better
-    :param stop: whether the proxy was asked to stop, and until when it does what
+    :param is_cut_off: tells whether the proxy has lost contact with the controllers
+    :param stop: state and schedule of a planned stop
     """
 
     groups: StatementGroups
@@ -99,7 +101,7 @@
 class StatementClient:
     """Serves one client until its connection ends.
 
-    :ivar is_waiting: it waits for the client
+    :ivar is_waiting: the task waits for data from the client
     """
 
     def __init__(self, sock: socket.socket, codec: ClientCodec, services: ClientServices) -> None:
@@ -123,7 +125,7 @@
         return self._under_way is not None
 
     async def run(self) -> None:
-        """Serve the client; never raises for what the client or its network does."""
+        """Serve the client; errors of the client or its network are never raised."""
         try:
             while await self._serve_next():
                 continue
@@ -135,7 +137,7 @@
                 await self._clean_up()
 
     def _tell_unanswered(self) -> None:
-        """Log a statement whose client gets no answer any more."""
+        """Log a statement whose connection ended before it was answered."""
         if self._under_way is not None:
             was_sent = self._session is not None and self._session.was_sent
             self._services.log.unanswered(self._under_way, self._ended_by, was_sent)
@@ -150,7 +152,7 @@
             return
 
     async def _serve_next(self) -> bool:
-        """Serve the client's next event; tell whether there can be another."""
+        """Serve the client's next event; return False when the session is over."""
         event = await self._next_event()
         match event:
             case SessionRequested():
@@ -182,16 +184,16 @@
         return self._events.popleft()
 
     async def leave(self) -> None:
-        """End the session, or its transaction, if it waits for the client and the stop is so far.
+        """End the session or its idle transaction if the stop schedule says so.
 
-        What a client has just been told may bring its next statement, which is on its way: at
-        first only sessions end that have rested for a while.
+        The first phase of a stop ends only sessions that have been idle for a while: a client that
+        just got an answer may have sent its next statement already.
         """
         if self.is_waiting and self._is_due(time.monotonic()):
             await self._interrupt(LeaveAskedError)
 
     def _is_due(self, now: float) -> bool:
-        """Tell whether a session that waits for its client is to be ended now."""
+        """Tell whether the stop schedule ends a session that waits for its client now."""
         schedule = self._services.stop.schedule
         status = TransactionStatus.IDLE if self._session is None else self._session.status
         match status:
@@ -203,7 +205,7 @@
         return now >= schedule.answers_until
 
     async def cut_short(self) -> None:
-        """Have the statement under way answered now with what is known of it."""
+        """Interrupt the running statement and answer it with its known outcome."""
         if self.is_serving:
             await self._interrupt(StopDeadlineError)
 
@@ -212,16 +214,16 @@
             await interrupt(self.task, error)
 
     async def _end_session(self, code: ResultCode) -> None:
-        """Tell the client that its session is over; what it has sent by then did not run."""
+        """End the session; statements that arrived meanwhile are answered as not run."""
         self._is_over = True
         limit_s = max(0.0, self._services.stop.schedule.ends_at - time.monotonic())
         reason = refusal(code, retry_after_ms=STOPPED_RETRY_AFTER_MS)
         await end_session(self._socket, self._codec, reason, tuple(self._events), limit_s)
 
     async def _stay_for_what_came(self) -> None:
-        """Serve a statement that came at the moment the session was asked to leave.
+        """Discard a pending request to end the session, because the client sent data.
 
-        Cancellation can't just be disabled while a statement runs: its time limits are
+        Cancellation can't be disabled for the whole statement instead, because timeouts are
         cancellations too.
         """
         if self._services.stop.is_stopping:
@@ -229,7 +231,7 @@
                 await curio.check_cancellation(LeaveAskedError)
 
     async def _receive(self) -> bytes | None:
-        """Return received bytes; None when an open transaction has rested for too long."""
+        """Return received bytes; None when an open transaction was idle for too long."""
         rest_s = self._rest_limit_s()
         self.is_waiting = True
         self._waiting_since = time.monotonic()
@@ -244,7 +246,7 @@
             self.is_waiting = False
 
     def _rest_limit_s(self) -> float | None:
-        """Return how long the client may rest; None for as long as it likes."""
+        """Return the idle limit in seconds; None for no limit."""
         view = self._services.groups.view
         is_open = self._session is not None and self._session.transaction is not None
         if not is_open or view is None or not view.session_limits.idle_in_transaction_ms:
@@ -252,7 +254,7 @@
         return view.session_limits.idle_in_transaction_ms / 1_000
 
     async def _lose_transaction(self, code: ResultCode) -> None:
-        """Roll back a transaction whose client rests; its next statement is told so."""
+        """Roll back an idle transaction; the answer to the client's next statement reports it."""
         self._session.lose_transaction(code)
         if self._place is not None:
             place, self._place = self._place, None
@@ -269,7 +271,7 @@
         return True
 
     async def _admit(self, event: SessionRequested) -> Result[StatementSession, StatementAnswer]:
-        """Open a session, unless the proxy takes no more statements."""
+        """Open a session, unless the proxy is stopping and accepts no more statements."""
         if not self._services.stop.schedule.takes(StatementKind.READ, time.monotonic()):
             return Err(refusal(ResultCode.DRAINING, retry_after_ms=STOPPED_RETRY_AFTER_MS))
         return await self._services.admission.open(event)
@@ -301,7 +303,7 @@
     def _refused_at_once(
         self, session: StatementSession, statement: Statement
     ) -> StatementAnswer | None:
-        """Return why a statement is not served at all; None when it is."""
+        """Return the refusal of a statement that is not run at all; None when it is run."""
         is_taken = self._services.stop.schedule.takes(statement.kind, time.monotonic())
         match session.status:
             case TransactionStatus.IDLE if not is_taken:
@@ -313,7 +315,7 @@
     async def _goes_on(
         self, session: StatementSession, statement: Statement, answer: StatementAnswer
     ) -> bool:
-        """Tell whether the session goes on behind an answer; end it when it does not."""
+        """Tell whether the session continues after an answer; end it otherwise."""
         if answer.code == KEY_UNKNOWN:
             await self._end_session(ResultCode.ACCESS_KEY_UNKNOWN)
             return False
@@ -324,10 +326,10 @@
         return True
 
     def _note_refusal(self, answer: StatementAnswer) -> None:
-        """Have the client come back to another proxy if that may serve what was refused here.
+        """Mark the session to be ended if another proxy might serve what was refused here.
 
-        A proxy that has lost the controllers knows no new primary and proves no position; another
-        one may be on the other side of the cut.
+        A proxy that lost the controllers learns no new primary and can prove no position; another
+        proxy may be on the other side of the network partition.
         """
         if answer.code in SERVED_ELSEWHERE and self._services.is_cut_off():
             self._is_sent_away = True
@@ -353,7 +355,7 @@
         return placed.answer
 
     async def _cut(self, session: StatementSession, run: RunOnMember) -> PlacedAnswer:
-        """Give a statement up that no member has answered by the end of the stop."""
+        """Return the result of a statement that is unanswered when the stop deadline passes."""
         if self._place is not None:
             await self._services.executor.abandon(self._place)
         detail = "the proxy stops"
