--- a/limedyke/proxy/statements/clients/client_codec.py
+++ b/limedyke/proxy/statements/clients/client_codec.py
@@ -1,4 +1,4 @@
-"""What a proxy needs of a client protocol; sans-IO."""
+"""The interface that a client protocol implements, without I/O, and its events."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionRequested:
-    """The client opens its session.
+    """The client asks to open a session.
 
-    :param access_key: what it shows to be known by; empty when it shows nothing
+    :param access_key: the key that it presents; empty for none
     """
 
     database: str
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedStatement:
-    """The client sent what is no statement; it is refused and the session goes on."""
+    """The client sent something that is no statement; it is refused and the session goes on."""
 
     reason: str
 
@@ -43,32 +43,32 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveAsked:
-    """The proxy itself wants the session to end: its client asks nothing."""
+    """The proxy ends the session while its client is idle."""
 
 
 ClientEvent = SessionRequested | StatementReceived | MalformedStatement | SessionEnded | LeaveAsked
 
 
 class ClientCodec(Protocol):
-    """One client connection's codec."""
+    """The codec of one client connection."""
 
     def feed(self, data: bytes) -> list[ClientEvent]:
-        """Take received bytes; return the events now whole."""
+        """Parse received bytes; return the events that are complete."""
 
     def ready(self) -> bytes:
-        """Say that the session is open."""
+        """Encode that the session is open."""
 
     def answer(self, answer: StatementAnswer, status: TransactionStatus) -> bytes:
-        """Return the whole answer to a statement."""
+        """Encode the whole answer to a statement."""
 
     def refuse_session(self, answer: StatementAnswer) -> bytes:
-        """Say why no session is opened; the connection is closed behind it."""
+        """Encode why no session is opened; the connection is closed after it."""
 
     def session_over(self, reason: StatementAnswer) -> bytes:
-        """Tell a client that asks nothing that its session is over.
+        """Encode that the session is over, for a client that is idle.
 
-        To a client whose statement is on its way this begins the answer to it.
+        A client whose statement is in flight reads this as the start of the answer to it.
         """
 
     def end_of_answer(self, status: TransactionStatus) -> bytes:
-        """Return what is missing of an answer that ``session_over`` has begun."""
+        """Encode the rest of an answer that ``session_over`` started."""
