--- a/limedyke/proxy/statements/clients/session_admission.py
+++ b/limedyke/proxy/statements/clients/session_admission.py
@@ -1,4 +1,4 @@
-"""Who may open a session, and on whose behalf it runs from one operation to the next."""
+"""Decides who may open a session, and for which tenant it runs."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 from limedyke.result_codes import ResultCode
 
 FIRST_VIEW_WAIT_S = 1.5
-"""A client that comes before the proxy knows any database waits so long; to say that there is no
-such database would be untrue."""
+"""Seconds a client waits for the proxy's first control view. Until then the proxy can't know
+whether a database exists."""
 CONFIRM_LIMIT_S = 0.5
-"""So long the controllers are asked whether an unknown key or database is newer than the view: a
-round trip over two regions takes 0.18 s, and a loaded machine pauses for 0.1 s."""
+"""Timeout, in seconds, for asking the controllers whether an unknown key or database is newer than
+the view: a round trip across two regions takes 0.18 s, and a loaded machine pauses for 0.1 s."""
 UNCONFIRMED_RETRY_MS = 500
 
 
 class ViewConfirmation(Protocol):
-    """The control client, as far as it is needed here."""
+    """The part of the control client that is used here."""
 
     async def confirm_view(self, limit_s: float) -> bool:
-        """Wait until all that the leader's state held at this moment is in force."""
+        """Wait until the view includes everything in the leader's state at the time of the call."""
 
 
 class SessionAdmission:
-    """Admits sessions by the view in force.
+    """Admits sessions according to the current control view.
 
     :param groups: hold the view and the access keys
-    :param control: asks the controllers about what the view does not hold
+    :param control: asks the controllers about keys and databases missing from the view
     """
 
     def __init__(self, groups: StatementGroups, control: ViewConfirmation) -> None:
@@ -42,7 +42,7 @@
         self._control = control
 
     async def open(self, request: SessionRequested) -> Result[StatementSession, StatementAnswer]:
-        """Return a new session, or why none is opened."""
+        """Return a new session, or the refusal."""
         view = await self._groups.wait_for_view(FIRST_VIEW_WAIT_S)
         if view is None:
             detail = "no controller has told the state yet"
@@ -57,9 +57,9 @@
         return self._open(self._groups.view, request.database, key)
 
     def renew(self, session: StatementSession) -> StatementAnswer | None:
-        """Take the newest declaration into a session between two operations.
+        """Update a session to the newest declaration between two operations.
 
-        :returns: why it can't go on, if so
+        :returns: the refusal if the session can't continue, else None
         """
         renewed = self._open(self._groups.view, session.database.name, session.access_key)
         if isinstance(renewed, Err):
