--- a/limedyke/proxy/statements/clients/session_end.py
+++ b/limedyke/proxy/statements/clients/session_end.py
@@ -1,4 +1,4 @@
-"""Ends a client's session without losing a statement that is on its way."""
+"""Ends a client's session without losing a statement that is in flight."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 RECEIVE_BYTES = 64 * 1024
 LONGEST_END_S = 3.0
-"""A client that goes on asking is refused for so long before its connection is closed."""
+"""Seconds for which further statements are refused before the connection is closed."""
 SILENCE_S = 0.5
-"""What a client sent before it read the end arrives within so long: a round trip over two regions
-takes 0.18 s, and a loaded machine pauses for 0.1 s."""
+"""Seconds within which anything arrives that the client sent before it read the end: a round trip
+across two regions takes 0.18 s, and a loaded machine pauses for 0.1 s."""
 
 
 async def end_session(
@@ -31,14 +31,14 @@
     unserved: Sequence[ClientEvent],
     limit_s: float,
 ) -> None:
-    """Tell a client that its session is over, and wait until it closes or asks nothing more.
+    """Tell a client that its session is over, and wait until it closes or sends nothing more.
 
-    A statement that crosses this on its way is answered by it: it did not run.  Closing at once
-    would reset the connection, with the statement and the answer before it.
+    A statement that was in flight at that moment is answered by this message: it did not run.
+    Closing the connection at once would reset it, and lose that statement and the answer before it.
 
     :param reason: a refusal, which says that a statement did not run
-    :param unserved: what the client sent before and no answer was told of
-    :param limit_s: how long this may take at most
+    :param unserved: events that were received but not answered
+    :param limit_s: time limit in seconds
     """
     try:
         async with curio.timeout_after(min(limit_s, LONGEST_END_S)):
@@ -55,10 +55,11 @@
     reason: StatementAnswer,
     unserved: Sequence[ClientEvent],
 ) -> None:
-    """Answer statements until no more come; the end already told begins the first answer.
+    """Refuse statements until no more arrive.
 
-    A client whose statement was refused so may take it for that alone, and ask again after a rest:
-    it is told once more before the connection closes.
+    The ``session_over`` already sent is the start of the first answer. A client whose statement was
+    refused may believe that only the statement failed and retry later, so ``session_over`` is sent
+    once more before the connection closes.
     """
     events = unserved
     is_told = True
