--- a/limedyke/proxy/statements/executor.py
+++ b/limedyke/proxy/statements/executor.py
@@ -1,4 +1,4 @@
-"""Runs the statements of a client: here under this proxy's lease, or at a home proxy."""
+"""Runs client statements locally under this proxy's lease, or at a home proxy."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class StatementExecutor:
-    """Runs statements wherever connections of their group are leased."""
+    """Runs each statement on a proxy that holds a connection lease for its group."""
 
     def __init__(
         self, groups: StatementGroups, runner: StatementRunner, forwarding: StatementForwarding
@@ -30,7 +30,7 @@
         self._forwarding = forwarding
 
     def can_serve(self, group: str) -> bool:
-        """Tell whether statements of a group have somewhere to run."""
+        """Tell whether this proxy or a known home proxy can run statements of a group."""
         known = self._groups.groups.get(group)
         if known is not None and known.limit > 0:
             return True
@@ -50,7 +50,7 @@
             if place is not None:
                 await self.roll_back(place)
             session.fail_transaction()
-            detail = "the group is not declared any more"
+            detail = "the group is no longer declared"
             return PlacedAnswer(refusal(ResultCode.NO_MEMBER, detail, UNDECLARED_RETRY_AFTER_MS))
         if place is None:
             forwarded = await self._run_elsewhere(session, run, group)
@@ -62,10 +62,10 @@
     async def _run_here_first(
         self, session: StatementSession, run: RunOnMember, group: StatementGroup
     ) -> PlacedAnswer:
-        """Run a statement that is in no open transaction yet here.
+        """Run a statement outside an open transaction on this proxy.
 
-        Where this proxy's lease ends while it waits it surely did not run, and goes to a home
-        proxy for what is left of its time.
+        If this proxy's lease ends before the statement was sent, the statement is forwarded to a
+        home proxy for the rest of its time.
         """
         now = time.monotonic()
         until = now + session.statement_time_s(now)
@@ -83,7 +83,7 @@
     async def _run_elsewhere(
         self, session: StatementSession, run: RunOnMember, group: StatementGroup
     ) -> PlacedAnswer | None:
-        """Run a statement that is in no open transaction yet elsewhere; None to do it here."""
+        """Forward a statement outside an open transaction; None to run it on this proxy."""
         if group.limit == 0:
             return await self._forwarding.run(session, run, group)
         if session.tenant:
@@ -91,14 +91,14 @@
         return None
 
     async def roll_back(self, place: TransactionPlace) -> None:
-        """End a transaction that is not to be committed."""
+        """Roll back a transaction."""
         if isinstance(place, ForwardedTransaction):
             await self._forwarding.roll_back(place)
         else:
             await place.roll_back()
 
     async def abandon(self, place: TransactionPlace) -> None:
-        """End the transaction of a client that is gone; a statement may be under way."""
+        """End the transaction of a disconnected client; one of its statements may be running."""
         if isinstance(place, ForwardedTransaction):
             await self._forwarding.roll_back(place)
         else:
