--- a/limedyke/proxy/statements/giving_up.py
+++ b/limedyke/proxy/statements/giving_up.py
@@ -1,4 +1,4 @@
-"""The final answer to a statement that is given up."""
+"""The final refusal of a statement that could not be run."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 MS_PER_S = 1_000
 UNKNOWN_READY_S = 0.2
-"""When it is worth asking again for what nothing tells the time of, such as a fresh member."""
+"""Retry delay, in seconds, when nothing predicts recovery, such as while no member is fresh."""
 RETRY_AFTER_MS = int(LEAST_RETURN_S * MS_PER_S)
-"""When to come back where another place can serve at once, as when a home proxy is lost."""
+"""Retry delay when another proxy or connection can serve at once, as when a home proxy is lost."""
 
 
 def give_up(
@@ -21,12 +21,12 @@
     may_have_run: bool = False,
     retry_after_ms: int = RETRY_AFTER_MS,
 ) -> StatementAnswer:
-    """Return the final answer to a statement that nothing was kept of; an open transaction fails.
+    """Return the refusal of a statement without lasting effect; its open transaction fails.
 
-    :param code: why it was given up, if it surely did not run
-    :param may_have_run: it was sent somewhere and not answered: only reads are given up then, and
-        are told so
-    :param retry_after_ms: when to come back
+    :param code: the reason, for a statement that certainly did not run
+    :param may_have_run: it was sent and not answered; only reads are refused in that case, with
+        ``READ_UNANSWERED``
+    :param retry_after_ms: delay before the client should retry
     """
     if session.transaction is not None:
         session.fail_transaction()
