--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -160,7 +160,7 @@
         if self.sends == 0:
             self.group.retries.first_try(now)
         elif not self._was_misrouted and not self.group.retries.may_retry(now):
-            self.last = f"{self.last}, and the group's retry budget is used up"
+            self.last = f"{self.last}, and the group's tries are used up"
             return False
         self.sends += 1
         return True
