--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -1,4 +1,4 @@
-"""One group of announced members as this proxy serves it."""
+"""One group of announced members: its pools, its primary and this proxy's lease."""
 
 from __future__ import annotations
 
@@ -23,12 +23,15 @@
 from limedyke.proxy.statements.members.member_pool import MemberPool
 
 LEASE_MARGIN_S = 0.2
+"""The primary lease counts as expired this much early, so that a statement sent now still runs
+under it."""
 CUT_OFF_S = 1.0
-"""A proxy whose lease ended so long ago may hear of the next primary late: it holds nothing."""
+"""Seconds after the end of the primary lease from which statements are no longer held: the proxy
+may be cut off from the controllers and learn of a new primary late."""
 PRIMARY_LOOK_S = 0.1
-"""A statement that is held looks again so often whether the primary answers."""
+"""Interval at which a held statement checks whether the primary answers."""
 UNKNOWN_GAP_S = 0.005
-"""Turns are assumed to come so quickly at members that another proxy has the connections to."""
+"""Assumed time between two turns at members to which only other proxies have connections."""
 LEAST_GAP_S = 0.0001
 MS_PER_S = 1_000
 NO_MEMBERS: Mapping[str, int] = MappingProxyType({})
@@ -39,12 +42,16 @@
     """Members, pools and the primary of one group.
 
     :param name: of the group
-    :param make_pool: makes the pool of a member
-    :param lease_ends_at: gives the moment until which the recorded primary is surely the only one
-    :param outage_times: how long changes of primary take as a rule
-
-    :ivar retries: how many tries beyond the first its statements may cost
-    :ivar position_is_asked: a question for the primary's position is under way
+    :param make_pool: creates the pool of a member
+    :param lease_ends_at: returns when the primary lease ends, monotonic seconds; until then no
+        other member can be primary
+    :param outage_times: usual durations of primary changes
+
+    :ivar retries: budget for retries of the group's statements
+    :ivar exposed: member that reports itself as primary but is not the recorded one; empty for none
+    :ivar replaced: former primary while no primary is recorded; empty otherwise
+    :ivar denied: members that reported that they are not primary
+    :ivar position_is_asked: a query for the primary's position is running
     """
 
     def __init__(
@@ -82,12 +89,12 @@
         return [pool.observed for pool in self.pools.values()]
 
     def primary_pool(self) -> MemberPool | None:
-        """Return the pool of the member that should lead; None while none is known.
+        """Return the pool of the presumed primary; None while none is known.
 
-        It is the recorded primary, unless that one has said since that it does not lead, or none
-        is recorded, and another member says that it does: its own word is good for what it
-        checks itself, such as writes.  The one that is being replaced is not taken: what it
-        acknowledges now may be lost.
+        This is the recorded primary. If none is recorded, or the recorded one reported that it is
+        not primary, it is a member that reports itself as primary. Its claim suffices for
+        statements whose role it checks itself, such as writes. A primary that is being replaced is
+        never chosen, because writes that it acknowledges now may be lost.
         """
         recorded = self.pools.get(self.primary)
         if self._has_started_again():
@@ -99,9 +106,9 @@
         return self.pools.get(self.exposed) or recorded
 
     def retry_after_ms(self, priority: int, needs_primary: bool, ready_in_s: float) -> int:
-        """Return when one that is refused may come back, as the members give turns.
+        """Return the retry delay for a refused statement, from the rate at which members serve.
 
-        :param ready_in_s: when there is room for it, if that is known
+        :param ready_in_s: seconds until there is room for it, if known
         """
         outage_s = self.outage.return_in_s(time.monotonic()) if needs_primary else 0.0
         ready_in_s = max(ready_in_s, outage_s)
@@ -113,7 +120,7 @@
         return math.ceil(return_s * MS_PER_S)
 
     async def says_role(self, identity: str, is_primary: bool) -> None:
-        """Take a member's word on whether it leads."""
+        """Record a member's own report on whether it is primary."""
         if not is_primary:
             self.denied.add(identity)
             if self.exposed == identity:
@@ -125,28 +132,28 @@
             await self._wake_waiting()
 
     def leads(self, identity: str) -> bool:
-        """Tell whether a member is the recorded primary, and has said nothing to the contrary."""
+        """Tell whether a member is the recorded primary and has not denied that it is."""
         is_recorded = identity == self.primary and identity not in self.denied
         return is_recorded and not self._has_started_again()
 
     def has_unreachable_primary(self) -> bool:
-        """Tell whether this proxy can't reach the member that should lead, though one is known."""
+        """Tell whether the presumed primary is known but unreachable from this proxy."""
         pool = self.primary_pool()
         return pool is not None and pool.observed.health is MemberHealth.UNREACHABLE
 
     def lacks_primary(self, now: float) -> bool:
-        """Tell whether no member is known that leads and answers."""
+        """Tell whether there is no known primary that answers."""
         pool = self.primary_pool()
         if pool is None or pool.observed.record.identity in self.denied:
             return True
         return pool.observed.health is MemberHealth.UNREACHABLE or pool.observed.seems_silent(now)
 
     def has_replica_for(self, since: float, written: LogPosition | None, within_s: float) -> bool:
-        """Tell whether a replica is expected to serve a read soon.
+        """Tell whether a replica is expected to be able to serve a read soon.
 
-        :param since: what was acknowledged before, seconds of the monotonic clock, must be seen
-        :param written: position that must be held beside that; None for none
-        :param within_s: how soon
+        :param since: the read must see all writes acknowledged before this monotonic time
+        :param written: further log position that the replica must hold; None for none
+        :param within_s: longest wait until the replica is ready, in seconds
         """
         fresh = self.positions.not_older_than(since)
         if fresh is None:
@@ -162,25 +169,25 @@
         )
 
     def hold_until(self, now: float) -> float:
-        """Return until when statements that need the primary are held; ``now`` when they aren't."""
+        """Return until when statements that need the primary are held; ``now`` for no hold."""
         if self.primary_lease_left_s() < -CUT_OFF_S:
             return now
         return self.outage.hold_until(now)
 
     def primary_lease_left_s(self) -> float:
-        """Return for how long the recorded primary is surely the only one; negative when not."""
+        """Return the seconds left of the primary lease, less a margin; negative once it ended."""
         return self._lease_ends_at() - LEASE_MARGIN_S - time.monotonic()
 
     def is_surely_primary(self, identity: str) -> bool:
-        """Tell whether a member is the recorded primary, and no other can be for a while.
+        """Tell whether a member is the recorded primary under a lease that is still valid.
 
-        A statement that is sent now runs a little later: the lease must hold until then.
+        A statement that is sent now runs a little later, so the lease must last until then.
         """
         is_recorded = identity == self.primary and not self._has_started_again()
         return is_recorded and self.primary_lease_left_s() > 0.0
 
     def _has_started_again(self) -> bool:
-        """Tell whether the recorded primary has started again, and holds nothing of its log."""
+        """Tell whether the recorded primary restarted and so lost its log."""
         pool = self.pools.get(self.primary)
         if pool is None:
             return False
@@ -189,7 +196,7 @@
         return is_later or pool.observed.has_lost_log
 
     async def take_members(self, members: Mapping[str, AnnouncedMember]) -> None:
-        """Take the recorded members of this group, by identity."""
+        """Update the pools to the recorded members of this group, given by identity."""
         for identity in [name for name in self.pools if name not in members]:
             await self.pools.pop(identity).drain()
         for identity, record in members.items():
@@ -205,7 +212,7 @@
             await self.pools[identity].set_limit(self.limit_at(identity))
 
     async def take_primary(self, primary: GroupPrimary | None) -> None:
-        """Take the recorded primary."""
+        """Update the recorded primary."""
         identity = primary.primary if primary is not None else ""
         term = primary.term if primary is not None else 0
         self._primary_started_at_ms = primary.started_at_ms if primary is not None else 0
@@ -224,7 +231,7 @@
         await self._wake_waiting()
 
     async def wait_for_primary(self, until: float) -> bool:
-        """Wait a little for a change of the primary; False when ``until`` has passed already."""
+        """Wait briefly for a change of the primary; False when ``until`` has already passed."""
         left_s = until - time.monotonic()
         if left_s <= 0.0:
             return False
@@ -232,15 +239,15 @@
         return True
 
     async def _wake_waiting(self) -> None:
-        """Have those that wait for a primary look again."""
+        """Wake all statements that wait for a primary."""
         event, self.primary_changed = self.primary_changed, curio.Event()
         await event.set()
 
     async def set_limit(self, limit: int, limits_at: Mapping[str, int] = NO_MEMBERS) -> None:
-        """Take the lease of connections.
+        """Update the connection lease.
 
-        :param limit: to each member
-        :param limits_at: to some of them beside that, by identity
+        :param limit: connections to each member
+        :param limits_at: additional connections to certain members, by identity
         """
         self.limit = limit
         self._limits_at = limits_at
@@ -252,12 +259,12 @@
             await pool.set_limit(self.limit_at(identity))
 
     def shared_by(self, proxies: int) -> None:
-        """Take how many home proxies send to the members."""
+        """Update how many home proxies share the members."""
         for observed in self.observed_members:
             observed.concurrency.shared_by(proxies)
 
     async def take_declared(self, declared: Group) -> None:
-        """Take the declaration: at which members the lease to each one holds."""
+        """Update the group's declaration, which says at which members the common lease holds."""
         if declared == self._declared:
             return
         self._declared = declared
@@ -272,14 +279,14 @@
         return is_common * self.limit + self._limits_at.get(identity, 0)
 
     def exceeds_lease(self, identity: str = "") -> bool:
-        """Tell whether more connections are open than leased to a member; empty for any."""
+        """Tell whether more connections are open than leased to a member, or to any if empty."""
         pools = self.pools.items()
         return any(
             pool.opened > self.limit_at(name) for name, pool in pools if identity in ("", name)
         )
 
     def demands(self, now: float) -> list[ConnectionDemand]:
-        """Return how many connections to each member there is use for here."""
+        """Return this proxy's demand for connections to each member."""
         return [
             ConnectionDemand(
                 self.name,
@@ -295,7 +302,7 @@
     def learn_position(
         self, identity: str, asked_at: float, position: LogPosition | None, proven: bool
     ) -> None:
-        """Take a position that a member told.
+        """Record a log position reported by a member if it is known to be the primary's.
 
         :param proven: the answer itself shows that the member was the primary
         """
@@ -305,15 +312,15 @@
             self.positions.add(asked_at, position)
 
     async def drain(self) -> None:
-        """Close all pools: the group is declared no longer."""
+        """Close all pools because the group is no longer declared."""
         for pool in self.pools.values():
             await pool.drain()
 
 
 def _is_same_process(known: AnnouncedMember, record: AnnouncedMember) -> bool:
-    """Tell whether a record is of the process that is known: another one holds nothing of before.
+    """Tell whether a record is of the same member process as the known one.
 
-    What was observed of it, and its connections, are of no use then.
+    Observations of another process and connections to it are useless for the new one.
     """
     is_same_place = known.address == record.address
     return is_same_place and known.started_at_ms == record.started_at_ms
