--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -1,4 +1,4 @@
-"""All groups of this proxy: follows the controllers' view and leases, watches members."""
+"""All groups of this proxy: applies control views and leases, and monitors the members."""
 
 from __future__ import annotations
 
@@ -38,21 +38,21 @@
 from limedyke.transport.traffic import NO_METER, Distance, Place, TrafficMeter
 
 WATCH_INTERVAL_S = 0.1
-"""A member that seems to hang is probed at most so much later."""
+"""Interval of the member checks: the longest delay before a hanging member is probed."""
 BUSY_PROBE_SHARE = 0.3
-"""With statements under way a silence is looked at after so much of the probe interval."""
+"""Share of the probe interval after which a silent primary is probed while statements run there."""
 HOUSEKEEPING_S = 2.0
 EVENTS = EventLog("groups")
 
 
 @dataclass(frozen=True, slots=True)
 class _Seen:
-    """What was last reported of a member.
+    """The state of a member that was last reported to the controllers.
 
-    :param is_primary: it is the recorded primary, and has said nothing to the contrary
-    :param log_term: of the newest commit in its log: it shows whether the member has followed the
-        last change of primary
-    :param started_at_ms: of its incarnation
+    :param is_primary: it is the recorded primary and has not denied that it is
+    :param log_term: term of the newest commit in its log, which shows whether the member follows
+        the latest primary
+    :param started_at_ms: start time of its incarnation
     """
 
     health: MemberHealth
@@ -62,21 +62,21 @@
 
 
 class Reporter(Protocol):
-    """What is told to the controllers."""
+    """Sends reports to the controllers."""
 
     async def report_member(self, report: MemberReport) -> None:
-        """Report what is seen of a member."""
+        """Report the state of a member."""
 
     async def return_leases(self, leases: tuple[ConnectionLease, ...]) -> None:
-        """Tell that no more than these connections are held."""
+        """Report that no more than these connections are open."""
 
 
 class StatementGroups:
-    """The groups by name; handler of the control client.
+    """The groups by name; handles the events of the control client.
 
-    :param make_codec: makes the codec of a member connection
+    :param make_codec: creates the codec of a member connection
     :param primary_lease_ends_at: see ``StatementGroup``
-    :param meter: counts what is sent to members and received from them
+    :param meter: counts the bytes exchanged with members
     """
 
     def __init__(
@@ -107,7 +107,7 @@
         self._unusable: set[str] = set()
 
     async def control_changed(self, view: ControlView) -> None:
-        """Take a newer view into force."""
+        """Apply a newer control view."""
         self.view = view
         self.access_keys.take(view.tenants)
         members: dict[str, dict[str, AnnouncedMember]] = {name: {} for name in view.groups}
@@ -131,7 +131,7 @@
             await self.on_view(view)
 
     def _is_usable(self, member: AnnouncedMember) -> bool:
-        """Tell whether a record names a member to use; log once why one does not."""
+        """Tell whether a member record is valid; log once why it is not."""
         fault = fault_of(member)
         if not fault:
             self._unusable.discard(member.identity)
@@ -142,7 +142,7 @@
         return False
 
     async def leases_changed(self, leases: tuple[ConnectionLease, ...], expires_at: float) -> None:
-        """Take the leases of connections; what is above them is closed and given back."""
+        """Apply connection leases; connections above them are closed and returned."""
         self._owed |= self._leases.keys()
         before = self._leases
         self._leases = {(lease.group, lease.tenant): lease.connections for lease in leases}
@@ -153,17 +153,17 @@
         await self._return_leases()
 
     async def promote(self, order: PromoteOrder) -> PromoteResult:
-        """Refuse: members of these groups are promoted by an authority outside."""
-        return PromoteResult(order.group, order.term, "", "an authority outside promotes")
+        """Refuse the order: an external authority promotes the members of these groups."""
+        return PromoteResult(order.group, order.term, "", "an external authority promotes")
 
     async def wait_for_view(self, limit_s: float) -> ControlView | None:
-        """Return the view in force; before the first one wait for it, for a limited time."""
+        """Return the current view; wait for the first one for a limited time."""
         if self.view is None:
             await curio.ignore_after(limit_s, self._first_view.wait)
         return self.view
 
     async def watch(self) -> None:
-        """Watch the members until cancelled: probe silent primaries, report changes."""
+        """Monitor the members until cancelled: probe silent ones and report changes."""
         next_housekeeping = time.monotonic() + HOUSEKEEPING_S
         while True:
             self._pauses.sleeps_until(time.monotonic() + WATCH_INTERVAL_S)
@@ -190,10 +190,10 @@
             await self._report(group, observed)
 
     def _wants_probe(self, observed: ObservedMember, is_primary: bool, now: float) -> bool:
-        """Tell whether a member should be asked whether it answers.
+        """Tell whether to probe a member.
 
-        A primary that is silent is, and any member that can't be reached or seems to hang: no
-        statement goes there before it answers again.
+        A silent primary is probed, and so is any member that is unreachable or seems to hang, as it
+        gets no statements until it answers again.
         """
         if now - observed.probed_at < self._settings.probe_timeout_ms / 1_000:
             return False
@@ -205,7 +205,7 @@
         return is_primary and now - observed.contact_at > interval_s
 
     async def _probe(self, pool: MemberPool) -> None:
-        """Ask a member how it is, and learn from the answer, or from none."""
+        """Probe a member and update its observed state."""
         limit_s = max(self._settings.probe_timeout_ms / 1_000, pool.observed.longest_sign_s)
         is_lost = pool.observed.health is MemberHealth.UNREACHABLE
         if is_lost or pool.observed.seems_silent(time.monotonic()):
@@ -216,10 +216,9 @@
             await pool.connector.check_address(limit_s)
 
     async def _report(self, group: StatementGroup, observed: ObservedMember) -> None:
-        """Report a member when its health, its role or the term of its log has changed.
+        """Report a member whose health, role, log term or incarnation has changed.
 
-        A primary that has lost its log is reported as one that can't be reached: it has to be
-        replaced as soon.
+        A primary that lost its log is reported as unreachable, so that it is replaced as quickly.
         """
         identity = observed.record.identity
         key = (group.name, identity)
@@ -258,7 +257,7 @@
                 await pool.close_idle(now)
 
     async def _return_leases(self) -> None:
-        """Give back what was taken away, once no member has more connections than are left."""
+        """Confirm reduced leases once no member has more connections open than are left."""
         if self.reporter is None or not self._owed:
             return
         due = {key for key in self._owed if self._holds_no_more_than_leased(*key)}
@@ -275,7 +274,7 @@
         return group is None or not group.exceeds_lease(member_of_budget(tenant))
 
     def _limits_of(self, group: str) -> tuple[int, Counter[str]]:
-        """Return the connections leased to each member of a group, and beside them to some."""
+        """Return a group's leased connections: to each member, and additional ones by member."""
         at_members: Counter[str] = Counter()
         for (name, tenant), connections in self._leases.items():
             if name == group:
@@ -283,9 +282,9 @@
         return at_members.pop("", 0), at_members
 
     def demands(self, whole: bool) -> tuple[ConnectionDemand, ...]:
-        """Return what is to be told of the connections that there is use for here.
+        """Return the changed connection demands to report.
 
-        :param whole: nothing of it is known yet where it is told
+        :param whole: return all of them, because the receiver knows none yet
         """
         now = time.monotonic()
         told = (group.demands(now) for group in self.groups.values())
@@ -305,13 +304,13 @@
         return StatementGroup(name, make_pool, self._primary_lease_ends_at, self._outage_times)
 
     def _known_in(self, zone: str) -> ObservedMember | None:
-        """Return a member of a zone whose times are known: a new one there is as far away."""
+        """Return a member of a zone with known latency, as an estimate for a new one there."""
         pools = (pool for group in self.groups.values() for pool in group.pools.values())
         observed_members = (pool.observed for pool in pools if pool.observed.record.zone == zone)
         return next((observed for observed in observed_members if observed.opening.is_seen), None)
 
     def _distance_to(self, zone: str) -> Distance:
-        """Return how far a zone is, whose region is that of the proxies there."""
+        """Return the distance to a zone; its region is taken from the proxies there."""
         own = Place(self._settings.zone, self._settings.region)
         proxies = self.view.proxies.values() if self.view is not None else ()
         region = next((proxy.region for proxy in proxies if proxy.zone == zone), "")
@@ -319,7 +318,7 @@
 
 
 def _text_of(leases: dict[tuple[str, str], int]) -> str:
-    """Return connections by group, in one word."""
+    """Return the total connections by group, formatted without blanks."""
     total: Counter[str] = Counter()
     for (group, _), connections in leases.items():
         total[group] += connections
