--- a/limedyke/proxy/statements/hedged_read.py
+++ b/limedyke/proxy/statements/hedged_read.py
@@ -1,4 +1,4 @@
-"""One read at a member and, when that one takes longer than it ever does, beside it at another."""
+"""A read that is also sent to a second member when the first takes unusually long."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 from limedyke.proxy.statements.members.pinned_connection import PinnedConnection
 
 LEAST_PATIENCE_S = 0.1
-"""A read is not sent to a second member sooner: a healthy machine pauses for up to a tenth of a
-second when its share of a core is spent."""
+"""Minimum delay, in seconds, before a read is sent to a second member: a healthy machine pauses for
+up to 0.1 s when its CPU quota is used up."""
 UNANSWERED = frozenset({AnswerKind.LOST, AnswerKind.TIMED_OUT})
 RAN_IN_VAIN = UNANSWERED | {AnswerKind.FAILED}
-"""A read that may have run, or failed, at one member may be tried at another: one that is ill fails
-what others serve."""
+"""Answers after which a read is tried at another member although it may have run: a faulty member
+fails reads that others serve."""
 
 
 @dataclass(frozen=True, slots=True)
 class SentRead:
-    """What a member answered to a read, and the connection that it ran on."""
+    """A member's answer to a read, and the connection that it ran on."""
 
     pinned: PinnedConnection
     answer: MemberAnswer
 
     @property
     def is_final(self) -> bool:
-        """Whether the read is over: it was served, or failed for good."""
+        """Whether no other member need be tried."""
         return self.answer.kind not in NOT_RUN | RAN_IN_VAIN
 
     async def put_back(self, attempt: Attempt) -> None:
-        """Give the connection of a read that is not over back, and note why it was not served."""
+        """Return the connection of a read that is not final, and record why it failed."""
         kind = self.answer.kind
         attempt.failed(kind, self.pinned.identity)
         if kind in RAN_IN_VAIN:
@@ -49,9 +49,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SecondMember:
-    """Where a read may run beside the first member.
+    """The second member for a hedged read.
 
-    :param after: position that the member's log must hold; None at the primary
+    :param after: log position that the member must hold; None for the primary
     """
 
     pool: MemberPool
@@ -59,11 +59,11 @@
 
 
 class HedgedRead:
-    """Runs one read at one member or two.
+    """Runs one read on one member or two.
 
-    The first is not broken off while it may still answer sooner; the first answer counts.
+    The first try continues when the second starts; the first final answer is used.
 
-    :param choose_second: returns another member that has room, or None
+    :param choose_second: returns another member with room, or None
     """
 
     def __init__(
@@ -102,7 +102,7 @@
         return sent
 
     async def _give_back_all_but(self, chosen: SentRead | None) -> None:
-        """Give back connections of answers that came too late to count, at the same moment even."""
+        """Release the connections of all other answers, even of one that came at the same time."""
         for sent in self._answered:
             if sent is not chosen and not sent.pinned.is_given_back:
                 await sent.pinned.release()
