--- a/limedyke/proxy/statements/homes/__init__.py
+++ b/limedyke/proxy/statements/homes/__init__.py
@@ -1,1 +1,1 @@
-"""Statements that run at home proxies of their group: both sides."""
+"""Forwarding of statements to home proxies: the sending and the serving side."""
