--- a/limedyke/proxy/statements/homes/forwarded_attempt.py
+++ b/limedyke/proxy/statements/homes/forwarded_attempt.py
@@ -1,4 +1,4 @@
-"""One statement on its way to home proxies: its time, its tries and what it waits for."""
+"""The execution of one forwarded statement: its time limits, its tries and its waits."""
 
 from __future__ import annotations
 
@@ -21,23 +21,26 @@
 from limedyke.result_codes import ResultCode, did_not_run
 
 LEASE_WAIT_SHARE = 0.7
-"""While no home proxy is reached, a statement waits so much of its time for one or for a lease: all
-but what a statement over two regions takes (0.27 of 1 s at 45 ms one way)."""
+"""Share of a statement's time that it may wait for a home proxy or a lease. The rest suffices for a
+statement across two regions (0.27 s of 1 s at 45 ms one way)."""
 UNREACHED_TRIES = 3
-"""After so many home proxies that can't reach the primary a statement waits for another primary."""
+"""Number of home proxies without access to the primary after which a statement waits for a new
+primary."""
 _UNREACHED = ResultCode.PRIMARY_UNREACHED.value.number
 
 
 @dataclass(slots=True)
 class ForwardedAttempt:
-    """A statement that is in no open transaction yet, on its way to a home proxy.
+    """A statement outside an open transaction that is forwarded to a home proxy.
 
-    :param deadline: when its time is over, seconds of the monotonic clock
-    :param home_until: how long it waits for a home proxy or a lease
-    :param hold_until: how long it waits for a primary that home proxies reach
+    All times are seconds of the monotonic clock.
+
+    :param deadline: when the statement's time ends
+    :param home_until: end of the wait for a home proxy or a lease
+    :param hold_until: end of the wait for a primary that home proxies can reach
     :param tried: names of home proxies that did not run it
-    :param unanswered: how often a home proxy took it and gave no answer: it may have run
-    :param unreached: how many home proxies in a row could not reach the primary
+    :param unanswered: number of tries without an answer, in which it may have run
+    :param unreached: number of home proxies since the last wait that could not reach the primary
     :param last: why the last try failed, for the refusal
     """
 
@@ -56,7 +59,7 @@
     def begin(
         cls, session: StatementSession, run: RunOnMember, group: StatementGroup
     ) -> ForwardedAttempt:
-        """Begin an attempt: its time counts from now."""
+        """Create an attempt whose time starts now."""
         now = time.monotonic()
         database = session.database
         whole_s = session.statement_time_s(now)
@@ -71,21 +74,21 @@
         )
 
     def time_left(self) -> float:
-        """Return the seconds left to the statement, 0 when its time is over."""
+        """Return the seconds until the deadline, at least 0."""
         return max(0.0, self.deadline - time.monotonic())
 
     @property
     def is_last_try(self) -> bool:
-        """Whether the statement must not be sent again when this try is not answered.
+        """Whether the statement must not be sent again if this try is not answered.
 
-        The first statement of a transaction may, also one that writes: what it did at a home
-        proxy that gives no answer is never committed.
+        The first statement of a transaction may be sent again even if it writes: its effects at a
+        home proxy that gave no answer are never committed.
         """
         may_be_kept = self.run.writes and self.session.transaction is None
         return may_be_kept or self.unanswered + 1 >= self.session.database.maximum_attempts
 
     def patience_s(self, link: HomeLink) -> float:
-        """Return for how long a link may tell nothing before another home proxy is tried."""
+        """Return how long a link may be silent before another home proxy is tried."""
         return NEVER if self.is_last_try else link.longest_silence_s
 
     def may_be_sent_again(self) -> bool:
@@ -93,12 +96,12 @@
         return not self.is_last_try and self.time_left() > LEAST_ATTEMPT_S
 
     def refused(self, answer: StatementAnswer, home: str) -> None:
-        """Take that a home proxy did not run it and another one may."""
+        """Record a refusal after which another home proxy may be tried."""
         self.unreached += answer.code == _UNREACHED
         self.last = f"{home}: {answer.detail}"
 
     async def wait_for_primary(self) -> bool:
-        """Wait for another primary, then try all homes again; False when it may not be held."""
+        """Wait for a new primary, then allow all home proxies again; False after the hold time."""
         now = time.monotonic()
         self.group.outage.noticed(now)
         until = max(self.hold_until, self.group.hold_until(now))
@@ -109,7 +112,7 @@
         return True
 
     async def wait_for_home(self) -> bool:
-        """Wait for a lease or a home proxy a little; False when it may not be held."""
+        """Wait briefly for a lease or a home proxy; False after the allowed time."""
         self.tried.clear()
         if time.monotonic() >= self.home_until:
             return False
@@ -117,15 +120,16 @@
         return True
 
     def give_up(self, code: ResultCode) -> StatementAnswer:
-        """Return the final answer to the statement, of which nothing was kept."""
+        """Return the final refusal of the statement, which had no lasting effect."""
         priority = self.session.database.priority
         retry_after_ms = self.group.retry_after_ms(priority, True, UNKNOWN_READY_S)
         return give_up(self.session, code, self.last, self.unanswered > 0, retry_after_ms)
 
     def outcome_of(self, answer: StatementAnswer) -> StatementAnswer:
-        """Return what a home proxy's answer means after the tries before it.
+        """Return the answer for the client, given the tries before it.
 
-        A refusal tells that this home proxy did not run it; an earlier one may have.
+        A refusal says only that this home proxy did not run the statement; an unanswered try may
+        have run it.
         """
         if did_not_run(answer.code) and self.unanswered:
             return give_up(self.session, ResultCode.READ_UNANSWERED, answer.detail, True)
