--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -1,4 +1,4 @@
-"""Runs statements at a home proxy of their group while this proxy holds no lease."""
+"""Forwards statements to home proxies of their group."""
 
 from __future__ import annotations
 
@@ -22,12 +22,13 @@
 from limedyke.result_codes import ResultCode, did_not_run
 
 OWN_LEASE_WAIT_S = 0.1
-"""A home proxy that has no lease yet waits so long for it before it asks another one."""
+"""Seconds that a home proxy without a lease waits for its own before it asks another one."""
 HOME_SHARE_OF_TIME = 0.95
-"""So much of a statement's time is left to the home proxy at most, however near it is: reading and
-passing on its answer takes processor time too (40 ms of 800 ms, at half a core)."""
+"""Largest share of a statement's time that is given to the home proxy. The rest is for reading and
+passing on its answer, which takes processor time (40 ms of 800 ms, at half a core)."""
 LEAST_HOME_SHARE_OF_TIME = 0.5
-"""However far the home proxy seems to be: a single slow opening of its link is no measure."""
+"""Smallest share given to the home proxy: its distance is estimated from one opening of its link,
+which may have been slow."""
 _TRY_ANOTHER = frozenset(
     code.value.number
     for code in (
@@ -42,7 +43,7 @@
 _DRAINING = ResultCode.DRAINING.value.number
 _CROWDED = ResultCode.HOME_CROWDED.value.number
 _ASKED_LAST = frozenset({_DRAINING, _CROWDED})
-"""A home proxy that would leave a unit to others takes it where there are none."""
+"""A home proxy that refused with one of these codes still runs the unit if no other proxy can."""
 
 
 NO_SIGN = "no-sign-of-life"
@@ -51,10 +52,10 @@
 
 
 class StatementForwarding:
-    """Sends statements to home proxies; a transaction stays on one of them.
+    """Forwards statements to home proxies; a transaction stays on one of them.
 
     :param links: to home proxies
-    :param metrics: counts what was forwarded
+    :param metrics: counts forwarded statements
     """
 
     def __init__(self, links: HomeLinks, metrics: StatementMetrics) -> None:
@@ -65,9 +66,9 @@
     async def run(
         self, session: StatementSession, run: RunOnMember, group: StatementGroup
     ) -> PlacedAnswer | None:
-        """Run a statement that is in no open transaction yet.
+        """Run a statement outside an open transaction at a home proxy.
 
-        :returns: None when this proxy holds a lease by now and can run it itself
+        :returns: None when this proxy has obtained a lease and can run it itself
         """
         unit = self._unit(session, run, 0)
         attempt = ForwardedAttempt.begin(session, run, group)
@@ -78,13 +79,13 @@
     async def run_at_tenants_home(
         self, session: StatementSession, run: RunOnMember, group: StatementGroup
     ) -> PlacedAnswer | None:
-        """Run a statement that is in no open transaction yet where its tenant's connections are.
+        """Run a statement outside an open transaction at the home proxy assigned to its tenant.
 
-        A connection serves one tenant: opened here for its few clients at this proxy, it would be
-        closed again before the next one comes, and another tenant's for it.
+        A connection serves one tenant only. If every home proxy served every tenant, connections
+        would be closed and reopened all the time for tenants with few clients at each proxy.
 
-        :returns: None when this proxy, which holds a lease, is to run it: that is here, or it
-            surely did not run there
+        :returns: None when this proxy, which holds a lease, is to run it: it is the tenant's home
+            proxy itself, or the statement certainly did not run there
         """
         need = _need_of(session, run)
         link = await self.links.tenants_home(group.name, session.tenant, need)
@@ -101,9 +102,9 @@
     async def _run_at_any(
         self, attempt: ForwardedAttempt, unit: StatementUnit
     ) -> PlacedAnswer | None:
-        """Try home proxies until one has run a statement, or its time is over.
+        """Try home proxies until one has run the statement or its time is over.
 
-        :returns: None when this proxy holds a lease, and no other may have run it
+        :returns: None when this proxy holds a lease and no other proxy can have run it
         """
         group = attempt.group
         while group.limit == 0 or attempt.unanswered:
@@ -123,7 +124,7 @@
     async def _try_at(
         self, link: HomeLink, unit: StatementUnit, attempt: ForwardedAttempt
     ) -> PlacedAnswer | None:
-        """Try one home proxy; None when another one should be tried."""
+        """Try one home proxy; return None when another one should be tried."""
         attempt.tried.add(link.home)
         if (attempt.unanswered or self.links.is_any_silent) and not await link.gives_sign():
             self._metrics.home_tries.labels(NO_SIGN).inc()
@@ -177,7 +178,7 @@
         return self._settle(session, run, end, place.link, place.number)
 
     async def roll_back(self, place: ForwardedTransaction) -> None:
-        """Have the home proxy roll a transaction back."""
+        """Ask the home proxy to roll a transaction back."""
         place.link.transactions.discard(place.number)
         await place.link.abandon(AbandonWork(0, place.number, False))
 
@@ -223,7 +224,7 @@
     def _transaction_for(self, attempt: ForwardedAttempt) -> int:
         """Return a number for the transaction that a try begins; 0 when it begins none.
 
-        Each try has one of its own: what is abandoned of an earlier try is that one's only.
+        Each try gets its own number, so that abandoning an earlier try doesn't affect a later one.
         """
         return next(self._numbers) if attempt.session.transaction is not None else 0
 
@@ -235,7 +236,7 @@
         link: HomeLink,
         transaction: int,
     ) -> PlacedAnswer:
-        """Follow what the home proxy says of the session."""
+        """Update the session from the home proxy's answer and return the result."""
         if end.answer.code == 0:
             session.ran(run)
         elif end.status is TransactionStatus.FAILED:
@@ -255,7 +256,7 @@
 
 
 def _note_refusal(link: HomeLink, answer: StatementAnswer) -> None:
-    """Have a home proxy that leaves work to others asked last."""
+    """Mark the link of a home proxy that refused work, so that it is chosen last."""
     if answer.code == _DRAINING:
         link.is_draining = True
     if answer.code == _CROWDED:
@@ -263,9 +264,10 @@
 
 
 def home_time_s(limit_s: float, travel_s: float) -> float:
-    """Return how much of the time for an answer the home proxy itself may take.
+    """Return the time limit for the home proxy, in seconds.
 
-    :param travel_s: how long the unit and its answer are on their way
+    :param limit_s: time left for the whole answer
+    :param travel_s: network round trip time
     """
     most_s = min(limit_s * HOME_SHARE_OF_TIME, limit_s - travel_s)
     return max(most_s, limit_s * LEAST_HOME_SHARE_OF_TIME)
