--- a/limedyke/proxy/statements/homes/home_loads.py
+++ b/limedyke/proxy/statements/homes/home_loads.py
@@ -1,4 +1,4 @@
-"""What a home proxy tells of how long units wait at it."""
+"""The expected waits that a home proxy reports with its answers."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 MS_PER_S = 1_000.0
 PRIORITIES = 3
-"""Those that are told apart; the last stands for all that are less urgent."""
+"""Number of priorities reported; the last one stands for all less urgent ones."""
 COUNTED_FOR_S = 0.02
-"""A wait is counted again after so long: counting looks at all that wait, for each answer else."""
+"""Seconds for which computed waits are reused: computing them visits all waiting requests, too much
+work for each answer."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,15 +23,16 @@
 
 
 class HomeLoads:
-    """The waits at the members of each group, as they are told with answers."""
+    """The expected waits at the members of each group, cached briefly."""
 
     def __init__(self) -> None:
         self._counted: dict[str, _Counted] = {}
 
     def load_of(self, group: StatementGroup, tenant: str, now: float) -> HomeLoad | None:
-        """Return how long units wait here; None while they don't.
+        """Return how long units wait here; None while there is no wait.
 
-        :param tenant: whose unit was answered: tenants wait alike, as they are served in turn
+        :param tenant: whose unit was answered; it stands for all tenants, as they are served in
+            turn and wait about equally long
         """
         counted = self._counted.get(group.name)
         if counted is None or now - counted.at >= COUNTED_FOR_S:
@@ -48,9 +50,9 @@
 
 
 def _waits_ms(pool: MemberPool, tenant: str) -> tuple[int, ...]:
-    """Return the wait for others by priority; nothing while a connection can be had at once.
+    """Return the expected queueing time by priority; empty while the pool has room.
 
-    That for a connection to be opened is short, and is not spared by going elsewhere.
+    The time to open a connection is not counted: it is short, and another home proxy needs it too.
     """
     if pool.has_room:
         return ()
