--- a/limedyke/proxy/statements/homes/home_service.py
+++ b/limedyke/proxy/statements/homes/home_service.py
@@ -1,4 +1,4 @@
-"""Runs statements that other proxies forward to this one as a home proxy of their group."""
+"""Runs statements that other proxies forward to this home proxy."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 MS_PER_S = 1_000.0
 CROWDED_WAIT_S = 0.1
-"""A longer wait than a round trip to a home proxy of another region and back (0.08 s at 20 ms one
-way) and some work makes that one the better place."""
+"""Expected wait, in seconds, from which another home proxy is the better choice, even one in
+another region: a round trip there and back takes 0.08 s at 20 ms one way."""
 
 
 @dataclass(slots=True)
 class _HeldTransaction:
-    """A transaction of another proxy's client, between two of its statements."""
+    """An open transaction of another proxy's client, between two of its statements."""
 
     session: StatementSession
     pinned: PinnedConnection
@@ -46,7 +46,7 @@
 def refuse_unit(
     unit: StatementUnit, code: ResultCode, detail: str = "", retry_after_ms: int = 0
 ) -> StatementUnitEnd:
-    """Return the end of a unit that did not run; its transaction is not open here."""
+    """Return the answer to a unit that did not run and whose transaction is not open here."""
     status = TransactionStatus.FAILED if unit.transaction else TransactionStatus.IDLE
     return StatementUnitEnd(unit.stream, refusal(code, detail, retry_after_ms), status)
 
@@ -54,10 +54,10 @@
 class StatementHomeService:
     """Executor of forwarded statements (see ``HomeExecutor``).
 
-    :param groups: with the members' pools
+    :param groups: the groups with their connection pools
     :param runner: runs statements on members
-    :param log: gets a line for each statement that is not served
-    :param stop: whether the proxy was asked to stop, and until when it does what
+    :param log: receives each statement that is not served
+    :param stop: state and schedule of a planned stop
     """
 
     def __init__(
@@ -141,11 +141,11 @@
         return StatementUnitEnd(unit.stream, placed.answer, session.status, session.written)
 
     def _is_leaving(self) -> bool:
-        """Tell whether units go to another home proxy, if there is one that takes them."""
+        """Tell whether the planned stop has reached the phase that refuses forwarded units."""
         return time.monotonic() >= self._stop.schedule.transactions_until
 
     async def abandon(self, work: AbandonWork, origin: str) -> None:
-        """Stop a unit, or roll a transaction back."""
+        """Cancel a unit, or roll a transaction back."""
         task = self._running.get(WorkKey(origin, work.stream))
         if task is not None:
             await task.cancel(blocking=False)
@@ -154,7 +154,7 @@
             await held.pinned.roll_back()
 
     async def abandon_origin(self, origin: str) -> None:
-        """Roll back all transactions that came over a link that has ended."""
+        """Roll back all transactions that came over a closed link."""
         for key in [key for key in self._held if key.origin == origin]:
             held = self._held.pop(key, None)
             if held is not None:
@@ -172,7 +172,7 @@
 
 
 def _renew(session: StatementSession, unit: StatementUnit) -> None:
-    """Take what the unit says of its session; its time left is the statement's whole time."""
+    """Update the session from a unit; the unit's remaining time becomes the statement timeout."""
     session.database = dataclasses.replace(unit.database, statement_timeout_ms=unit.deadline_ms)
     session.settings = {setting.name: setting.value for setting in unit.settings}
 
@@ -180,7 +180,7 @@
 def _waits_long_here(unit: StatementUnit, group: StatementGroup) -> bool:
     """Tell whether a unit that needs the primary would wait long for a connection to it here.
 
-    Home proxies hold equal shares of a group's connections, but the clients near them differ.
+    Home proxies hold equal shares of a group's connections, but not all are equally loaded.
     """
     pool = group.primary_pool()
     if pool is None or not _needs_primary(unit, group):
@@ -196,14 +196,14 @@
 
 
 def _is_for_another_home(unit: StatementUnit, group: StatementGroup) -> bool:
-    """Tell whether a unit needs the primary, which this home proxy can't reach."""
+    """Tell whether to return a unit because it needs the primary, which can't be reached here."""
     if not group.has_unreachable_primary():
         return False
     return _needs_primary(unit, group) or not _may_run_at_replica(unit, group)
 
 
 def _may_run_at_replica(unit: StatementUnit, group: StatementGroup) -> bool:
-    """Tell whether a read had better wait for a replica here than go to another home proxy."""
+    """Tell whether a replica here is expected to serve a read sooner than another home proxy."""
     database = unit.database
     if database.consistency is Consistency.PRIMARY:
         return False
