--- a/limedyke/proxy/statements/line_budget.py
+++ b/limedyke/proxy/statements/line_budget.py
@@ -1,12 +1,12 @@
-"""How many log lines a second may be written."""
+"""A rate limit for log lines."""
 
 from __future__ import annotations
 
 
 class LineBudget:
-    """Lines that may be written now; unused ones are kept for one second.
+    """Token bucket that holds the lines of one second at most.
 
-    :param lines_per_second: the rate, and the most that can be written at once
+    :param lines_per_second: the rate, and the largest burst
     :param now: seconds of a monotonic clock
     """
 
@@ -16,7 +16,7 @@
         self._filled_at = now
 
     def take(self, now: float) -> bool:
-        """Take a line; False when none is left."""
+        """Take one line from the bucket; return False when it is empty."""
         filled = self._left + (now - self._filled_at) * self._lines_per_second
         self._left = min(filled, self._lines_per_second)
         self._filled_at = now
