--- a/limedyke/proxy/statements/members/__init__.py
+++ b/limedyke/proxy/statements/members/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to members: lent, queued for, asked questions on."""
+"""Connections to members: pooling, queueing, statements and status queries."""
