--- a/limedyke/proxy/statements/members/connection_waiter.py
+++ b/limedyke/proxy/statements/members/connection_waiter.py
@@ -9,7 +9,7 @@
 from limedyke.proxy.statements.members.member_connection import MemberConnection
 
 ANY_TENANT = None
-"""Asks for a connection of whichever tenant: for the proxy's own questions, which show no data."""
+"""Requests a connection of any tenant: for the proxy's own status queries, which read no data."""
 
 
 class PoolTimeoutError(Exception):
@@ -17,9 +17,9 @@
 
 
 class TurnedAwayError(PoolTimeoutError):
-    """The request may not wait for a connection, or wait on.
+    """The queue refused the request, or dropped it while it waited.
 
-    :ivar refused: why, and what was counted
+    :ivar refused: the reason and the expected wait
     """
 
     def __init__(self, identity: str, refused: Refused) -> None:
@@ -28,13 +28,12 @@
 
 
 class ConnectionWaiter(QueuedRequest):
-    """A request that waits; woken with neither a connection nor an error it should look again.
+    """A waiting request. When woken with neither a connection nor an error, it must try again.
 
-    Its tenant is whose connection it wants.
-
-    :param start_by: when it has to be sent at the latest to be answered in time
-    :ivar was_let_in: it has a place whatever else comes to wait
-    :ivar expects_silence: the member seemed to hang when it began to wait
+    :param tenant: whose connection it needs
+    :param start_by: latest time to send it for an answer in time
+    :ivar was_let_in: it was admitted to the queue and keeps its place
+    :ivar expects_silence: the member already seemed to hang when the request began to wait
     """
 
     __slots__ = ("connection", "error", "event", "expects_silence", "was_let_in")
@@ -55,26 +54,26 @@
         self.error: Exception | None = None
 
     def renew(self) -> None:
-        """Begin to wait, again perhaps: forget what it was woken with."""
+        """Prepare for a first or another wait: clear the result of the last one."""
         self.event = curio.Event()
         self.connection = None
         self.error = None
 
     async def look_again(self) -> None:
-        """Wake it with nothing."""
+        """Wake it without a result, so that it tries again."""
         if self.event is not None:
             await self.event.set()
 
     def takes(self, tenant: str) -> bool:
-        """Tell whether a connection of a tenant is what it waits for."""
+        """Tell whether it can use a connection of a tenant."""
         return self.tenant is ANY_TENANT or self.tenant == tenant
 
     async def give(self, connection: MemberConnection) -> None:
-        """Hand it a connection."""
+        """Wake it with a connection."""
         self.connection = connection
         await self.look_again()
 
     async def fail(self, error: Exception) -> None:
-        """Tell it that it gets no connection."""
+        """Wake it with an error."""
         self.error = error
         await self.look_again()
