--- a/limedyke/proxy/statements/members/idle_connections.py
+++ b/limedyke/proxy/statements/members/idle_connections.py
@@ -1,4 +1,4 @@
-"""Connections to one member that nobody uses at the moment."""
+"""The idle connections to one member."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class IdleConnections:
-    """Kept in the order in which they became idle, the longest idle first."""
+    """Idle connections, ordered by the time since when they are idle, the longest idle first."""
 
     def __init__(self) -> None:
         self._connections: list[MemberConnection] = []
@@ -16,16 +16,16 @@
         return len(self._connections)
 
     def has(self, tenant: str | None) -> bool:
-        """Tell whether there is one of a tenant; ``ANY_TENANT`` asks for any."""
+        """Tell whether there is a connection of a tenant, or any for ``ANY_TENANT``."""
         return any(_serves(connection, tenant) for connection in self._connections)
 
     def add(self, connection: MemberConnection, now: float) -> None:
-        """Keep a connection from now on."""
+        """Add a connection that became idle now."""
         connection.idle_since = now
         self._connections.append(connection)
 
     def take(self, tenant: str | None, values: dict[str, str]) -> MemberConnection | None:
-        """Take out the tenant's connection whose session values fit best; None without one."""
+        """Remove and return the tenant's connection whose session values fit best, or None."""
         own = [connection for connection in self._connections if _serves(connection, tenant)]
         if not own:
             return None
@@ -34,21 +34,21 @@
         return best
 
     def longest_idle_s(self, now: float) -> float:
-        """Return for how long the longest idle one has been so; 0 when there is none."""
+        """Return how long the longest idle connection has been idle; 0 when there is none."""
         return now - self._connections[0].idle_since if self._connections else 0.0
 
     def take_longest_idle(self) -> MemberConnection | None:
-        """Take out the connection that has been idle for longest; None when there is none."""
+        """Remove and return the longest idle connection, or None."""
         return self._connections.pop(0) if self._connections else None
 
     def take_unheard(self, since: float) -> list[MemberConnection]:
-        """Take out all on which nothing came since a moment."""
+        """Remove and return all connections that received nothing since a moment."""
         unheard = [connection for connection in self._connections if connection.heard_at < since]
         self._connections = [kept for kept in self._connections if kept.heard_at >= since]
         return unheard
 
     def take_idle_before(self, moment: float) -> MemberConnection | None:
-        """Take out the longest idle one if it has been idle since before a moment."""
+        """Remove and return the longest idle connection if it became idle before a moment."""
         if not self._connections or self._connections[0].idle_since >= moment:
             return None
         return self._connections.pop(0)
@@ -59,7 +59,7 @@
 
 
 def _best(connections: list[MemberConnection], values: dict[str, str]) -> MemberConnection:
-    """Return the one with these values, used last; else one without any; else the first."""
+    """Return the last used one with these values, else one without values, else the first."""
     for connection in reversed(connections):
         if connection.values == values:
             return connection
