--- a/limedyke/proxy/statements/members/member_codec.py
+++ b/limedyke/proxy/statements/members/member_codec.py
@@ -1,4 +1,4 @@
-"""What a proxy needs of a member protocol; sans-IO."""
+"""The interface that a member protocol implements, without I/O."""
 
 from __future__ import annotations
 
@@ -9,46 +9,46 @@
 
 
 class MemberCodec(Protocol):
-    """One connection's codec.
+    """The codec of one connection.
 
-    Each request gets one ``MemberAnswer`` in order, the opening included.
+    Each request, including ``open``, gets one ``MemberAnswer``, in order.
     """
 
     def open(self, group: str, identity: str, tenant: str) -> bytes:
         """Open a connection to exactly this member of this group.
 
-        :param tenant: on whose behalf; empty for no tenant's
+        :param tenant: the tenant whose statements it will run; empty for none
         """
 
     def statement(self, statement: Statement, after: LogPosition | None) -> bytes:
-        """Pass a statement on, its id and text unchanged.
+        """Encode a statement with its id and text unchanged.
 
-        :param after: a position that the member's log must hold, else it does not run it
+        :param after: log position that the member must hold, or it does not run the statement
         """
 
     def execute(self, statement: Statement, own_name: str, after: LogPosition | None) -> bytes:
-        """Pass on an execution of a prepared statement that has another name here."""
+        """Encode the execution of a prepared statement under the proxy's name for it."""
 
     def set_value(self, name: str, value: str) -> bytes:
         """Set a session value."""
 
     def prepare(self, own_name: str, writes: bool, shape: str) -> bytes:
-        """Prepare a statement under a name of the proxy's own."""
+        """Prepare a statement under a name chosen by the proxy."""
 
     def discard(self) -> bytes:
-        """Drop all values and prepared names."""
+        """Discard all session values and prepared statements."""
 
     def rollback(self) -> bytes:
         """Roll the open transaction back."""
 
     def ask_status(self) -> bytes:
-        """Ask what the member says of itself."""
+        """Query the member's status."""
 
     def read_status(self, answer: MemberAnswer) -> MemberStatus | None:
-        """Return the status in an answer, None when it holds none."""
+        """Return the status in an answer, or None."""
 
     def feed(self, data: bytes) -> list[MemberAnswer]:
-        """Take received bytes; return the answers now whole.
+        """Parse received bytes; return the answers that are complete.
 
-        :raises ValueError: when the bytes are no protocol of a member
+        :raises ValueError: when the bytes violate the member protocol
         """
