--- a/limedyke/proxy/statements/members/member_connection.py
+++ b/limedyke/proxy/statements/members/member_connection.py
@@ -33,7 +33,7 @@
 
 
 class ConnectionRefusedByMemberError(Exception):
-    """The member answered that it takes no connection; ``answer`` says why."""
+    """The member refused the connection; ``answer`` says why."""
 
     def __init__(self, answer: MemberAnswer) -> None:
         super().__init__(answer.kind)
@@ -41,17 +41,17 @@
 
 
 class MemberConnection:
-    """Runs statements one after the other; after any doubt it is closed, never reused.
+    """Runs statements one after the other. If its state is uncertain it is closed, never reused.
 
-    :ivar tenant: on whose behalf it was opened; it serves no other
+    :ivar tenant: the only tenant whose statements it runs
     :ivar values: session values set on the connection
     :ivar status: of the connection's transaction
-    :ivar lent_at: when it was last lent to a request
-    :ivar heard_at: when something last came on it
-    :ivar is_reserved: it is lent to a request that has not sent anything yet
-    :ivar connected_in_s: how long the network took for a way there and back, at its opening
-    :ivar opened_in_s: how long its opening took, pauses of this process left out
-    :ivar opened_at: the member's position when it took the connection; None when it told none
+    :ivar lent_at: when a request last checked it out
+    :ivar heard_at: when data last arrived on it
+    :ivar is_reserved: it is checked out by a request that has not sent anything yet
+    :ivar connected_in_s: duration of the TCP connect, about one network round trip
+    :ivar opened_in_s: duration of the whole opening, without pauses of this process
+    :ivar opened_at: the member's log position when it accepted the connection; None if not reported
     """
 
     def __init__(
@@ -92,9 +92,9 @@
     ) -> MemberConnection:
         """Open a connection to exactly this member.
 
-        :param tenant: on whose behalf; empty for the proxy's own questions and public databases
-        :raises ConnectionLostError: when nobody answers at the address
-        :raises ConnectionRefusedByMemberError: when the member takes no connection
+        :param tenant: whose statements it will run; empty for status queries and public databases
+        :raises ConnectionLostError: when the connection can't be established
+        :raises ConnectionRefusedByMemberError: when the member refuses the connection
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         connection = cls(sock, codec, traffic, tenant)
@@ -121,14 +121,14 @@
         return connection
 
     def is_alive(self) -> bool:
-        """Tell whether an idle connection is still open and silent."""
+        """Tell whether an idle connection is still open, with no unexpected data to read."""
         if self.is_closed:
             return False
         readable, _, _ = select.select([self._socket.fileno()], [], [], 0)
         return not readable
 
     async def close(self) -> None:
-        """Close the connection; an open transaction is rolled back by the member."""
+        """Close the connection; the member rolls back an open transaction."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -147,9 +147,9 @@
     ) -> MemberAnswer:
         """Run a statement under the session's values.
 
-        :param begin: begins a transaction before it
-        :param after: position that the member's log must hold for the first of them
-        :returns: the statement's answer, or that of the ``begin`` that failed before it;
+        :param begin: statement that begins a transaction first
+        :param after: log position that the member must hold for the first of these statements
+        :returns: the statement's answer, or that of ``begin`` if it failed;
             ``LOST`` when the connection broke and the statement may have run
         """
         name = ""
@@ -157,11 +157,11 @@
         if prepared is not None:
             name = self._name_of(prepared, preparations)
         if preparations and not await self._prepare(preparations):
-            return MemberAnswer(AnswerKind.NOT_SENT, detail="the session's values were not set")
+            return MemberAnswer(AnswerKind.NOT_SENT, detail="session values could not be set")
         if begin is not None:
             begun = await self._exchange([self._codec.statement(begin, after)])
             if begun.kind is AnswerKind.LOST:
-                return MemberAnswer(AnswerKind.NOT_SENT, detail="lost while beginning")
+                return MemberAnswer(AnswerKind.NOT_SENT, detail="connection lost during BEGIN")
             if begun.kind is not AnswerKind.DONE:
                 return begun
             after = None
@@ -170,7 +170,7 @@
         return await self._exchange([self._codec.statement(statement, after)])
 
     async def _prepare(self, preparations: list[bytes]) -> bool:
-        """Bring the connection to the session's state; close it when that fails."""
+        """Send the requests that set the session's state; close the connection if one fails."""
         answer = await self._exchange(preparations)
         if answer.kind is not AnswerKind.DONE:
             await self.close()
@@ -181,7 +181,7 @@
         return await self._exchange([self._codec.rollback()])
 
     async def ask_status(self) -> MemberStatus | None:
-        """Return what the member says of itself; None when it has no room for the question.
+        """Return the member's status; None when it is too busy to answer.
 
         :raises ConnectionLostError: when the connection broke
         """
@@ -191,7 +191,7 @@
         finally:
             self._purpose = Purpose.STATEMENTS
         if answer.kind is AnswerKind.LOST:
-            raise ConnectionLostError("no answer to a status question")
+            raise ConnectionLostError("no answer to a status query")
         return self._codec.read_status(answer) if answer.kind is AnswerKind.DONE else None
 
     def _bring_to(self, values: dict[str, str]) -> list[bytes]:
@@ -211,7 +211,7 @@
         return requests
 
     def _name_of(self, prepared: PreparedShape, requests: list[bytes]) -> str:
-        """Return the connection's name of a prepared statement, preparing it first if need be."""
+        """Return the connection's name for a prepared statement; prepare it if necessary."""
         name = self._prepared.get(prepared)
         if name is None:
             name = f"p{len(self._prepared) + 1}"
@@ -220,9 +220,9 @@
         return name
 
     async def _exchange(self, requests: list[bytes]) -> MemberAnswer:
-        """Send requests at once; return the last answer, or the first that is no success.
+        """Send all requests together; return the first failure, or else the last answer.
 
-        ``LOST`` when the connection broke; it is closed then.
+        Returns ``LOST`` and closes the connection when it broke.
         """
         first_failure: MemberAnswer | None = None
         answer = LOST
