--- a/limedyke/proxy/statements/members/member_connector.py
+++ b/limedyke/proxy/statements/members/member_connector.py
@@ -1,4 +1,4 @@
-"""Opens connections to one member; what each attempt shows is kept in ``ObservedMember``."""
+"""Opens connections to one member and records the outcomes in ``ObservedMember``."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 class MemberConnector:
     """Opens connections to exactly one member.
 
-    :param observed: learns from each attempt
-    :param make_codec: makes the codec of a connection
-    :param source_ip: from where; empty for any
-    :param connect_timeout_s: an attempt is given up after so long, unless the member takes longer
+    :param observed: records the outcome of each attempt
+    :param make_codec: creates the codec of a connection
+    :param source_ip: local address; empty for any
+    :param connect_timeout_s: timeout of an attempt; longer if the member is known to be slower
     :param traffic: counts the bytes of all its connections
     """
 
@@ -52,9 +52,9 @@
         self._traffic = traffic
 
     async def open(self, tenant: str) -> Opened:
-        """Open a connection on a tenant's behalf.
+        """Open a connection for a tenant.
 
-        It is tried again when this process stood still meanwhile.
+        A timeout is ignored and the attempt repeated if this process was paused meanwhile.
         """
         observed = self._observed
         limit_s = max(self.connect_timeout_s, observed.opening.longest_s)
@@ -81,7 +81,7 @@
                 return Err(error)
 
     async def check_address(self, timeout_s: float) -> None:
-        """See whether anything answers at the member's address, when no connection is free."""
+        """Check whether the member's address accepts TCP; used when no connection is free."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         asked_at = time.monotonic()
         try:
@@ -107,7 +107,7 @@
         )
 
     async def _check_log(self, connection: MemberConnection, told: LogPosition) -> Opened:
-        """Give up a new connection to a primary that has lost the log that it had told of."""
+        """Close a new connection to a primary that lost the log it reported before."""
         observed = self._observed
         had_lost_log = observed.has_lost_log
         observed.opened_at(connection.opened_at, told)
