--- a/limedyke/proxy/statements/members/member_exchange.py
+++ b/limedyke/proxy/statements/members/member_exchange.py
@@ -1,4 +1,4 @@
-"""One statement on one member connection: connects, sends, and learns from the answer."""
+"""Runs single statements on member connections and records what their answers show."""
 
 from __future__ import annotations
 
@@ -25,16 +25,18 @@
 from limedyke.proxy.statements.statement_metrics import StatementMetrics
 
 LEAST_MUTE_S = 0.1
-"""What wasn't answered for so long, and for longer than answers explain, counts as failed."""
+"""A statement without an answer counts as failed after this time, in seconds, or after the member's
+longest usual answer time if that is longer."""
 SILENCE_S = 0.35
-"""A member that answers nothing at all for so long while a statement waits, and for longer than its
-answers explain, is silent: short pauses of a busy machine are no silence."""
+"""A member that sends nothing at all while a statement waits counts as silent after this time, in
+seconds, or after its longest usual silence if that is longer. Short pauses of a busy machine don't
+count."""
 
 
 class MemberExchange:
-    """Runs single statements on connections of pools.
+    """Runs single statements on pooled connections.
 
-    :param metrics: counts what members answered
+    :param metrics: counts the answers of members
     """
 
     def __init__(self, metrics: StatementMetrics) -> None:
@@ -43,7 +45,7 @@
     async def connect(
         self, pool: MemberPool, attempt: Attempt, wait_s: float
     ) -> PinnedConnection | None:
-        """Return a connection, or None when the member gives none within ``wait_s``."""
+        """Return a connection, or None when none was obtained within ``wait_s`` seconds."""
         session = attempt.session
         priority = session.database.priority
         identity = pool.observed.record.identity
@@ -80,7 +82,7 @@
         return PinnedConnection(pool, connection)
 
     def second_begun(self) -> None:
-        """Count a slow read that is tried at a second member too."""
+        """Count a read that is also sent to a second member."""
         self._metrics.hedged_reads.inc()
 
     async def run(
@@ -90,9 +92,9 @@
         after: LogPosition | None,
         limit_s: float,
     ) -> MemberAnswer:
-        """Run a statement on a connection for a limited time.
+        """Run a statement on a connection, with a timeout of ``limit_s`` seconds.
 
-        :param after: position that the member's log must hold
+        :param after: log position that the member must hold
         """
         observed = pinned.pool.observed
         run = attempt.run
@@ -137,10 +139,11 @@
         started_at: float,
         was_primary: bool,
     ) -> None:
-        """Take what an answer says of the member, and of the primary's position.
+        """Update the member's observed state and the primary's position from an answer.
 
-        :param was_primary: it was surely the primary when it was asked; what it told while it
-            was a replica may come after it was promoted, and is no position of the primary
+        :param was_primary: the member was certainly the primary when the statement was sent. An
+            answer from its time as a replica may arrive after its promotion; the position in it
+            must not be taken for the primary's.
         """
         now = time.monotonic()
         observed = pinned.pool.observed
@@ -171,7 +174,7 @@
 def _learn_lag(
     observed: ObservedMember, attempt: Attempt, answer: MemberAnswer, after: LogPosition | None
 ) -> None:
-    """Take what an answer of a replica says of its lag."""
+    """Update a replica's lag estimate from its answer."""
     now = time.monotonic()
     positions = attempt.group.positions
     if answer.position is not None:
@@ -182,7 +185,7 @@
 
 
 def _gave_up(observed: ObservedMember, started_at: float) -> bool:
-    """Take that an answer is awaited no more; tell whether the member answered anything since."""
+    """Record an abandoned wait; tell whether the member sent any answer since it began."""
     now = time.monotonic()
     waited_s = now - started_at
     is_answered = observed.contact_at >= started_at
@@ -196,7 +199,7 @@
 
 
 def _kind_of(attempt: Attempt) -> str:
-    """Return the kind of work: one that begins a transaction takes two round trips."""
+    """Return the kind of work; statements that also begin a transaction take two round trips."""
     run = attempt.run
     kind = run.statement.kind.value
     return kind if run.begin is None else f"{run.begin.kind.value}-{kind}"
