--- a/limedyke/proxy/statements/members/member_gauges.py
+++ b/limedyke/proxy/statements/members/member_gauges.py
@@ -1,4 +1,4 @@
-"""Metrics of members and of the budgets of tries, worked out when they are asked for."""
+"""Metrics of members and retry budgets, computed when they are collected."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 class MemberGauges(Collector):
-    """Shows members of the groups that this proxy holds a lease for: those only are asked.
+    """Exports members only of groups with a lease, as this proxy uses no others.
 
-    :param groups: gives the groups
+    :param groups: returns the groups
     """
 
     def __init__(self, groups: Callable[[], Iterable[StatementGroup]]) -> None:
         self._groups = groups
 
     def collect(self) -> Iterator[GaugeMetricFamily | CounterMetricFamily]:
-        """Return the metrics as they are now."""
+        """Return the current metrics."""
         now = time.monotonic()
         limit = _gauge("limit", "What may be under way at a member at once.")
         under_way = _gauge("under_way", "What is under way there.")
