--- a/limedyke/proxy/statements/members/member_judgement.py
+++ b/limedyke/proxy/statements/members/member_judgement.py
@@ -1,4 +1,4 @@
-"""Tells, in a line, when the judgement of a member changes, and why."""
+"""Logs when a member starts or stops failing or being throttled, and why."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 
 EVENTS = EventLog("pools")
 HELD_BACK_SHARE = 0.5
-"""A limit that has fallen to so much of what fills the member's slots is news."""
+"""A member counts as held back while its concurrency limit is at most this share of the initial
+limit."""
 
 
 @dataclass(slots=True)
 class MemberJudgement:
-    """What was last told of one member."""
+    """The status of one member that was last logged."""
 
     is_failing: bool = False
     is_held_back: bool = False
 
     def look(self, group: str, observed: ObservedMember, now: float) -> None:
-        """Write a line for each judgement that has changed since the last look."""
+        """Log each status that has changed since the last call."""
         quality, concurrency = observed.quality, observed.concurrency
         is_failing = quality.is_failing(now)
         if is_failing != self.is_failing:
