--- a/limedyke/proxy/statements/members/lent_connections.py
+++ b/limedyke/proxy/statements/members/lent_connections.py
@@ -1,4 +1,4 @@
-"""Connections of a pool that are in use, and how soon they come back."""
+"""The connections of a pool that are checked out."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 HELD_S = 0.25
 HELD_FACTOR = 8.0
-"""A connection lent for so long, and so many times as long as usual, rests in a transaction: it is
-not counted on."""
+"""A connection that is checked out for longer than both ``HELD_S`` seconds and ``HELD_FACTOR``
+times the usual time is taken to be held by an idle transaction; its return is not expected."""
 CHANGE_SMOOTHING = 0.2
 
 
 class LentConnections:
-    """Which request has which connection, and how often one is replaced for another tenant.
+    """Tracks which request has which connection, and how often a turn needs a new connection.
 
-    :ivar change_share: share of the turns for which a connection had to be opened anew
+    :ivar change_share: smoothed share of turns that replaced a connection with another tenant's
     """
 
     def __init__(self) -> None:
@@ -23,19 +23,19 @@
         self._requests: dict[MemberConnection, QueuedRequest] = {}
 
     def lend(self, connection: MemberConnection, request: QueuedRequest, now: float) -> None:
-        """Note who has a connection from now on."""
+        """Record that a request checked out a connection."""
         connection.lent_at = now
         self._requests[connection] = request
 
     def take_back(self, connection: MemberConnection) -> QueuedRequest | None:
-        """Return who had a connection; None where it was lent for a question."""
+        """Record a return; return the request that had the connection, None for a status query."""
         return self._requests.pop(connection, None)
 
     def held(self, usual_s: float, now: float) -> int:
-        """Return how many are in use for so long that nobody knows when they come back."""
+        """Return how many are checked out for so long that their return can't be predicted."""
         limit_s = max(HELD_S, HELD_FACTOR * usual_s)
         return sum(now - connection.lent_at > limit_s for connection in self._requests)
 
     def turned_over(self, changed: bool) -> None:
-        """Note whether a turn needed a new connection."""
+        """Record whether a turn needed a new connection."""
         self.change_share += CHANGE_SMOOTHING * (float(changed) - self.change_share)
