--- a/limedyke/proxy/statements/members/member_questions.py
+++ b/limedyke/proxy/statements/members/member_questions.py
@@ -1,4 +1,4 @@
-"""Asks members of themselves: their state, their position, and which of them leads."""
+"""Queries members for their status, their log position and their role."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class MemberQuestions:
-    """Questions of the proxy's own, on connections of the pools."""
+    """The proxy's own status queries, sent on pooled connections."""
 
     async def prove_position(self, group: StatementGroup, limit_s: float) -> LogPosition | None:
-        """Ask the member that should lead for its position, now; None when it does not lead."""
+        """Query the presumed primary for its position; None when it is not proven to be primary."""
         pool = group.primary_pool()
         if pool is None:
             return None
@@ -48,7 +48,7 @@
         return status.position
 
     async def learn_position(self, group: StatementGroup) -> None:
-        """Ask the recorded primary for its position, in the background and once at a time."""
+        """Query the presumed primary's position in the background, one query at a time."""
         pool = group.primary_pool()
         if pool is None or group.position_is_asked:
             return
@@ -66,7 +66,7 @@
             group.learn_position(identity, asked_at, status.position, proven=True)
 
     async def look_for_primary(self, group: StatementGroup) -> None:
-        """Ask the members, in the background, which of them leads; not too often."""
+        """Query the members' roles in the background, at a limited rate."""
         now = time.monotonic()
         if now < group.next_search_at:
             return
@@ -86,10 +86,10 @@
         await group.says_role(identity, status.is_primary)
 
     async def ask_status(self, pool: MemberPool, limit_s: float) -> MemberStatus | None:
-        """Ask a member what it says of itself; None when it doesn't answer.
+        """Return a member's status; None when it doesn't answer.
 
-        It is asked on any connection, also one that may have gone silent by itself: no answer only
-        makes the member seem to hang, and ``examine`` finds out.
+        The query uses any connection, even one that may be dead itself. A missing answer therefore
+        only marks the member as silent; ``examine`` then finds the cause.
         """
         try:
             connection = await pool.getconn(ANY_TENANT, {}, 0, limit_s)
@@ -102,10 +102,10 @@
         return await self._ask_on(pool, connection, limit_s)
 
     async def examine(self, pool: MemberPool, limit_s: float) -> None:
-        """Find out whether a member that seems to hang does, or connections to it are silent.
+        """Find out whether a silent member hangs, or only connections to it are dead.
 
-        It is asked on a new connection. When it answers there, connections that are idle and were
-        not heard from since have to answer too, or are closed.
+        The member is queried on a new connection. If it answers there, idle connections without
+        data since the silence began are queried too, and closed if they don't answer.
         """
         now = time.monotonic()
         silent_since = now - pool.observed.silent_s(now)
@@ -126,9 +126,9 @@
     async def _check_unheard(
         self, pool: MemberPool, unheard: list[MemberConnection], limit_s: float
     ) -> None:
-        """Ask on idle connections one after the other, as each question takes a slot.
+        """Query idle connections one after the other, as each query takes a slot of the member.
 
-        Once one is silent the others are closed unasked: they went silent together.
+        Once one doesn't answer, the others are closed too: they probably broke together.
         """
         while unheard:
             connection = unheard.pop()
@@ -142,7 +142,7 @@
     async def _ask_on(
         self, pool: MemberPool, connection: MemberConnection, limit_s: float
     ) -> MemberStatus | None:
-        """Ask on a connection, which is given back; it is closed when no answer comes."""
+        """Query on a connection and return it to the pool; it is closed if no answer comes."""
         observed = pool.observed
         asked_at = time.monotonic()
         observed.sent(asked_at)
