--- a/limedyke/proxy/statements/members/member_traffic.py
+++ b/limedyke/proxy/statements/members/member_traffic.py
@@ -8,9 +8,9 @@
 
 
 class MemberTraffic:
-    """Counts for all connections to one member.
+    """Counts the bytes of all connections to one member.
 
-    :param distance: how far the member is; asked once something is counted, and kept when known
+    :param distance: returns the distance to the member; called on first use, until it is known
     """
 
     def __init__(self, meter: TrafficMeter, distance: Callable[[], Distance]) -> None:
@@ -19,11 +19,11 @@
         self._distance = Distance.UNKNOWN
 
     def sent(self, purpose: Purpose, size: int) -> None:
-        """Count what was sent to the member."""
+        """Count bytes sent to the member."""
         self._meter.count(purpose, self._known_distance(), Direction.OUT, size)
 
     def received(self, purpose: Purpose, size: int) -> None:
-        """Count what came from the member."""
+        """Count bytes received from the member."""
         self._meter.count(purpose, self._known_distance(), Direction.IN, size)
 
     def _known_distance(self) -> Distance:
