--- a/limedyke/proxy/statements/members/pinned_connection.py
+++ b/limedyke/proxy/statements/members/pinned_connection.py
@@ -1,4 +1,4 @@
-"""A member connection lent to one statement, or to a client's open transaction."""
+"""A member connection checked out for one statement, or for a client's open transaction."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class PinnedConnection:
-    """A connection that is given back to its pool once."""
+    """A checked-out connection that is returned to its pool exactly once."""
 
     pool: MemberPool
     connection: MemberConnection
@@ -27,24 +27,24 @@
         return self.pool.observed.record.identity
 
     async def give_back(self) -> None:
-        """Give the connection back to its pool; further calls do nothing."""
+        """Return the connection to its pool; further calls do nothing."""
         if not self.is_given_back:
             self.is_given_back = True
             await self.pool.putconn(self.connection)
 
     async def release(self) -> None:
-        """Give back a connection that should be in no transaction; one that is gets closed."""
+        """Return a connection that should be in no transaction; close it if it is in one."""
         if self.connection.status is not TransactionStatus.IDLE:
             await self.connection.close()
         await self.give_back()
 
     async def abandon(self) -> None:
-        """Close the connection: the member rolls back what is open on it."""
+        """Close the connection; the member rolls back an open transaction on it."""
         await self.connection.close()
         await self.give_back()
 
     async def roll_back(self) -> None:
-        """End the transaction on the connection, and give the connection back."""
+        """Roll back the transaction on the connection, and return the connection."""
         try:
             async with curio.timeout_after(ROLL_BACK_TIMEOUT_S):
                 await self.connection.roll_back()
