--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -1,4 +1,4 @@
-"""Connections to one member, as many as this proxy's lease allows."""
+"""The connection pool of one member, limited by this proxy's lease."""
 
 from __future__ import annotations
 
@@ -37,47 +37,52 @@
 from limedyke.proxy.statements.members.member_traffic import UNCOUNTED, MemberTraffic
 
 IDLE_CLOSE_S = 6.0
-"""Idle connections are few, so that members have room when proxies come back: a member holds a
-connection of a lost machine for some seconds."""
+"""Idle time, in seconds, after which a connection is closed. Few idle connections are kept so that
+a member has room for proxies that restart: it holds the connections of a lost machine for some
+seconds."""
 USUAL_SHARE = 0.5
-"""So much of a lease is used without a wait: a member holds the connections of machines that lost
-power for some seconds, and those that come back need room beside them."""
+"""Share of the lease up to which connections are opened without a wait. The rest is left free
+because a member holds the connections of machines that lost power for some seconds, and restarted
+ones need room beside them."""
 GROWTH_WAIT_S = 0.03
-"""A request that has waited so long may have a connection opened beyond the usual share."""
+"""Seconds a request waits before a connection beyond ``USUAL_SHARE`` may be opened for it."""
 OPENING_SHARE = 0.25
-"""So much of an opening's time counts against a member in the choice of one."""
+"""Share of the time to open a connection that counts as a cost in the choice of a member."""
 SURPLUS_IDLE_CLOSE_S = 1.0
+"""Idle time, in seconds, after which a connection beyond ``USUAL_SHARE`` is closed."""
 NO_TENANT = ""
-"""Whose connections the proxy's own questions open, and public databases use."""
+"""Tenant of the connections for status queries and public databases."""
 RECOUNT_INTERVAL_S = 0.02
-"""What waits is counted again so often, and told within this time that its turn won't come."""
+"""Interval, in seconds, at which expected waits are recomputed; requests whose turn can't come in
+time are refused then."""
 WAITING_PER_CONNECTION = 128
-"""Bounds the memory of what waits; as a rule the expected wait bounds it sooner."""
+"""Limit of waiting requests per leased connection, to bound memory; usually the expected wait
+limits the queue sooner."""
 LEAST_GAP_S = 0.0001
 MS_PER_S = 1_000
 LEAST_URGENT = 1_000
-"""A priority behind all others: everything that waits goes before it."""
+"""A priority behind all others, so that every waiting request goes first."""
 FULL_PAUSE_S = 0.2
-"""A member that took no further connection is not asked for one for so long."""
+"""Seconds without further opening attempts after a member refused a connection for lack of room."""
 
 
 class PoolClosedError(Exception):
-    """The member has left, or this proxy holds no lease on it."""
+    """The member was removed, or this proxy holds no lease on it."""
 
 
 class MemberPool:
-    """Lends connections to one member, in the order of ``RequestQueue``.
+    """Hands out connections to one member, in the order of ``RequestQueue``.
 
-    A connection serves the tenant on whose behalf it was opened and no other. When the lease has no
-    room for one more, the longest idle one is closed for a request of another tenant.
+    A connection serves only the tenant it was opened for. When the lease is used up, the longest
+    idle connection is closed to open one for a request of another tenant.
 
-    :param observed: the member as this proxy observes it; its load is kept here
-    :param make_codec: makes the codec of a connection
+    :param observed: the observed state of the member; the pool updates its load
+    :param make_codec: creates the codec of a connection
     :param traffic: counts the bytes of all its connections
     :ivar connector: opens connections
-    :ivar judgement: what was last told of the member in the log
-    :ivar opened: connections open or being opened
-    :ivar use: how many connections requests have use for
+    :ivar judgement: the status of the member that was last logged
+    :ivar opened: number of connections open or being opened
+    :ivar use: measures the demand for connections
     """
 
     def __init__(
@@ -119,16 +124,16 @@
     ) -> MemberConnection:
         """Return a connection of a tenant, if possible one with these session values.
 
-        :param tenant: ``ANY_TENANT`` for questions of the proxy's own
-        :param since: when the statement began to wait, also for another member; None for now
-        :param target_at: when its answer is late
-        :param start_by: when it has to be sent at the latest; it is turned away at once when its
-            turn comes later
-        :raises TurnedAwayError: when its turn would come too late, also once it waits
-        :raises PoolTimeoutError: when none came free in time
-        :raises PoolClosedError: when the member has left or there is no lease
-        :raises ConnectionLostError: when a new one could not be opened
-        :raises ConnectionRefusedByMemberError: when the member takes no further one
+        :param tenant: ``ANY_TENANT`` for the proxy's own status queries
+        :param since: when the statement began to wait, including waits for other members; None for
+            now
+        :param target_at: end of its target latency
+        :param start_by: latest time to send it; it is refused at once if its turn would come later
+        :raises TurnedAwayError: when its turn would come too late, on arrival or while it waits
+        :raises PoolTimeoutError: when no connection became available in time
+        :raises PoolClosedError: when the member was removed or there is no lease
+        :raises ConnectionLostError: when a new connection could not be opened
+        :raises ConnectionRefusedByMemberError: when the member refuses a further connection
         """
         now = time.monotonic()
         give_up_at = now + timeout_s
@@ -158,14 +163,14 @@
         return connection
 
     async def getconn_new(self) -> MemberConnection | None:
-        """Return a connection that was opened just now; None when the lease has no room for one.
+        """Open a new connection for a status query; None when the lease is used up.
 
-        What it shows holds for the member: an open connection may have gone silent by itself. An
-        idle one makes room for it if need be.
+        A failure on a new connection is a failure of the member, whereas an older connection may be
+        broken by itself. An idle connection is closed if necessary to make room.
 
-        :raises PoolClosedError: when the member has left or there is no lease
+        :raises PoolClosedError: when the member was removed or there is no lease
         :raises ConnectionLostError: when it could not be opened
-        :raises ConnectionRefusedByMemberError: when the member takes no further one
+        :raises ConnectionRefusedByMemberError: when the member refuses a further connection
         """
         if self.is_closed or self.limit == 0:
             raise PoolClosedError(self.observed.record.identity)
@@ -188,27 +193,27 @@
         return connection
 
     def take_unheard(self, since: float) -> list[MemberConnection]:
-        """Lend all idle connections on which nothing came since a moment; they may be silent."""
+        """Check out all idle connections that received nothing since a moment; they may be dead."""
         unheard = self._idle.take_unheard(since)
         self.observed.outstanding += len(unheard)
         return unheard
 
     @property
     def has_room(self) -> bool:
-        """Whether a connection can be had at once."""
+        """Whether a connection is available at once."""
         has_room = self.observed.has_room(time.monotonic())
         return has_room and (bool(self._idle) or self._may_open())
 
     @property
     def has_usual_room(self) -> bool:
-        """Whether a connection can be had at once and without going beyond the usual share."""
+        """Whether a connection is available at once without exceeding ``USUAL_SHARE``."""
         has_room = self.observed.has_room(time.monotonic())
         return has_room and (bool(self._idle) or self._may_open(waited_s=0.0))
 
     def expected_wait_s(self, tenant: str, priority: int = LEAST_URGENT) -> float:
-        """Return how long a request that comes now is expected to wait for a connection.
+        """Return the expected wait, in seconds, of a request that arrives now.
 
-        Only what goes before it counts: its priority and more urgent ones.
+        Only requests of the same or a more urgent priority count, as they go first.
         """
         now = time.monotonic()
         has_room = self.observed.has_room(now)
@@ -220,10 +225,10 @@
         return self._queue.expected_wait_s(request, now, self._drain())
 
     def connection_cost_s(self, tenant: str) -> float:
-        """Return what the way to a connection costs a read of a tenant that may go elsewhere.
+        """Return the cost, in seconds, of getting a connection, for choosing a member for a read.
 
-        One that is opened serves later reads too, so this one bears a part of its opening. Nothing
-        is assumed of a member that is new: it is to be tried.
+        A newly opened connection serves later reads too, so this read bears only a part of the
+        opening time. A member without a known opening time costs nothing, so that it is tried.
         """
         can_open = self.observed.has_room(time.monotonic()) and (
             bool(self._idle) or self._may_open()
@@ -234,7 +239,7 @@
         return self.expected_wait_s(tenant)
 
     def _has_place_for(self, request: QueuedRequest, now: float) -> bool:
-        """Tell whether a connection may be opened for a request beside those that go before it."""
+        """Tell whether there is a connection left for a request after those ahead of it."""
         openable = self.limit - self.opened if self._may_open() else 0
         free = len(self._idle) + openable
         if not self._queue:
@@ -243,7 +248,7 @@
         return max(0, before) < free
 
     def _drain(self) -> QueueDrain:
-        """Return how fast what waits is served, as seen while something waits."""
+        """Return how fast the queue is served, as observed while requests wait."""
         gap_s = max(self.turn_gap_s, LEAST_GAP_S)
         slots = min(float(self.limit), self._queue.usual_cost_s / gap_s)
         waiting_limit = WAITING_PER_CONNECTION * self.limit
@@ -251,23 +256,23 @@
 
     @property
     def turn_gap_s(self) -> float:
-        """The time to expect between two turns."""
+        """The expected time between two turns, in seconds."""
         now = time.monotonic()
         if not self._queue:
             return self._assumed_gap_s(now)
         return self._turns.gap_s(self.observed.awaited_s(self._turns.last_at, now))
 
     def retry_after_ms(self, priority: int, ready_in_s: float = 0.0) -> int:
-        """Return when one that is refused may come back to this member, and keep the time for it.
+        """Return a refused request's retry delay, and reserve the time for it.
 
-        :param ready_in_s: when there is room for it, or the member can serve it
+        :param ready_in_s: seconds until there is room or the member can serve again
         """
         now = time.monotonic()
         return_s = self._returns.retry_after_s(priority, ready_in_s, now, self.turn_gap_s)
         return math.ceil(return_s * MS_PER_S)
 
     def _assumed_gap_s(self, now: float) -> float:
-        """Return the time between two turns; connections at rest in transactions don't count."""
+        """Estimate the time between two turns, without connections held by idle transactions."""
         connections = self.opened if now < self._full_until else self.limit
         usual_s = self._queue.usual_cost_s
         at_work = connections - self._lent.held(usual_s, now)
@@ -277,13 +282,14 @@
 
     @property
     def usual_limit(self) -> int:
-        """Connections that are opened without a wait."""
+        """Number of connections that are opened without a wait."""
         return math.ceil(self.limit * USUAL_SHARE)
 
     def _may_open(self, waited_s: float = GROWTH_WAIT_S) -> bool:
-        """Tell whether a further connection should be tried: the lease and the member allow it.
+        """Tell whether the lease and the member allow one more connection.
 
-        With none open there is none to wait for, so one is tried whatever the member said.
+        While none is open, one is tried even if the member recently refused, as there is none to
+        wait for.
 
         :param waited_s: how long the request has waited
         """
@@ -292,7 +298,7 @@
         return self.opened < limit and not is_full
 
     async def putconn(self, connection: MemberConnection) -> None:
-        """Take a connection back; one that is closed or in a transaction is given up."""
+        """Return a connection to the pool; one that is closed or in a transaction is discarded."""
         self.observed.outstanding -= 1
         self.sent_on(connection)
         request = self._lent.take_back(connection)
@@ -307,27 +313,27 @@
         await self.recount(time.monotonic())
 
     def _reserve(self, connection: MemberConnection) -> None:
-        """Count a connection that is lent as work at the member until something is sent on it."""
+        """Count a checked-out connection as load of the member until something is sent on it."""
         connection.is_reserved = True
         self.observed.reserved += 1
 
     def sent_on(self, connection: MemberConnection) -> None:
-        """Take that a request has sent something, or gives the connection back."""
+        """End a reservation: the request has sent something, or returns the connection."""
         if connection.is_reserved:
             connection.is_reserved = False
             self.observed.reserved -= 1
 
     def _may_send_more(self) -> bool:
-        """Tell whether the member has room for more; what is held back is looked at again."""
+        """Tell whether the member has room; remember if not, so that ``room_came`` serves later."""
         has_room = self.observed.has_room(time.monotonic())
         self._lacked_room = self._lacked_room or not has_room
         return has_room
 
     async def room_came(self) -> None:
-        """Serve the next requests while there is room for more at the member.
+        """Serve waiting requests while the member has room.
 
-        Each keeps its place until a connection is there for it: one that asked anew could be turned
-        away after it had waited.
+        Each keeps its place until it has a connection; if it queued again, it could be refused
+        after having waited.
         """
         if not self._lacked_room:
             return
@@ -347,10 +353,11 @@
                 self._idle.add(connection, time.monotonic())
 
     async def _hand_over(self, connection: MemberConnection) -> None:
-        """Give a connection to the request that is next, or keep it idle.
+        """Give a connection to the next request, or keep it idle.
 
-        When that one wants another tenant's and the lease has no room for it, this connection is
-        closed in its favour: else a tenant with many requests would keep all connections.
+        If the next request needs another tenant's connection and the lease is used up, this
+        connection is closed for it. Otherwise a tenant with many requests would keep all
+        connections.
         """
         now = time.monotonic()
         if not self._may_send_more():
@@ -371,7 +378,7 @@
         self._idle.add(connection, now)
 
     async def _give_to_own_tenant(self, connection: MemberConnection) -> None:
-        """Give a new connection to the next request of its tenant, if one waits yet."""
+        """Give a new connection to the next request of its tenant, if one still waits."""
         waiter = self._take_first_for(connection.tenant) if self._may_send_more() else None
         if waiter is not None:
             self._reserve(connection)
@@ -380,14 +387,14 @@
             await self._hand_over(connection)
 
     def _take_first(self) -> ConnectionWaiter | None:
-        """Take out the request that is next; None when none waits."""
+        """Remove and return the next request, or None."""
         waiter = self._queue.first(time.monotonic())
         if waiter is not None:
             self._queue.remove(waiter)
         return waiter
 
     def _take_first_for(self, tenant: str) -> ConnectionWaiter | None:
-        """Take out the first request that a connection of a tenant serves; None when none is."""
+        """Remove and return the first request that a tenant's connection can serve, or None."""
         now = time.monotonic()
         waiter = self._queue.first(now, lambda wanted: wanted in (ANY_TENANT, tenant))
         if waiter is not None:
@@ -399,13 +406,13 @@
         return not self._is_opening_for(waiter.tenant) and not self._may_open()
 
     def _is_opening_for(self, tenant: str | None) -> bool:
-        """Tell whether a connection is being opened for each request that wants a tenant's."""
+        """Tell whether enough connections of a tenant are being opened for its requests."""
         opener = NO_TENANT if tenant is ANY_TENANT else tenant
         waiting = self._queue.waiting(opener) + self._queue.waiting(ANY_TENANT)
         return self._opening[opener] >= waiting
 
     async def set_limit(self, limit: int) -> None:
-        """Take the lease; idle connections above it are closed."""
+        """Apply a lease; idle connections above it are closed."""
         grows = limit > self.limit
         self.limit = limit
         while self.opened > limit and await self._close_longest_idle():
@@ -418,14 +425,14 @@
             await self._recount(time.monotonic())
 
     async def _open_for_waiting(self) -> None:
-        """Open connections for those that wait, in their order, as far as there is room."""
+        """Open connections for waiting requests, in order, as far as the limits allow."""
         for waiter in list(self._queue.in_order(time.monotonic())):
             if not self._may_open():
                 return
             await self._open_one(waiter.tenant, GROWTH_WAIT_S)
 
     async def _close_longest_idle(self) -> bool:
-        """Close the connection that has been idle for longest; tell whether there was one."""
+        """Close the longest idle connection; tell whether there was one."""
         connection = self._idle.take_longest_idle()
         if connection is None:
             return False
@@ -433,14 +440,14 @@
         return True
 
     async def drain(self) -> None:
-        """Close the pool: idle connections now, the others when they come back."""
+        """Close the pool: idle connections now, the others when they are returned."""
         self.is_closed = True
         while await self._close_longest_idle():
             continue
         await self._wake_all()
 
     async def close_idle(self, now: float) -> None:
-        """Close connections that have been idle for long, those beyond the usual share sooner."""
+        """Close connections that were idle for too long, sooner beyond ``USUAL_SHARE``."""
         while True:
             is_surplus = self.opened > self.usual_limit
             limit_s = SURPLUS_IDLE_CLOSE_S if is_surplus else IDLE_CLOSE_S
@@ -452,7 +459,7 @@
     async def _take_idle(
         self, tenant: str | None, values: dict[str, str]
     ) -> MemberConnection | None:
-        """Return the tenant's idle connection whose values fit best, dropping those that died."""
+        """Return the tenant's best matching idle connection; discard dead ones."""
         while (connection := self._idle.take(tenant, values)) is not None:
             if connection.is_alive():
                 self._reserve(connection)
@@ -461,12 +468,12 @@
         return None
 
     async def _open_one(self, tenant: str | None, waited_s: float) -> None:
-        """Open a connection in the background, unless one is being opened for each request.
+        """Open a connection in the background, unless enough are being opened already.
 
-        Requests that give up meanwhile leave it to others: to open one takes several round trips.
-        Another tenant's idle connection makes room for it if need be.
+        If the request gives up meanwhile, the connection goes to another one: opening takes several
+        round trips. Another tenant's idle connection is closed if necessary to make room.
 
-        :param waited_s: how long the request that wants it has waited
+        :param waited_s: how long the request has waited
         """
         if self._is_opening_for(tenant) or not self._may_send_more():
             return
@@ -478,17 +485,17 @@
         await self._begin_opening(tenant)
 
     async def _begin_opening(self, tenant: str | None) -> None:
-        """Open a connection in the background; the caller has seen that there is room for it."""
+        """Open a connection in the background; the caller has checked that there is room."""
         opener = NO_TENANT if tenant is ANY_TENANT else tenant
         self._opening[opener] += 1
         self.opened += 1
         await curio.spawn(self._open, opener, daemon=True)
 
     def _may_open_beside_idle(self) -> bool:
-        """Tell whether a connection is opened beyond the usual share, rather than for an idle one.
+        """Tell whether to exceed ``USUAL_SHARE`` rather than replace an idle connection.
 
-        Those were all used a moment ago: closed for this request, each would be opened again for
-        its own tenant's next one. Those that are not wanted again are closed soon.
+        This holds while all idle connections were used a moment ago: a closed one would have to be
+        reopened for the next request of its tenant. Unused ones are closed soon anyway.
         """
         idle_s = self._idle.longest_idle_s(time.monotonic())
         return 0.0 < idle_s < SURPLUS_IDLE_CLOSE_S and self._may_open()
@@ -517,7 +524,7 @@
         await self.room_came()
 
     def _learn_opening(self, connection: MemberConnection) -> None:
-        """Take how long the network and the member took for an opening."""
+        """Record how long the network and the member took for an opening."""
         now = time.monotonic()
         observed = self.observed
         observed.connected(now, connection.opened_in_s)
@@ -526,7 +533,7 @@
         observed.concurrency.answered(OPENING, seconds, observed.under_way(now) + 1, now)
 
     async def _not_opened(self, error: Exception, tenant: str) -> None:
-        """Tell requests that a connection was not opened; who may get another one waits on."""
+        """Handle a failed opening: fail requests unless another connection can serve them."""
         has_others = self.opened > self._opening.total()
         if has_others and self._has_no_room(error):
             self.use.turned_away += 1
@@ -542,7 +549,7 @@
         await self._fail_all(error)
 
     async def _wake_all(self) -> None:
-        """Have all look again: the member has left, or the lease has ended."""
+        """Wake all requests to try again: the member was removed, or the lease ended."""
         for waiter in self._queue.drain():
             await waiter.look_again()
 
@@ -551,16 +558,17 @@
             await waiter.fail(error)
 
     def _has_no_room(self, error: Exception) -> bool:
-        """Tell whether a member works but takes no further connection.
+        """Tell whether a member works but has no room for a further connection.
 
-        It says so, or resets those beyond its limit; those of machines that are gone count too.
+        It either says so or resets connections beyond its limit. Connections of machines that are
+        gone count towards that limit too.
         """
         if isinstance(error, ConnectionRefusedByMemberError):
             return error.answer.kind is AnswerKind.NO_CONNECTION
         return self.observed.answered_lately(time.monotonic())
 
     async def _give_up(self, connection: MemberConnection) -> None:
-        """Close a connection; the next request may have another one opened."""
+        """Close a connection, and wake the next request, which may open another one."""
         await self._discard(connection)
         await self._wake_one()
 
@@ -569,15 +577,15 @@
         self.opened -= 1
 
     async def _wake_one(self) -> None:
-        """Let the next request try again: a connection may be opened."""
+        """Wake the next request to try again, as a connection may be opened."""
         waiter = self._take_first()
         if waiter is not None:
             await waiter.look_again()
 
     async def _let_in(self, waiter: ConnectionWaiter) -> None:
-        """Give a request its place, and tell those that have to give way to it.
+        """Add a request to the queue; requests that it displaces are refused.
 
-        :raises TurnedAwayError: when it can't have its turn in time
+        :raises TurnedAwayError: when its turn can't come in time
         """
         now = time.monotonic()
         waiter.renew()
@@ -600,7 +608,7 @@
         await self.recount(now)
 
     async def recount(self, now: float) -> None:
-        """Tell those that wait and can't have their turn in time any more; not too often."""
+        """Refuse waiting requests whose turn can't come in time any more, at a limited rate."""
         if self._queue and now >= self._recount_at:
             await self._recount(now)
 
@@ -611,9 +619,9 @@
             await waiter.fail(TurnedAwayError(identity, refused))
 
     async def look_after_waiting(self, now: float) -> None:
-        """Tell those whose turn won't come, and those that wait for a member that seems to hang.
+        """Refuse requests whose turn won't come or whose member hangs; open connections for others.
 
-        To be called once it is known whether this process stood still.
+        Call it only after a possible pause of this process has been accounted for.
         """
         await self.recount(now)
         if self._queue and self.observed.seems_silent(now):
@@ -622,7 +630,7 @@
             await self._open_for_waiting()
 
     async def _tell_of_silence(self, now: float) -> None:
-        """Have those look elsewhere that began to wait while the member answered."""
+        """Fail requests that began to wait while the member answered, so that they go elsewhere."""
         unaware = [waiter for waiter in self._queue.in_order(now) if not waiter.expects_silence]
         for waiter in unaware:
             if waiter.deadline_at < NEVER:
@@ -630,13 +638,13 @@
                 await waiter.fail(PoolTimeoutError(self.observed.record.identity))
 
     async def _wait(self, waiter: ConnectionWaiter, give_up_at: float) -> MemberConnection | None:
-        """Wait for a connection, and have one opened if there may be one more.
+        """Wait for a connection, and open one if the limits allow.
 
-        :returns: None when another try is worth it
+        :returns: None when the caller should try again
         :raises TurnedAwayError: when its turn won't come in time
         :raises PoolTimeoutError: when the request's time is over
         :raises ConnectionLostError: when none could be opened
-        :raises ConnectionRefusedByMemberError: when the member takes none
+        :raises ConnectionRefusedByMemberError: when the member refuses a connection
         """
         await self._let_in(waiter)
         self.observed.waiting += 1
@@ -652,9 +660,9 @@
     async def _wait_for(
         self, waiter: ConnectionWaiter, grows_at: float, give_up_at: float
     ) -> MemberConnection | None:
-        """Wait until a request is served, may look again, or gives up.
+        """Wait until a request is served, should try again, or gives up.
 
-        :param grows_at: when a connection beyond the usual share may be opened for it
+        :param grows_at: when a connection beyond ``USUAL_SHARE`` may be opened for it
         """
         now = time.monotonic()
         until = min(grows_at, give_up_at) if now < grows_at else give_up_at
@@ -676,7 +684,7 @@
         return waiter.connection
 
     async def _abandon(self, waiter: ConnectionWaiter) -> None:
-        """Pass on what a waiter was given at the moment it gave up."""
+        """Pass on a connection or wake-up that a waiter got just when it gave up."""
         was_given = not self._queue.remove(waiter)
         if was_given and waiter.connection is not None:
             self.observed.outstanding += 1
