--- a/limedyke/proxy/statements/members/present_time.py
+++ b/limedyke/proxy/statements/members/present_time.py
@@ -1,8 +1,8 @@
-"""Time limits that run only while this process is there to take what comes.
+"""A timeout that leaves out pauses of this process.
 
-A process that stands still finds its time limits passed when it goes on, and takes for silent who
-had no chance to be heard. ``ProcessPauses`` knows of pauses that its own task slept through; here a
-limit is waited for in parts, and a pause costs no more than the part in which it came.
+After a pause, such as one of the whole machine, every timeout has expired, although the answer may
+be waiting in the socket. ``ProcessPauses`` detects only pauses during its own task's sleep. Here
+the timeout is split into short parts, and a pause uses up at most the part in which it happens.
 """
 
 from __future__ import annotations
@@ -14,17 +14,18 @@
 import curio
 
 PART_S = 0.1
-"""As long as the least pause that counts: a limit runs at most this much over for each pause."""
+"""Length of a part, in seconds, equal to the shortest pause that counts. Each pause uses up at most
+one part of the limit."""
 ResultType = TypeVar("ResultType")
 
 
 async def within(
     limit_s: float, call: Callable[..., Awaitable[ResultType]], *arguments: object
 ) -> ResultType:
-    """Return what a call returns, or raise what it raises.
+    """Return the result of an asynchronous call, or raise its exception.
 
-    :param limit_s: seconds of this process's presence
-    :raises curio.TaskTimeout: when the limit has passed; the call is cancelled
+    :param limit_s: timeout in seconds, without pauses of this process
+    :raises curio.TaskTimeout: when the timeout has expired; the call is cancelled
     """
     task = await curio.spawn(call, *arguments)
     left_s = limit_s
