--- a/limedyke/proxy/statements/memory_store.py
+++ b/limedyke/proxy/statements/memory_store.py
@@ -1,4 +1,4 @@
-"""Stands for the disk of a proxy that has none: each life begins with nothing."""
+"""The control store of a diskless proxy: it is empty at each start."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from limedyke.result_codes import Failure
 
 ONLY_INCARNATION = 1
-"""The proxy's name differs in each life, so its lives need no numbers."""
+"""The proxy gets a new name at each start, so its incarnations need no numbers."""
 
 
 class MemoryControlStore:
-    """Keeps nothing beyond the process; its state is asked for anew at the start.
+    """Stores nothing; the state is requested from the controllers at each start.
 
-    :param address: where the process listens, as no other can meanwhile (``ip:port``)
+    :param address: the ``ip:port`` that the process listens on; it identifies the store, as no
+        other process can use it meanwhile
     """
 
     wants_snapshot = False
@@ -31,7 +32,7 @@
         return Ok(StoredControl(ControlViewBuilder(), True, ONLY_INCARNATION, self._folder_id))
 
     async def save_snapshot(self, snapshot: ControlSnapshot) -> None:
-        """Keep nothing."""
+        """Do nothing."""
 
     async def append_updates(self, updates: Sequence[ControlUpdate]) -> None:
-        """Keep nothing."""
+        """Do nothing."""
