--- a/limedyke/proxy/statements/placed_answer.py
+++ b/limedyke/proxy/statements/placed_answer.py
@@ -1,4 +1,4 @@
-"""The answer to a client's statement, and where its transaction is open afterwards."""
+"""The result of a client's statement: the answer, and where its transaction is open afterwards."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 class ForwardedTransaction:
     """A client's transaction that is open at a home proxy.
 
-    :param number: among those of this proxy
+    :param number: identifies it among the transactions that this proxy forwarded
     """
 
     link: HomeLink
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacedAnswer:
-    """An answer.
+    """The answer to a statement, and the state of the client's transaction after it.
 
     :param place: where the client's transaction is open now; None when none is
     """
