--- a/limedyke/proxy/statements/planned_stop.py
+++ b/limedyke/proxy/statements/planned_stop.py
@@ -1,4 +1,4 @@
-"""The planned stop of a proxy: takes less and less, answers all that it took, then leaves."""
+"""The planned stop of a proxy: it accepts less work in phases and answers all it has accepted."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ForwardedWork(Protocol):
-    """What other proxies have here."""
+    """The work of other proxies on this one."""
 
     @property
     def has_work(self) -> bool:
@@ -27,23 +27,23 @@
 
     @property
     def under_way(self) -> int:
-        """How many units run here."""
+        """Number of running units."""
 
 
 class LeavingControl(Protocol):
     """Tells the controllers that the proxy leaves."""
 
     async def leave(self, done: bool) -> None:
-        """Tell that the proxy drains, or is done with it."""
+        """Report that the proxy is draining, or has finished."""
 
 
 class PlannedStop:
     """Takes one proxy out of service.
 
-    :param state: told to all that takes work
-    :param clients: connected at present
-    :param forwarded: what other proxies have here
-    :param home_server: serves their links
+    :param state: shared with all components that accept work
+    :param clients: the connected clients
+    :param forwarded: the work of other proxies on this one
+    :param home_server: serves the links of other proxies
     """
 
     def __init__(
@@ -61,10 +61,10 @@
         self._control = control
 
     async def run(self, whole_s: float, close_listener: Callable[[], Awaitable[None]]) -> None:
-        """Leave service.
+        """Run the planned stop.
 
         :param whole_s: seconds until the process is killed
-        :param close_listener: lets no new client in
+        :param close_listener: stops accepting clients
         """
         began_at = time.monotonic()
         schedule = self._state.begin(began_at, whole_s)
@@ -86,7 +86,7 @@
         )
 
     async def _serve_until(self, until: float) -> None:
-        """Serve what is here until a moment or the end of it; idle sessions end meanwhile."""
+        """Wait until a moment, or until no work is left; end sessions as the schedule says."""
         while self._clients or self._forwarded.has_work:
             if time.monotonic() >= until:
                 return
@@ -95,7 +95,7 @@
             await curio.sleep(LOOK_INTERVAL_S)
 
     async def _answer_the_rest(self, schedule: StopSchedule) -> int:
-        """Have each statement under way told what is known of it; return how many there were."""
+        """Answer each running statement with its known outcome; return how many there were."""
         cut = 0
         for client in list(self._clients):
             cut += client.is_serving
