--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -1,4 +1,4 @@
-"""Runs reads: at a replica that is proved fresh enough, or at the primary."""
+"""Runs reads on a replica that is proven to be fresh enough, or on the primary."""
 
 from __future__ import annotations
 
@@ -22,13 +22,14 @@
 from limedyke.result_codes import ResultCode
 
 STALENESS_MARGIN_S = 0.03
+"""Seconds by which a position must be fresher than the staleness bound."""
 CHOICE_INTERVAL_S = 0.06
-"""A read waits so long for a connection to one member before it looks at all of them again: twice
-as long as it takes until a connection beyond the usual share of the lease is opened."""
+"""Seconds a read waits for a connection to one member before it chooses among all members again:
+twice the time until a connection beyond the usual share of the lease is opened."""
 
 
 class ReadRunner:
-    """Runs reads, and the first statements of transactions that only read.
+    """Runs reads, and the first statements of read-only transactions.
 
     :param zone: of this proxy
     """
@@ -40,7 +41,7 @@
         self._questions = questions
 
     async def run(self, attempt: Attempt) -> PlacedAnswer:
-        """Run a read; try member after member while none has run it."""
+        """Run a read; try one member after the other until one has run it."""
         group = attempt.group
         while True:
             if attempt.is_too_late():
@@ -73,10 +74,10 @@
     async def _wait_for_replica(
         self, attempt: Attempt, required: LogPosition | None, best: ObservedMember
     ) -> bool:
-        """Wait for a replica that will hold the position, if that is sooner than any other way.
+        """Wait for a replica to reach the position, if that is faster than using another member.
 
-        :param best: the member that the read would go to now
-        :returns: whether there was one
+        :param best: the member that the read would use now
+        :returns: whether there was such a replica
         """
         if required is None:
             return False
@@ -97,9 +98,9 @@
     async def _try_at(
         self, pool: MemberPool, attempt: Attempt, required: LogPosition | None, wait_s: float
     ) -> PlacedAnswer | None:
-        """Run a read at one member; None when another one should be tried.
+        """Run a read on one member; return None when another one should be tried.
 
-        :param wait_s: how long a connection is waited for
+        :param wait_s: longest wait for a connection
         """
         identity = pool.observed.record.identity
         attempt.tried.add(identity)
@@ -122,7 +123,7 @@
         return None
 
     def _second(self, attempt: Attempt, required: LogPosition | None) -> SecondMember | None:
-        """Return another member that has room for a read that is slow at the first."""
+        """Return another member with room, to hedge a read that is slow on the first."""
         if not attempt.may_run_again():
             return None
         group = attempt.group
@@ -136,7 +137,7 @@
         return None
 
     def _able(self, attempt: Attempt, required: LogPosition | None) -> list[ObservedMember]:
-        """Return the members that may serve the read now, the best first."""
+        """Return the members that can serve the read now, the best first."""
         group = attempt.group
         wants_primary = attempt.session.database.consistency is Consistency.PRIMARY
         position = None if wants_primary and group.is_surely_primary(group.primary) else required
@@ -158,7 +159,11 @@
         return attempt.session.database.target_latency_ms / MS_PER_S
 
     async def _required_position(self, attempt: Attempt) -> LogPosition | None:
-        """Return a position that a replica must hold for this read; None when none is proved."""
+        """Return the position that a replica must hold for this read.
+
+        None means that only the primary may serve it, because the read requires the primary or no
+        position is proven.
+        """
         group = attempt.group
         session = attempt.session
         if session.database.consistency is Consistency.PRIMARY:
@@ -171,10 +176,10 @@
         return position if session.written is None else max(position, session.written)
 
     async def _fresh_position(self, attempt: Attempt) -> LogPosition | None:
-        """Return a position that the primary held within the bound; None when none is known.
+        """Return a position that the primary held within the staleness bound; None if unknown.
 
-        While the primary has no room, as just after the start, its position is asked for: then
-        replicas can serve, and a read need not wait for the primary.
+        While the primary has no room, for example just after the start, its position is queried so
+        that replicas can serve the read.
         """
         group = attempt.group
         while True:
@@ -192,6 +197,6 @@
 
 
 def _oldest_allowed(attempt: Attempt) -> float:
-    """Return the moment at which a position must have been the primary's at the earliest."""
+    """Return the earliest time at which the primary may have held a usable position."""
     staleness_s = attempt.session.database.max_staleness_ms / MS_PER_S
     return time.monotonic() - staleness_s + STALENESS_MARGIN_S
