--- a/limedyke/proxy/statements/runner.py
+++ b/limedyke/proxy/statements/runner.py
@@ -1,4 +1,4 @@
-"""Runs statements on members: chooses, retries what did not run, tells what is known."""
+"""Runs statements on members: applies limits, chooses members and retries what did not run."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
     """Runs the statements of all sessions of this proxy.
 
     :param zone: of this proxy
-    :param metrics: counts what members answered
-    :param log: gets a line for each try that failed
-    :param limits: gives what admits operations of tenants with a limit; None to admit all
+    :param metrics: counts the answers of members
+    :param log: receives each failed try
+    :param limits: returns the limiter of tenants' operations, or None to admit all
     """
 
     def __init__(
@@ -66,10 +66,10 @@
         return await self._run_within(limits, attempt)
 
     async def _run_within(self, limits: OperationLimiter, attempt: Attempt) -> PlacedAnswer:
-        """Run the first statement of an operation, if its tenant's limit admits one.
+        """Run the first statement of an operation if its tenant's limit admits it.
 
-        It is counted where it runs, not where the client is: fewer proxies share a limit then.
-        It may wait for its token until its answer would come after its target latency.
+        The operation is counted on the proxy that runs it, not on the client's proxy, so that fewer
+        proxies share a limit. It may wait for a token as long as it can meet its target latency.
         """
         tenant, priority = attempt.session.tenant, attempt.session.database.priority
         request = attempt.run.statement.request_id
@@ -85,14 +85,14 @@
         return placed
 
     async def _run_first(self, attempt: Attempt) -> PlacedAnswer:
-        """Run a statement that is in no open transaction yet."""
+        """Run a statement outside an open transaction."""
         session, run = attempt.session, attempt.run
         if session.needs_primary(run) and not _reads_only(run):
             return await self._run_on_primary(attempt)
         return await self._reads.run(attempt)
 
     async def _run_pinned(self, pinned: PinnedConnection, attempt: Attempt) -> PlacedAnswer:
-        """Run a further statement of a transaction on its connection."""
+        """Run a further statement of a transaction on its connection; retry while it is busy."""
         while True:
             answer = await self._exchange.run(pinned, attempt, None, attempt.time_left())
             if answer.kind is not AnswerKind.BUSY:
@@ -104,7 +104,7 @@
         return await settle_in_transaction(attempt.session, attempt.run, pinned, answer)
 
     async def _run_on_primary(self, attempt: Attempt) -> PlacedAnswer:
-        """Run a write, or the first statement of a transaction that may write."""
+        """Run a write, or the first statement of a transaction that may write, on the primary."""
         group = attempt.group
         while True:
             pool = group.primary_pool()
@@ -143,7 +143,7 @@
 def _takes_writes(observed: ObservedMember, now: float) -> bool:
     """Tell whether a write should be sent to a primary.
 
-    At one that seems to hang its outcome would likely stay unknown.
+    If the primary seems to hang, the outcome would probably stay unknown.
     """
     return observed.takes_work(now) and not observed.seems_silent(now)
 
