--- a/limedyke/proxy/statements/server.py
+++ b/limedyke/proxy/statements/server.py
@@ -1,4 +1,4 @@
-"""The process: a proxy without a disk for sessions of statements."""
+"""The process of the diskless statement proxy."""
 
 from __future__ import annotations
 
@@ -54,10 +54,10 @@
 class StatementProxy:
     """One proxy process.
 
-    :param make_client_codec: makes the codec of a client connection
-    :param make_member_codec: makes the codec of a member connection
+    :param make_client_codec: creates the codec of a client connection
+    :param make_member_codec: creates the codec of a member connection
     :param settings_file: watched for changes
-    :param reread: gives the settings anew; it raises ValueError when the file is not valid
+    :param reread: reads the settings again; raises ValueError when the file is invalid
     """
 
     def __init__(
@@ -148,7 +148,7 @@
         return EXIT_FAILED
 
     async def _reload(self) -> None:
-        """Take what can change in a running process: the controllers."""
+        """Apply the only setting that can change in a running process: the controllers."""
         self._control.settings_changed(self._reread().controllers)
 
     def _link_key(self, role: PeerRole, name: str) -> bytes | None:
@@ -193,7 +193,7 @@
         return HttpAnswer(status, f"{state.reason}\n".encode(), "text/plain")
 
     async def _serve_until_asked(self, listener: socket.socket, stop: StopSignal) -> None:
-        """Let clients in until the process is asked to stop; then leave service."""
+        """Accept clients until the process is asked to stop; then run the planned stop."""
         acceptor = Acceptor(listener, self._admit, EVENTS)
         await curio.spawn(acceptor.run, daemon=True)
         await stop.wait()
