--- a/limedyke/proxy/statements/settings.py
+++ b/limedyke/proxy/statements/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a proxy for sessions of statements."""
+"""Settings of the statement proxy."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class StatementProxySettings(Model):
-    """Settings of a proxy without a disk. Times are in milliseconds.
+    """Settings of the diskless statement proxy. Times are in milliseconds.
 
-    ``name`` differs in each life of the process; ``controllers`` are those known at the start,
-    others are learned.
+    ``name`` is new at each start; ``controllers`` are those known at the start, and further ones
+    are learned from them.
     """
 
     name: str = Field(pattern=r"^[a-z0-9][a-z0-9-]{0,62}$")
