--- a/limedyke/proxy/statements/settlement.py
+++ b/limedyke/proxy/statements/settlement.py
@@ -1,4 +1,4 @@
-"""What a member's answer to a statement means for the client and its session."""
+"""Turns a member's answer into the client's answer, and updates the session."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 async def settle_first(
     session: StatementSession, run: RunOnMember, pinned: PinnedConnection, answer: MemberAnswer
 ) -> PlacedAnswer:
-    """Take the answer to a statement outside a transaction, or to a transaction's first."""
+    """Process the answer to a statement outside a transaction, or to the first one inside."""
     if session.transaction is not None:
         return await settle_in_transaction(session, run, pinned, answer)
     if answer.kind in (AnswerKind.LOST, AnswerKind.TIMED_OUT):
@@ -37,7 +37,7 @@
 async def settle_in_transaction(
     session: StatementSession, run: RunOnMember, pinned: PinnedConnection, answer: MemberAnswer
 ) -> PlacedAnswer:
-    """Take the answer to a statement of a transaction that is open on a connection."""
+    """Process the answer to a statement of a transaction that is open on a connection."""
     if answer.kind is not AnswerKind.DONE:
         return await _transaction_failed(session, run, pinned, answer)
     session.ran(run)
@@ -49,9 +49,9 @@
 
 
 def settle_unanswered(session: StatementSession, run: RunOnMember, detail: str) -> PlacedAnswer:
-    """Say what is known of a statement that was sent, and of which no answer comes any more.
+    """Return the result of a statement that was sent and will not be answered.
 
-    An open transaction can't be committed any more: who has it rolls it back.
+    Its open transaction can't be committed any more; the member or home proxy rolls it back.
     """
     is_commit = run.statement.kind is StatementKind.COMMIT
     is_in_transaction = session.transaction is not None
@@ -69,7 +69,7 @@
 async def _transaction_failed(
     session: StatementSession, run: RunOnMember, pinned: PinnedConnection, answer: MemberAnswer
 ) -> PlacedAnswer:
-    """End a transaction whose statement was no success; say what is known of it."""
+    """End a transaction after a failed statement; return its known outcome."""
     is_commit = run.statement.kind is StatementKind.COMMIT
     await pinned.abandon()
     if is_commit:
@@ -90,7 +90,7 @@
 
 
 def _failure(answer: MemberAnswer, run: RunOnMember) -> StatementAnswer:
-    """Return what is known of a single statement that was no success."""
+    """Return the refusal for a failed statement outside a transaction."""
     match answer.kind:
         case AnswerKind.FAILED:
             return refusal(ResultCode.STATEMENT_FAILED, answer.detail)
