--- a/limedyke/proxy/statements/statement_log.py
+++ b/limedyke/proxy/statements/statement_log.py
@@ -1,4 +1,4 @@
-"""Lines on statements: every refusal, failure and failed try; those served are summed up."""
+"""Logs statements: each refusal, failure and failed try, and periodic counts of those served."""
 
 from __future__ import annotations
 
@@ -21,8 +21,9 @@
 
 DEFAULT_LINES_PER_SECOND = 50
 TRIES_SHARE = 0.5
-"""Lines on tries are so many of those on outcomes at most, which say more; as many again tell why
-statements were turned away, so that this is not lost among the tries of a bad second."""
+"""Rate limit for lines on failed tries, as a share of the limit for outcomes, which say more. Lines
+on queue refusals have a separate limit of the same size, so that they are not crowded out by failed
+tries."""
 SUMMARY_INTERVAL_S = 10.0
 MS_PER_S = 1_000
 TRIED_ELSEWHERE = frozenset(
@@ -37,7 +38,7 @@
 
 
 class NotSent(enum.StrEnum):
-    """Why a statement was sent to no member."""
+    """Why a statement was not sent to any member."""
 
     NO_PRIMARY = "no-primary-that-answers"
     POSITION_UNPROVEN = "no-position-of-the-primary-is-proved"
@@ -49,14 +50,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Try:
-    """A try to run a statement that failed, and what this proxy knew then.
-
-    :param reason: the member's answer, or why none was asked
-    :param member: that was tried; empty when none was
-    :param primary: the recorded primary, empty when there is none
-    :param term: of that record
-    :param lease_left_s: for how long it was surely the only one; negative when it was not
-    :param is_news: the statement's try before failed otherwise
+    """A failed try to run a statement, and the group state this proxy knew then.
+
+    :param reason: the member's answer, or why nothing was sent
+    :param member: the member that was tried; empty for none
+    :param primary: the recorded primary; empty for none
+    :param term: of the recorded primary
+    :param lease_left_s: seconds left of the primary lease; negative once it has ended
+    :param is_news: the reason differs from that of the statement's previous try
     """
 
     reason: AnswerKind | NotSent
@@ -71,7 +72,7 @@
 class StatementUnderWay:
     """A statement that was received and is not answered yet.
 
-    :param started_at: when it was received, seconds of the monotonic clock
+    :param started_at: when it was received, in seconds of the monotonic clock
     """
 
     database: Database
@@ -80,9 +81,9 @@
 
 
 class StatementLog:
-    """Writes a limited number of lines a second; what is left out is counted.
+    """Writes a limited number of lines per second; omitted lines are counted.
 
-    :param metrics: counts all answers and tries
+    :param metrics: counts all answers and tries, logged or not
     :param lines_per_second: the limit
     """
 
@@ -101,7 +102,7 @@
     def answered(
         self, database: Database, statement: Statement, answer: StatementAnswer, started_at: float
     ) -> None:
-        """Take the answer to a statement."""
+        """Record the answer to a statement."""
         code = CODE_BY_NUMBER.get(answer.code)
         label = code.label if code is not None else "done"
         held_s = time.monotonic() - started_at
@@ -126,10 +127,10 @@
         )
 
     def unanswered(self, under_way: StatementUnderWay, ended_by: str, was_sent: bool) -> None:
-        """Take a statement whose client's connection ended before its answer was sent.
+        """Record a statement whose client connection ended before its answer was sent.
 
-        :param ended_by: what ended the connection
-        :param was_sent: it went to a member or a home proxy, and may have run
+        :param ended_by: why the connection ended
+        :param was_sent: the statement was sent to a member or home proxy and may have run
         """
         self._metrics.unanswered.inc()
         if not self._may_write(self._outcomes):
@@ -146,7 +147,7 @@
         )
 
     def tried(self, statement: Statement, group: str, seen: Try) -> None:
-        """Take a try that failed; the statement may be served by a later one."""
+        """Record a failed try; a later one may still serve the statement."""
         self._metrics.try_failed(seen.reason)
         if not seen.is_news or not self._may_write(self._tries):
             return
@@ -165,7 +166,7 @@
     def turned_away(
         self, database: Database, statement: Statement, member: str, refused: Refused
     ) -> None:
-        """Take that a statement may not wait for a connection to a member, or wait on.
+        """Record that a member's queue refused or dropped a statement.
 
         Another member may still serve it.
         """
@@ -185,9 +186,10 @@
         )
 
     def forwarded(self, unit: StatementUnit, answer: StatementAnswer, origin: str) -> None:
-        """Take the answer to a statement that another proxy forwarded.
+        """Record the answer to a statement that another proxy forwarded.
 
-        That this proxy takes no new work is told by the line of the one that forwarded it.
+        Refusals after which the forwarding proxy tries elsewhere are not logged here; that proxy
+        logs the final outcome.
 
         :param origin: the link that it came over
         """
@@ -206,7 +208,7 @@
         )
 
     def session_refused(self, database: str, answer: StatementAnswer) -> None:
-        """Take a session that was not opened."""
+        """Record a refused session."""
         label = CODE_BY_NUMBER[answer.code].label
         self._metrics.session_refused(label)
         if self._may_write(self._outcomes):
