--- a/limedyke/proxy/statements/statement_metrics.py
+++ b/limedyke/proxy/statements/statement_metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of a proxy for sessions of statements; see docs/METRICS.md."""
+"""Prometheus metrics of the statement proxy; see docs/METRICS.md."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 PREFIX = "limedyke_statements_"
 PRIMARY, REPLICA = "primary", "replica"
 PRIORITY_LABELS = 10
-"""Less urgent ones are counted together, so that label values stay few."""
+"""Number of priority label values; less urgent priorities share the last one."""
 
 
 class StatementMetrics:
-    """Counters and latencies; label values are of fixed sets.
+    """Counters and latency histograms; label values come from fixed sets.
 
-    :param registry: the registry that ``/metrics`` shows
+    :param registry: the registry that ``/metrics`` exports
     """
 
     def __init__(self, registry: CollectorRegistry) -> None:
@@ -118,31 +118,31 @@
         self._seconds.labels(kind.value).observe(seconds)
 
     def member_answered(self, answer: AnswerKind, by_replica: bool, seconds: float) -> None:
-        """Count what a member answered."""
+        """Count a member's answer."""
         role = REPLICA if by_replica else PRIMARY
         self._member_answers.labels(answer.value, role).inc()
         self._member_seconds.labels(role).observe(seconds)
 
     def try_failed(self, reason: enum.StrEnum) -> None:
-        """Count a try that failed."""
+        """Count a failed try."""
         self._failed_tries.labels(reason.value).inc()
 
     def waits_for_connection(self, priority: int) -> None:
-        """Count a statement that waits until ``waited_for_connection`` tells its end."""
+        """Count a statement as waiting until ``waited_for_connection`` is called."""
         self._waiting.labels(_priority_label(priority)).inc()
 
     def waited_for_connection(self, priority: int, seconds: float) -> None:
-        """Count how long a statement waited for a connection."""
+        """Record the end and the duration of a wait for a connection."""
         self._connection_wait.observe(seconds)
         self._waiting.labels(_priority_label(priority)).dec()
         self._queue_wait.labels(_priority_label(priority)).observe(seconds)
 
     def turned_away(self, reason: enum.StrEnum, priority: int) -> None:
-        """Count a try that a member's queue took not, or no longer."""
+        """Count a try that a member's queue refused or dropped."""
         self._turned_away.labels(reason.value, _priority_label(priority)).inc()
 
     def session_refused(self, code: str) -> None:
-        """Count a session that was not opened."""
+        """Count a refused session."""
         self._refused_sessions.labels(code).inc()
 
 
