--- a/features/steps/control_proxies_steps.py
+++ b/features/steps/control_proxies_steps.py
@@ -21,9 +21,9 @@
 from limedyke.messages.control import MemberHealth, MemberReport
 from limedyke.proxy.control import store as control_store
 from limedyke.proxy.control.client import ControlClient
-from limedyke.proxy.control.intake import ControlIntake
+from limedyke.proxy.control.report_answer_timer import ReportAnswerTimer
+from limedyke.proxy.control.state_receiver import ControlStateReceiver
 from limedyke.proxy.control.store import ControlStore, view_of
-from limedyke.proxy.control.urgent_silence import UrgentSilence
 
 SHORT_S = 0.3
 HALF_WRITTEN = b"\x00\x00\x10\x00half"
@@ -59,7 +59,7 @@
     if not context.runs_first:
         context.c1.run = curio.Event().wait
     with mock.patch(
-        "limedyke.proxy.control.controller_choice.Random.randrange", lambda self, n: n - 1
+        "limedyke.proxy.control.controller_selector.Random.randrange", lambda self, n: n - 1
     ):
         context.client, context.held = curio.run(
             run_client, folder, controllers, context.handler, until, timeout_s, silence_ms, report
@@ -109,7 +109,7 @@
 
 @then('proxies: after "{events:Anything}" the leader may be silent for {seconds} s')
 def _(context, events, seconds):
-    silence, now = UrgentSilence(), 0.0
+    silence, now = ReportAnswerTimer(), 0.0
     for event in filter(None, events.split(", ")):
         at, word = event.split()
         now = float(at)
@@ -178,7 +178,7 @@
     }[disk]
 
 
-async def _take_all(intake: ControlIntake, last: int) -> None:
+async def _take_all(intake: ControlStateReceiver, last: int) -> None:
     (await intake.open()).unwrap()
     await intake.take_snapshot(a_snapshot(PRESENT))
     for number in range(PRESENT, last):
@@ -206,7 +206,7 @@
 
     handler = RecordingHandler(seen=crash)
     store = ControlStore(folder)
-    intake = ControlIntake(store, handler.control_changed)
+    intake = ControlStateReceiver(store, handler.control_changed)
     with context.disk():
         curio.run(_take_all, intake, last)
     store.close()
--- a/limedyke/controller/leading/leader_service.py
+++ b/limedyke/controller/leading/leader_service.py
@@ -8,9 +8,9 @@
 from prometheus_client import CollectorRegistry
 
 from limedyke.controller.clock import boot_seconds
-from limedyke.controller.leading.leader_meter import LeaderMeter
-from limedyke.controller.leading.news import NewsBoard
+from limedyke.controller.leading.leader_metrics import LeaderMetrics
 from limedyke.controller.leading.proxy_sessions import ProxySessions
+from limedyke.controller.leading.update_cache import UpdateCache
 from limedyke.controller.mailbox import Mailbox
 from limedyke.controller.metrics import ControllerMetrics
 from limedyke.controller.platform_list import PlatformListReader
@@ -71,10 +71,10 @@
         self._replica = replica
         self._authority = authority
         self.started_at = boot_seconds()
-        self._meter = LeaderMeter(metrics or ControllerMetrics(CollectorRegistry()))
+        self._meter = LeaderMetrics(metrics or ControllerMetrics(CollectorRegistry()))
         self._timing = timing
         self._events: Mailbox[LeaderEvent] = Mailbox()
-        self.news = NewsBoard(replica.state, replica.updates)
+        self.news = UpdateCache(replica.state, replica.updates)
         self._news_waiting = curio.Event()
         self._platform: PlatformListReader | None = None
         if platform_list_url:
--- a/limedyke/controller/leading/proxy_sessions.py
+++ b/limedyke/controller/leading/proxy_sessions.py
@@ -7,13 +7,13 @@
 
 import curio
 
-from limedyke.controller.leading.news import News
+from limedyke.controller.leading.update_cache import News
 from limedyke.core.control.events import (
     HeartbeatReceived,
     LeaderEvent,
     LeasesReturned,
     MemberReported,
-    OperationsAsked,
+    OperationsRequested,
     PromotionAnswered,
     ProxyConnected,
     ProxyDisconnected,
@@ -36,7 +36,7 @@
     ProxyRefused,
     WritesPaused,
 )
-from limedyke.messages.limits import OperationsWanted
+from limedyke.messages.limits import OperationsRequest
 from limedyke.result_codes import ResultCode
 from limedyke.transport.link import Link, LinkClosedError
 from limedyke.transport.traffic import Purpose
@@ -213,8 +213,8 @@
             return HeartbeatReceived(proxy, message, first)
         case MemberReport():
             return MemberReported(proxy, message)
-        case OperationsWanted():
-            return OperationsAsked(proxy, message)
+        case OperationsRequest():
+            return OperationsRequested(proxy, message)
         case LeaseReturned():
             return LeasesReturned(proxy, message.leases)
         case PromoteResult():
--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -11,7 +11,7 @@
 import curio
 from result import Err, Ok
 
-from limedyke.controller.call_desk import CallDesk
+from limedyke.controller.call_router import CallRouter
 from limedyke.controller.clock import boot_seconds
 from limedyke.controller.founding_phase import FoundingPhase
 from limedyke.controller.keys import ControllerKeys
@@ -19,7 +19,7 @@
 from limedyke.controller.leading.leader_service import LeaderService
 from limedyke.controller.leading.operator_changes import ControllerChanges
 from limedyke.controller.leading.operator_requests import OperatorRequests
-from limedyke.controller.leading.voter_care import VoterCare
+from limedyke.controller.leading.voter_manager import VoterManager
 from limedyke.controller.membership_search import MembershipSearch
 from limedyke.controller.peer_network import PeerMessage, PeerNetwork
 from limedyke.controller.promotion_authority import PromotionAuthority
@@ -71,7 +71,7 @@
 
     authority: PromotionAuthority | None
 
-    async def run(self, desk: CallDesk, learn_peers: LearnPeers) -> None:
+    async def run(self, desk: CallRouter, learn_peers: LearnPeers) -> None:
         """Serve calls until cancelled.
 
         :param learn_peers: takes the controllers that changed settings name
@@ -130,7 +130,7 @@
         self._leader: LeaderService | None = None
         self._leader_task: curio.Task | None = None
         self._requests: OperatorRequests | None = None
-        self._desk = CallDesk(
+        self._desk = CallRouter(
             lambda: self._calls,
             self._leader_address,
             replace(self._link_identity, role=PeerRole.FORWARDER),
@@ -219,7 +219,7 @@
 
         :returns: None when what the disk holds can't be used
         """
-        heard_at = self._replica.agreement.leader_heard_at
+        heard_at = self._replica.agreement.leader_contact_at
         while True:
             opened = await curio.run_in_thread(reopen_durable_log, self.log)
             if isinstance(opened, Ok):
@@ -242,11 +242,11 @@
                 for known in recorded_addresses(entry.payload):
                     self._network.set_address(known.name, known.address)
 
-    def _voter_care(self) -> VoterCare:
+    def _voter_care(self) -> VoterManager:
         settings = self._settings
         silence_limit_s = settings.voter_silence_limit_ms / 1000
         policy = VoterPolicy(settings.voters_wanted, silence_limit_s)
-        return VoterCare(self._replica, policy, settings.advertise)
+        return VoterManager(self._replica, policy, settings.advertise)
 
     def _stored_before_start(self) -> StoredState:
         """Return what was on the disk when this process began."""
--- a/limedyke/core/control/events.py
+++ b/limedyke/core/control/events.py
@@ -13,7 +13,7 @@
     ProxyHello,
 )
 from limedyke.messages.control_entries import ControlEntry
-from limedyke.messages.limits import OperationsWanted
+from limedyke.messages.limits import OperationsRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,11 +56,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OperationsAsked:
+class OperationsRequested:
     """A proxy asks for operations of tenants with a limit."""
 
     proxy: str
-    request: OperationsWanted
+    request: OperationsRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,7 +137,7 @@
     | HeartbeatReceived
     | LeasesReturned
     | MemberReported
-    | OperationsAsked
+    | OperationsRequested
     | PromotionAnswered
     | WritesPausedReported
     | ProxyLeft
--- a/limedyke/messages/limits.py
+++ b/limedyke/messages/limits.py
@@ -56,7 +56,7 @@
 
 @message(231)
 @dataclass(frozen=True, slots=True)
-class OperationsWanted:
+class OperationsRequest:
     """Asks for operations of several tenants at once.
 
     :param number: grows by one with each message of a proxy
@@ -72,7 +72,7 @@
 
 @message(235)
 @dataclass(frozen=True, slots=True)
-class ReturnTime:
+class RetryTime:
     """When refused operations of a priority may be asked for again.
 
     :param after_ms: the first of them
@@ -105,7 +105,7 @@
     retry_after_ms: int = 0
     alone_per_minute: int = 0
     waits_ms: tuple[int, ...] = ()
-    returns: tuple[ReturnTime, ...] = ()
+    returns: tuple[RetryTime, ...] = ()
     alone_of_per_minute: int = 0
     alone_tenths: int = 0
 
@@ -113,7 +113,7 @@
 @message(233)
 @dataclass(frozen=True, slots=True)
 class OperationsGranted:
-    """The answer to ``OperationsWanted`` of this number."""
+    """The answer to ``OperationsRequest`` of this number."""
 
     number: int
     grants: tuple[OperationGrant, ...]
--- a/limedyke/proxy/control/client.py
+++ b/limedyke/proxy/control/client.py
@@ -34,15 +34,15 @@
 from limedyke.messages.declaration import Tenant
 from limedyke.messages.handshake import PeerRole
 from limedyke.messages.limits import OperationsGranted
-from limedyke.proxy.control.announcements import ControlAnnouncements
-from limedyke.proxy.control.controller_choice import ControllerChoice
+from limedyke.proxy.control.controller_selector import ControllerSelector
 from limedyke.proxy.control.handler import ControlHandler
-from limedyke.proxy.control.intake import ControlIntake
 from limedyke.proxy.control.leader_search import FoundLeader, LeaderSearch
 from limedyke.proxy.control.leases import ControlLeases
-from limedyke.proxy.control.quorum_watch import QuorumWatch
+from limedyke.proxy.control.quorum_stamp_tracker import QuorumWatch
 from limedyke.proxy.control.reports import ControlReports
 from limedyke.proxy.control.settings import ControlClientSettings
+from limedyke.proxy.control.state_receiver import ControlStateReceiver
+from limedyke.proxy.control.status_messages import ControlAnnouncements
 from limedyke.proxy.control.store import ControlStore, StoredControl
 from limedyke.proxy.control.view import ControlView
 from limedyke.proxy.control.view_check import ViewCheck
@@ -89,9 +89,9 @@
         place = Place(settings.zone, settings.region)
         identity = LinkIdentity(PeerRole.PROXY, settings.name, key, place, meter)
         self._handler = handler
-        self._intake = ControlIntake(store, handler.control_changed)
+        self._intake = ControlStateReceiver(store, handler.control_changed)
         longest_pause_s = settings.control_retry_limit_ms / 1000
-        self._choice = ControllerChoice(settings.controllers, random.Random(), longest_pause_s)
+        self._choice = ControllerSelector(settings.controllers, random.Random(), longest_pause_s)
         self._announcements = ControlAnnouncements(settings)
         self._quorum = QuorumWatch()
         self._view_check = ViewCheck(self._ask_leader, self._index_in_force)
--- a/limedyke/proxy/limits/operation_limiter.py
+++ b/limedyke/proxy/limits/operation_limiter.py
@@ -21,8 +21,8 @@
     OperationReport,
     OperationsGranted,
     OperationsOfPriority,
-    OperationsWanted,
-    ReturnTime,
+    OperationsRequest,
+    RetryTime,
 )
 from limedyke.proxy.limits.limit_log import LimitLog
 from limedyke.proxy.limits.limit_metrics import LimitMetrics, Refused
@@ -106,7 +106,7 @@
     def __init__(
         self,
         tenants: Callable[[], Mapping[str, Tenant]],
-        send: Callable[[OperationsWanted], Awaitable[bool]],
+        send: Callable[[OperationsRequest], Awaitable[bool]],
         alone_until: Callable[[], float],
         serving: Callable[[], int] = lambda: UNKNOWN_COUNT,
     ) -> None:
@@ -241,7 +241,7 @@
         demands = tuple(self._demand(tenant, unasked[tenant], now) for tenant in unasked)
         reports = self._reports(now) if self._is_report_due else ()
         running_ms = int((now - self._began_at) * MS_PER_S) if self._is_report_due else 0
-        if await self._send(OperationsWanted(self._number, demands, reports, running_ms)):
+        if await self._send(OperationsRequest(self._number, demands, reports, running_ms)):
             self._is_report_due = False
         else:
             self._stop_asking()
@@ -353,7 +353,7 @@
 
 def _return_s(grant: OperationGrant, priority: int, before: int) -> float:
     """Return when an operation should come back, so many of its priority before it."""
-    fallback = ReturnTime(priority, grant.retry_after_ms, 0)
+    fallback = RetryTime(priority, grant.retry_after_ms, 0)
     told = next((told for told in grant.returns if told.priority == priority), None)
     told = told or (grant.returns[-1] if grant.returns else fallback)
     in_s = (told.after_ms + before * told.step_ms) / MS_PER_S
--- a/limedyke/proxy/statements/executor.py
+++ b/limedyke/proxy/statements/executor.py
@@ -8,12 +8,12 @@
 from limedyke.proxy.statements.group import StatementGroup
 from limedyke.proxy.statements.groups import StatementGroups
 from limedyke.proxy.statements.homes.forwarding import StatementForwarding
-from limedyke.proxy.statements.placed_answer import (
+from limedyke.proxy.statements.runner import StatementRunner
+from limedyke.proxy.statements.statement_result import (
     ForwardedTransaction,
-    PlacedAnswer,
-    TransactionPlace,
+    StatementResult,
+    TransactionLocation,
 )
-from limedyke.proxy.statements.runner import StatementRunner
 from limedyke.result_codes import ResultCode
 
 UNDECLARED_RETRY_AFTER_MS = 200
@@ -37,8 +37,8 @@
         return self._forwarding.links.has_home(group)
 
     async def run(
-        self, session: StatementSession, run: RunOnMember, place: TransactionPlace | None
-    ) -> PlacedAnswer:
+        self, session: StatementSession, run: RunOnMember, place: TransactionLocation | None
+    ) -> StatementResult:
         """Run a statement.
 
         :param place: where the client's transaction is open; None when none is
@@ -51,7 +51,7 @@
                 await self.roll_back(place)
             session.fail_transaction()
             detail = "the group is no longer declared"
-            return PlacedAnswer(refusal(ResultCode.NO_MEMBER, detail, UNDECLARED_RETRY_AFTER_MS))
+            return StatementResult(refusal(ResultCode.NO_MEMBER, detail, UNDECLARED_RETRY_AFTER_MS))
         if place is None:
             forwarded = await self._run_elsewhere(session, run, group)
             if forwarded is not None:
@@ -61,7 +61,7 @@
 
     async def _run_here_first(
         self, session: StatementSession, run: RunOnMember, group: StatementGroup
-    ) -> PlacedAnswer:
+    ) -> StatementResult:
         """Run a statement outside an open transaction on this proxy.
 
         If this proxy's lease ends before the statement was sent, the statement is forwarded to a
@@ -82,7 +82,7 @@
 
     async def _run_elsewhere(
         self, session: StatementSession, run: RunOnMember, group: StatementGroup
-    ) -> PlacedAnswer | None:
+    ) -> StatementResult | None:
         """Forward a statement outside an open transaction; None to run it on this proxy."""
         if group.limit == 0:
             return await self._forwarding.run(session, run, group)
@@ -90,14 +90,14 @@
             return await self._forwarding.run_at_tenants_home(session, run, group)
         return None
 
-    async def roll_back(self, place: TransactionPlace) -> None:
+    async def roll_back(self, place: TransactionLocation) -> None:
         """Roll back a transaction."""
         if isinstance(place, ForwardedTransaction):
             await self._forwarding.roll_back(place)
         else:
             await place.roll_back()
 
-    async def abandon(self, place: TransactionPlace) -> None:
+    async def abandon(self, place: TransactionLocation) -> None:
         """End the transaction of a disconnected client; one of its statements may be running."""
         if isinstance(place, ForwardedTransaction):
             await self._forwarding.roll_back(place)
--- a/limedyke/proxy/statements/line_budget.py
+++ b/limedyke/proxy/statements/log_rate_limiter.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class LineBudget:
+class LogRateLimiter:
     """Token bucket that holds the lines of one second at most.
 
     :param lines_per_second: the rate, and the largest burst
--- a/limedyke/proxy/statements/members/lent_connections.py
+++ b/limedyke/proxy/statements/members/checked_out_connections.py
@@ -12,7 +12,7 @@
 CHANGE_SMOOTHING = 0.2
 
 
-class LentConnections:
+class CheckedOutConnections:
     """Tracks which request has which connection, and how often a turn needs a new connection.
 
     :ivar change_share: smoothed share of turns that replaced a connection with another tenant's
--- a/limedyke/proxy/unit_write.py
+++ b/limedyke/proxy/unit_write.py
@@ -196,7 +196,7 @@
     def _plan(self) -> ExchangePlan:
         # Behind a unit that opens a transaction no query may run: see may_set_transaction.
         alone = self._unit.transaction == 0
-        return ExchangePlan(None, check_behind=alone, is_write=True)
+        return ExchangePlan(None, check_after=alone, is_write=True)
 
     async def _settle(self, exchange: Exchange, term: int) -> tuple[Failure | None, LogPosition]:
         reader = exchange.reader
@@ -206,7 +206,7 @@
         only_failed = bool(reader.sqlstate) and not reader.committed
         if in_transaction or only_failed:
             return None, LogPosition()
-        return await settle_commit(self._context, exchange.connection, term, reader.position_behind)
+        return await settle_commit(self._context, exchange.connection, term, reader.position_after)
 
     def _failure_of(self, exchange: Exchange, failure: Failure) -> Failure:
         """Tell what is known of a batch that was sent and not answered whole."""
