--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -38,7 +38,7 @@
 from limedyke.proxy.statements.settlement import settle_unanswered
 from limedyke.proxy.statements.statement_log import StatementLog, StatementUnderWay
 from limedyke.proxy.statements.statement_refusal import give_up
-from limedyke.proxy.statements.statement_result import PlacedAnswer, TransactionLocation
+from limedyke.proxy.statements.statement_result import StatementOutcome, TransactionLocation
 from limedyke.result_codes import ResultCode
 
 RECEIVE_BYTES = 64 * 1024
@@ -354,11 +354,11 @@
         self._place = placed.place
         return placed.answer
 
-    async def _cut(self, session: StatementSession, run: RunOnMember) -> PlacedAnswer:
+    async def _cut(self, session: StatementSession, run: RunOnMember) -> StatementOutcome:
         """Return the result of a statement that is unanswered when the stop deadline passes."""
         if self._place is not None:
             await self._services.executor.abandon(self._place)
         detail = "the proxy stops"
         if session.was_sent or session.transaction is not None:
             return settle_unanswered(session, run, detail)
-        return PlacedAnswer(give_up(session, ResultCode.DRAINING, detail))
+        return StatementOutcome(give_up(session, ResultCode.DRAINING, detail))
--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -18,7 +18,7 @@
 from limedyke.proxy.statements.homes.forwarded_attempt import UNREACHED_TRIES, ForwardedAttempt
 from limedyke.proxy.statements.settlement import settle_unanswered
 from limedyke.proxy.statements.statement_metrics import StatementMetrics
-from limedyke.proxy.statements.statement_result import ForwardedTransaction, PlacedAnswer
+from limedyke.proxy.statements.statement_result import ForwardedTransaction, StatementOutcome
 from limedyke.result_codes import ResultCode, did_not_run
 
 OWN_LEASE_WAIT_S = 0.1
@@ -65,7 +65,7 @@
 
     async def run(
         self, session: StatementSession, run: RunOnMember, group: StatementGroup
-    ) -> PlacedAnswer | None:
+    ) -> StatementOutcome | None:
         """Run a statement outside an open transaction at a home proxy.
 
         :returns: None when this proxy has obtained a lease and can run it itself
@@ -78,7 +78,7 @@
 
     async def run_at_tenants_home(
         self, session: StatementSession, run: RunOnMember, group: StatementGroup
-    ) -> PlacedAnswer | None:
+    ) -> StatementOutcome | None:
         """Run a statement outside an open transaction at the home proxy assigned to its tenant.
 
         A connection serves one tenant only. If every home proxy served every tenant, connections
@@ -101,7 +101,7 @@
 
     async def _run_at_any(
         self, attempt: ForwardedAttempt, unit: StatementUnit
-    ) -> PlacedAnswer | None:
+    ) -> StatementOutcome | None:
         """Try home proxies until one has run the statement or its time is over.
 
         :returns: None when this proxy holds a lease and no other proxy can have run it
@@ -111,10 +111,10 @@
             link = await self._choose(attempt)
             if attempt.unreached and (link is None or attempt.unreached >= UNREACHED_TRIES):
                 if not await attempt.wait_for_primary():
-                    return PlacedAnswer(attempt.give_up(ResultCode.NO_PRIMARY))
+                    return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
             elif link is None:
                 if not await attempt.wait_for_home():
-                    return PlacedAnswer(attempt.give_up(ResultCode.NO_LEASE))
+                    return StatementOutcome(attempt.give_up(ResultCode.NO_LEASE))
             else:
                 placed = await self._try_at(link, unit, attempt)
                 if placed is not None:
@@ -123,7 +123,7 @@
 
     async def _try_at(
         self, link: HomeLink, unit: StatementUnit, attempt: ForwardedAttempt
-    ) -> PlacedAnswer | None:
+    ) -> StatementOutcome | None:
         """Try one home proxy; return None when another one should be tried."""
         attempt.tried.add(link.home)
         if (attempt.unanswered or self.links.is_any_silent) and not await link.gives_sign():
@@ -162,7 +162,7 @@
 
     async def run_in_transaction(
         self, session: StatementSession, run: RunOnMember, place: ForwardedTransaction
-    ) -> PlacedAnswer:
+    ) -> StatementOutcome:
         """Run a further statement of a transaction that is open at a home proxy."""
         unit = self._unit(session, run, place.number)
         limit_s = session.statement_time_s(time.monotonic())
@@ -235,7 +235,7 @@
         end: StatementUnitEnd,
         link: HomeLink,
         transaction: int,
-    ) -> PlacedAnswer:
+    ) -> StatementOutcome:
         """Update the session from the home proxy's answer and return the result."""
         if end.answer.code == 0:
             session.ran(run)
@@ -246,9 +246,9 @@
         session.wrote_up_to(end.written)
         if end.status is not TransactionStatus.IN_TRANSACTION:
             link.transactions.discard(transaction)
-            return PlacedAnswer(end.answer)
+            return StatementOutcome(end.answer)
         link.transactions.add(transaction)
-        return PlacedAnswer(end.answer, ForwardedTransaction(link, transaction))
+        return StatementOutcome(end.answer, ForwardedTransaction(link, transaction))
 
 
 def _need_of(session: StatementSession, run: RunOnMember) -> HomeNeed:
--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -18,7 +18,7 @@
 from limedyke.proxy.statements.members.member_queries import MemberQuestions
 from limedyke.proxy.statements.settlement import settle_first
 from limedyke.proxy.statements.statement_log import NotSent
-from limedyke.proxy.statements.statement_result import PlacedAnswer
+from limedyke.proxy.statements.statement_result import StatementOutcome
 from limedyke.result_codes import ResultCode
 
 STALENESS_MARGIN_S = 0.03
@@ -40,25 +40,25 @@
         self._exchange = exchange
         self._questions = questions
 
-    async def run(self, attempt: Attempt) -> PlacedAnswer:
+    async def run(self, attempt: Attempt) -> StatementOutcome:
         """Run a read; try one member after the other until one has run it."""
         group = attempt.group
         while True:
             if attempt.is_too_late():
-                return PlacedAnswer(attempt.give_up(ResultCode.NO_MEMBER))
+                return StatementOutcome(attempt.give_up(ResultCode.NO_MEMBER))
             required = await self._required_position(attempt)
             if required is None and not group.is_surely_primary(group.primary):
                 attempt.failed(NotSent.POSITION_UNPROVEN)
                 if not await attempt.pause():
-                    return PlacedAnswer(attempt.give_up(ResultCode.FRESHNESS_UNPROVEN))
+                    return StatementOutcome(attempt.give_up(ResultCode.FRESHNESS_UNPROVEN))
                 continue
             able = self._able(attempt, required)
             if not able:
                 if attempt.had_better_run_elsewhere():
-                    return PlacedAnswer(attempt.leave_to_others())
+                    return StatementOutcome(attempt.leave_to_others())
                 attempt.tried.clear()
                 if not await attempt.pause():
-                    return PlacedAnswer(attempt.give_up(ResultCode.NO_MEMBER))
+                    return StatementOutcome(attempt.give_up(ResultCode.NO_MEMBER))
                 continue
             has_late = len(able) + len(attempt.tried) < len(group.pools)
             if has_late and await self._wait_for_replica(attempt, required, able[0]):
@@ -97,7 +97,7 @@
 
     async def _try_at(
         self, pool: MemberPool, attempt: Attempt, required: LogPosition | None, wait_s: float
-    ) -> PlacedAnswer | None:
+    ) -> StatementOutcome | None:
         """Run a read on one member; return None when another one should be tried.
 
         :param wait_s: longest wait for a connection
@@ -113,7 +113,7 @@
             return None
         if not attempt.may_be_sent():
             await pinned.release()
-            return PlacedAnswer(attempt.give_up(ResultCode.NO_MEMBER))
+            return StatementOutcome(attempt.give_up(ResultCode.NO_MEMBER))
         hedged = HedgedRead(self._exchange, attempt, lambda: self._second(attempt, required))
         sent = await hedged.run(pinned, None if is_primary else required)
         is_given_up = sent.answer.kind in RAN_IN_VAIN and not attempt.may_run_again()
--- a/limedyke/proxy/statements/runner.py
+++ b/limedyke/proxy/statements/runner.py
@@ -20,7 +20,7 @@
 from limedyke.proxy.statements.settlement import settle_first, settle_in_transaction
 from limedyke.proxy.statements.statement_log import NotSent, StatementLog
 from limedyke.proxy.statements.statement_metrics import StatementMetrics
-from limedyke.proxy.statements.statement_result import PlacedAnswer
+from limedyke.proxy.statements.statement_result import StatementOutcome
 from limedyke.result_codes import ResultCode, did_not_run
 
 
@@ -52,7 +52,7 @@
         run: RunOnMember,
         group: StatementGroup,
         pinned: PinnedConnection | None,
-    ) -> PlacedAnswer:
+    ) -> StatementOutcome:
         """Run a statement.
 
         :param pinned: the connection on which the client's transaction is open; None when none is
@@ -65,7 +65,7 @@
             return await self._run_first(attempt)
         return await self._run_within(limits, attempt)
 
-    async def _run_within(self, limits: OperationLimiter, attempt: Attempt) -> PlacedAnswer:
+    async def _run_within(self, limits: OperationLimiter, attempt: Attempt) -> StatementOutcome:
         """Run the first statement of an operation if its tenant's limit admits it.
 
         The operation is counted on the proxy that runs it, not on the client's proxy, so that fewer
@@ -78,20 +78,20 @@
             attempt.session.fail_transaction()
             retry_after_ms = int(over.retry_after_s * MS_PER_S)
             answer = refusal(ResultCode.OVER_OPERATION_LIMIT, over.detail, retry_after_ms)
-            return PlacedAnswer(answer)
+            return StatementOutcome(answer)
         placed = await self._run_first(attempt)
         if did_not_run(placed.answer.code):
             await limits.give_back(tenant, priority)
         return placed
 
-    async def _run_first(self, attempt: Attempt) -> PlacedAnswer:
+    async def _run_first(self, attempt: Attempt) -> StatementOutcome:
         """Run a statement outside an open transaction."""
         session, run = attempt.session, attempt.run
         if session.needs_primary(run) and not _reads_only(run):
             return await self._run_on_primary(attempt)
         return await self._reads.run(attempt)
 
-    async def _run_pinned(self, pinned: PinnedConnection, attempt: Attempt) -> PlacedAnswer:
+    async def _run_pinned(self, pinned: PinnedConnection, attempt: Attempt) -> StatementOutcome:
         """Run a further statement of a transaction on its connection; retry while it is busy."""
         while True:
             answer = await self._exchange.run(pinned, attempt, None, attempt.time_left())
@@ -103,7 +103,7 @@
                 break
         return await settle_in_transaction(attempt.session, attempt.run, pinned, answer)
 
-    async def _run_on_primary(self, attempt: Attempt) -> PlacedAnswer:
+    async def _run_on_primary(self, attempt: Attempt) -> StatementOutcome:
         """Run a write, or the first statement of a transaction that may write, on the primary."""
         group = attempt.group
         while True:
@@ -112,21 +112,21 @@
                 attempt.failed(NotSent.NO_PRIMARY)
                 await self.questions.look_for_primary(group)
                 if not await attempt.wait_for_primary():
-                    return PlacedAnswer(attempt.give_up(ResultCode.NO_PRIMARY))
+                    return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
                 continue
             wait_s = attempt.connection_wait_s(pool)
             pinned = await self._exchange.connect(pool, attempt, wait_s)
             if attempt.is_too_late(pool.observed.answer.usual_s):
                 if pinned is not None:
                     await pinned.release()
-                return PlacedAnswer(attempt.give_up(ResultCode.NO_PRIMARY))
+                return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
             if pinned is None:
                 if not await attempt.pause():
-                    return PlacedAnswer(attempt.give_up(ResultCode.NO_PRIMARY))
+                    return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
                 continue
             if not attempt.may_be_sent():
                 await pinned.release()
-                return PlacedAnswer(attempt.give_up(ResultCode.NO_PRIMARY))
+                return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
             answer = await self._exchange.run(pinned, attempt, None, attempt.time_left())
             if answer.kind not in NOT_RUN:
                 return await settle_first(attempt.session, attempt.run, pinned, answer)
@@ -137,7 +137,7 @@
                 await self.questions.look_for_primary(group)
             until = attempt.deadline if answer.kind is AnswerKind.BUSY else attempt.held_until()
             if not await attempt.pause(until):
-                return PlacedAnswer(attempt.give_up(ResultCode.NO_PRIMARY))
+                return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
 
 
 def _takes_writes(observed: ObservedMember, now: float) -> bool:
--- a/limedyke/proxy/statements/settlement.py
+++ b/limedyke/proxy/statements/settlement.py
@@ -11,7 +11,7 @@
 )
 from limedyke.proxy.statements.members.pinned_connection import PinnedConnection
 from limedyke.proxy.statements.statement_refusal import RETRY_AFTER_MS
-from limedyke.proxy.statements.statement_result import PlacedAnswer
+from limedyke.proxy.statements.statement_result import StatementOutcome
 from limedyke.result_codes import ResultCode
 
 MAY_HAVE_RUN = frozenset({AnswerKind.LOST, AnswerKind.TIMED_OUT, AnswerKind.FAILED})
@@ -19,7 +19,7 @@
 
 async def settle_first(
     session: StatementSession, run: RunOnMember, pinned: PinnedConnection, answer: MemberAnswer
-) -> PlacedAnswer:
+) -> StatementOutcome:
     """Process the answer to a statement outside a transaction, or to the first one inside."""
     if session.transaction is not None:
         return await settle_in_transaction(session, run, pinned, answer)
@@ -28,27 +28,27 @@
     else:
         await pinned.release()
     if answer.kind is not AnswerKind.DONE:
-        return PlacedAnswer(_failure(answer, run))
+        return StatementOutcome(_failure(answer, run))
     if run.writes:
         session.wrote_up_to(answer.position)
-    return PlacedAnswer(_done(answer))
+    return StatementOutcome(_done(answer))
 
 
 async def settle_in_transaction(
     session: StatementSession, run: RunOnMember, pinned: PinnedConnection, answer: MemberAnswer
-) -> PlacedAnswer:
+) -> StatementOutcome:
     """Process the answer to a statement of a transaction that is open on a connection."""
     if answer.kind is not AnswerKind.DONE:
         return await _transaction_failed(session, run, pinned, answer)
     session.ran(run)
     if run.statement.kind is not StatementKind.COMMIT:
-        return PlacedAnswer(_done(answer), pinned)
+        return StatementOutcome(_done(answer), pinned)
     session.wrote_up_to(answer.position if run.writes else None)
     await pinned.give_back()
-    return PlacedAnswer(_done(answer))
+    return StatementOutcome(_done(answer))
 
 
-def settle_unanswered(session: StatementSession, run: RunOnMember, detail: str) -> PlacedAnswer:
+def settle_unanswered(session: StatementSession, run: RunOnMember, detail: str) -> StatementOutcome:
     """Return the result of a statement that was sent and will not be answered.
 
     Its open transaction can't be committed any more; the member or home proxy rolls it back.
@@ -60,15 +60,15 @@
     else:
         session.fail_transaction()
     if session.was_sent and run.writes and (is_commit or not is_in_transaction):
-        return PlacedAnswer(refusal(ResultCode.OUTCOME_UNKNOWN, detail))
+        return StatementOutcome(refusal(ResultCode.OUTCOME_UNKNOWN, detail))
     if is_in_transaction:
-        return PlacedAnswer(refusal(ResultCode.TRANSACTION_LOST, detail, RETRY_AFTER_MS))
-    return PlacedAnswer(refusal(ResultCode.READ_UNANSWERED, detail))
+        return StatementOutcome(refusal(ResultCode.TRANSACTION_LOST, detail, RETRY_AFTER_MS))
+    return StatementOutcome(refusal(ResultCode.READ_UNANSWERED, detail))
 
 
 async def _transaction_failed(
     session: StatementSession, run: RunOnMember, pinned: PinnedConnection, answer: MemberAnswer
-) -> PlacedAnswer:
+) -> StatementOutcome:
     """End a transaction after a failed statement; return its known outcome."""
     is_commit = run.statement.kind is StatementKind.COMMIT
     await pinned.abandon()
@@ -77,12 +77,12 @@
     else:
         session.fail_transaction()
     if is_commit and run.writes and answer.kind in MAY_HAVE_RUN:
-        return PlacedAnswer(refusal(ResultCode.OUTCOME_UNKNOWN, answer.detail))
+        return StatementOutcome(refusal(ResultCode.OUTCOME_UNKNOWN, answer.detail))
     if answer.kind is AnswerKind.FAILED and not is_commit:
-        return PlacedAnswer(refusal(ResultCode.STATEMENT_FAILED, answer.detail))
+        return StatementOutcome(refusal(ResultCode.STATEMENT_FAILED, answer.detail))
     detail = f"{answer.kind} at {pinned.identity}"
     retry_after_ms = pinned.pool.retry_after_ms(session.database.priority)
-    return PlacedAnswer(refusal(ResultCode.TRANSACTION_LOST, detail, retry_after_ms))
+    return StatementOutcome(refusal(ResultCode.TRANSACTION_LOST, detail, retry_after_ms))
 
 
 def _done(answer: MemberAnswer) -> StatementAnswer:
--- a/limedyke/proxy/statements/statement_result.py
+++ b/limedyke/proxy/statements/statement_result.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlacedAnswer:
+class StatementOutcome:
     """The answer to a statement, and the state of the client's transaction after it.
 
     :param place: where the client's transaction is open now; None when none is
