--- a/features/steps/statement_member_steps.py
+++ b/features/steps/statement_member_steps.py
@@ -12,7 +12,7 @@
 from features.support.line_platform.member_session import ALWAYS
 from features.support.statement_path import GROUP, elapsed_ms
 from limedyke.proxy.statements.members.member_connection import MemberConnection
-from limedyke.proxy.statements.members.member_queries import MemberQuestions
+from limedyke.proxy.statements.members.member_queries import MemberQueries
 
 HANGS_S = 3_600.0
 
@@ -184,7 +184,7 @@
 @given('statement path: the safeguard "examined on a new connection" is {state:w}')
 def step_examined(context, state):
     if state == "off":
-        patch = mock.patch.object(MemberQuestions, "examine", _ask_on_any_connection)
+        patch = mock.patch.object(MemberQueries, "examine", _ask_on_any_connection)
         patch.start()
         context.add_cleanup(patch.stop)
 
--- a/limedyke/proxy/statements/members/member_queries.py
+++ b/limedyke/proxy/statements/members/member_queries.py
@@ -25,7 +25,7 @@
 SEARCH_TIMEOUT_S = 0.5
 
 
-class MemberQuestions:
+class MemberQueries:
     """The proxy's own status queries, sent on pooled connections."""
 
     async def prove_position(self, group: StatementGroup, limit_s: float) -> LogPosition | None:
--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -15,7 +15,7 @@
 from limedyke.proxy.statements.hedged_read import RAN_IN_VAIN, HedgedRead, SecondMember
 from limedyke.proxy.statements.members.member_exchange import MemberExchange
 from limedyke.proxy.statements.members.member_pool import MemberPool
-from limedyke.proxy.statements.members.member_queries import MemberQuestions
+from limedyke.proxy.statements.members.member_queries import MemberQueries
 from limedyke.proxy.statements.settlement import settle_first
 from limedyke.proxy.statements.statement_log import NotSent
 from limedyke.proxy.statements.statement_result import StatementOutcome
@@ -34,7 +34,7 @@
     :param zone: of this proxy
     """
 
-    def __init__(self, zone: str, exchange: MemberExchange, questions: MemberQuestions) -> None:
+    def __init__(self, zone: str, exchange: MemberExchange, questions: MemberQueries) -> None:
         self._zone = zone
         self._generator = random.Random()
         self._exchange = exchange
--- a/limedyke/proxy/statements/runner.py
+++ b/limedyke/proxy/statements/runner.py
@@ -14,7 +14,7 @@
 from limedyke.proxy.statements.attempt import MS_PER_S, RETRY_PAUSE_S, Attempt
 from limedyke.proxy.statements.group import StatementGroup
 from limedyke.proxy.statements.members.member_exchange import MemberExchange
-from limedyke.proxy.statements.members.member_queries import MemberQuestions
+from limedyke.proxy.statements.members.member_queries import MemberQueries
 from limedyke.proxy.statements.members.pinned_connection import PinnedConnection
 from limedyke.proxy.statements.read_runner import ReadRunner
 from limedyke.proxy.statements.settlement import settle_first, settle_in_transaction
@@ -43,7 +43,7 @@
         self._limits = limits
         self._log = log
         self._exchange = MemberExchange(metrics)
-        self.questions = MemberQuestions()
+        self.questions = MemberQueries()
         self._reads = ReadRunner(zone, self._exchange, self.questions)
 
     async def run(
