--- a/limedyke/proxy/statements/executor.py
+++ b/limedyke/proxy/statements/executor.py
@@ -11,7 +11,7 @@
 from limedyke.proxy.statements.runner import StatementRunner
 from limedyke.proxy.statements.statement_result import (
     ForwardedTransaction,
-    StatementResult,
+    StatementOutcome,
     TransactionLocation,
 )
 from limedyke.result_codes import ResultCode
@@ -38,7 +38,7 @@
 
     async def run(
         self, session: StatementSession, run: RunOnMember, place: TransactionLocation | None
-    ) -> StatementResult:
+    ) -> StatementOutcome:
         """Run a statement.
 
         :param place: where the client's transaction is open; None when none is
@@ -51,7 +51,7 @@
                 await self.roll_back(place)
             session.fail_transaction()
             detail = "the group is no longer declared"
-            return StatementResult(refusal(ResultCode.NO_MEMBER, detail, UNDECLARED_RETRY_AFTER_MS))
+            return StatementOutcome(refusal(ResultCode.NO_MEMBER, detail, UNDECLARED_RETRY_AFTER_MS))
         if place is None:
             forwarded = await self._run_elsewhere(session, run, group)
             if forwarded is not None:
@@ -61,7 +61,7 @@
 
     async def _run_here_first(
         self, session: StatementSession, run: RunOnMember, group: StatementGroup
-    ) -> StatementResult:
+    ) -> StatementOutcome:
         """Run a statement outside an open transaction on this proxy.
 
         If this proxy's lease ends before the statement was sent, the statement is forwarded to a
@@ -82,7 +82,7 @@
 
     async def _run_elsewhere(
         self, session: StatementSession, run: RunOnMember, group: StatementGroup
-    ) -> StatementResult | None:
+    ) -> StatementOutcome | None:
         """Forward a statement outside an open transaction; None to run it on this proxy."""
         if group.limit == 0:
             return await self._forwarding.run(session, run, group)
