--- a/limedyke/proxy/statements/executor.py
+++ b/limedyke/proxy/statements/executor.py
@@ -51,7 +51,8 @@
                 await self.roll_back(place)
             session.fail_transaction()
             detail = "the group is no longer declared"
-            return StatementOutcome(refusal(ResultCode.NO_MEMBER, detail, UNDECLARED_RETRY_AFTER_MS))
+            refused = refusal(ResultCode.NO_MEMBER, detail, UNDECLARED_RETRY_AFTER_MS)
+            return StatementOutcome(refused)
         if place is None:
             forwarded = await self._run_elsewhere(session, run, group)
             if forwarded is not None:
