--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -18,7 +18,7 @@
 
 MS_PER_S = 1_000.0
 RETRY_PAUSE_S = 0.03
-WANTS_CONNECTION = frozenset({NotSent.NO_CONNECTION_FREE, AnswerKind.NO_CONNECTION})
+LACKS_CONNECTION = frozenset({NotSent.NO_CONNECTION_FREE, AnswerKind.NO_CONNECTION})
 MISROUTED = frozenset({AnswerKind.BEHIND, AnswerKind.NOT_PRIMARY, AnswerKind.WRONG_MEMBER})
 PAUSE_GROWTH = 1.5
 LONGEST_PAUSE_S = 0.1
@@ -173,7 +173,7 @@
         self._ready_in_s = UNKNOWN_READY_S
         self._lacks_lease = reason is NotSent.NO_LEASE
         self._is_turned_away = reason is NotSent.TURNED_AWAY
-        self._wants_connection = reason in WANTS_CONNECTION
+        self._wants_connection = reason in LACKS_CONNECTION
         self._was_misrouted = reason in MISROUTED
         last = f"{reason} at {member}" if member else str(reason)
         is_news = last != self.last
