--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -22,7 +22,7 @@
 MISROUTED = frozenset({AnswerKind.BEHIND, AnswerKind.NOT_PRIMARY, AnswerKind.WRONG_MEMBER})
 PAUSE_GROWTH = 1.5
 LONGEST_PAUSE_S = 0.1
-LEAST_ATTEMPT_S = 0.05
+MINIMUM_ATTEMPT_S = 0.05
 LATE_SHARE_OF_TIME = 0.5
 """Share of a statement's time. While more is left, the statement is sent regardless of the expected
 answer time; otherwise a member that became faster could never correct its estimate."""
@@ -89,9 +89,9 @@
         The answer is expected to take as long as the primary's recent answers.
         """
         pool = self.group.primary_pool()
-        answer_s = LEAST_ATTEMPT_S if pool is None else pool.observed.answer.usual_s
+        answer_s = MINIMUM_ATTEMPT_S if pool is None else pool.observed.answer.usual_s
         wait_s = TOKEN_WAIT_SHARE_OF_TARGET * self.session.database.target_latency_ms / MS_PER_S
-        latest = self.deadline - LEAST_ATTEMPT_S
+        latest = self.deadline - MINIMUM_ATTEMPT_S
         return min(self.began_at + wait_s, latest) - answer_s
 
     def time_left(self) -> float:
@@ -112,7 +112,7 @@
 
     def start_by(self, pool: MemberPool) -> float:
         """Return the latest time to send the statement to a member for an answer in time."""
-        return self.deadline - max(LEAST_ATTEMPT_S, pool.observed.answer.usual_s)
+        return self.deadline - max(MINIMUM_ATTEMPT_S, pool.observed.answer.usual_s)
 
     @property
     def target_at(self) -> float:
@@ -133,21 +133,21 @@
         if self.group.lacks_primary(now):
             self.group.outage.noticed(now)
             until = max(until, self.group.hold_until(now))
-        return min(until, self.deadline - LEAST_ATTEMPT_S)
+        return min(until, self.deadline - MINIMUM_ATTEMPT_S)
 
-    def is_too_late(self, answer_s: float = LEAST_ATTEMPT_S) -> bool:
+    def is_too_late(self, answer_s: float = MINIMUM_ATTEMPT_S) -> bool:
         """Tell whether too little time is left for an answer.
 
         Such a statement is not sent: it then certainly did not run, and the client can retry it.
 
         :param answer_s: recent answer time of the member, in seconds
         """
-        least_s = min(max(LEAST_ATTEMPT_S, answer_s), LATE_SHARE_OF_TIME * self.whole_s)
+        least_s = min(max(MINIMUM_ATTEMPT_S, answer_s), LATE_SHARE_OF_TIME * self.whole_s)
         return self.time_left() < least_s
 
     def may_run_again(self) -> bool:
         """Tell whether a read that may have run on one member may run on another one too."""
-        is_time_left = self.time_left() > LEAST_ATTEMPT_S
+        is_time_left = self.time_left() > MINIMUM_ATTEMPT_S
         return is_time_left and self.runs + 1 < self.session.database.maximum_attempts
 
     def may_be_sent(self) -> bool:
--- a/limedyke/proxy/statements/homes/forwarded_attempt.py
+++ b/limedyke/proxy/statements/homes/forwarded_attempt.py
@@ -12,7 +12,7 @@
 from limedyke.proxy.forwarding.link import NEVER, HomeLink
 from limedyke.proxy.statements.attempt import (
     HELD_SHARE_OF_TARGET,
-    LEAST_ATTEMPT_S,
+    MINIMUM_ATTEMPT_S,
     MS_PER_S,
     RETRY_PAUSE_S,
 )
@@ -93,7 +93,7 @@
 
     def may_be_sent_again(self) -> bool:
         """Tell whether an unanswered statement may go to another home proxy."""
-        return not self.is_last_try and self.time_left() > LEAST_ATTEMPT_S
+        return not self.is_last_try and self.time_left() > MINIMUM_ATTEMPT_S
 
     def refused(self, answer: StatementAnswer, home: str) -> None:
         """Record a refusal after which another home proxy may be tried."""
@@ -105,7 +105,7 @@
         now = time.monotonic()
         self.group.outage.noticed(now)
         until = max(self.hold_until, self.group.hold_until(now))
-        if not await self.group.wait_for_primary(min(until, self.deadline - LEAST_ATTEMPT_S)):
+        if not await self.group.wait_for_primary(min(until, self.deadline - MINIMUM_ATTEMPT_S)):
             return False
         self.tried.clear()
         self.unreached = 0
--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -11,7 +11,7 @@
 from limedyke.core.statements.routing import cost_s, order_for_read, soonest_replica
 from limedyke.messages.databases import Consistency
 from limedyke.messages.work import LogPosition
-from limedyke.proxy.statements.attempt import LEAST_ATTEMPT_S, MS_PER_S, Attempt
+from limedyke.proxy.statements.attempt import MINIMUM_ATTEMPT_S, MS_PER_S, Attempt
 from limedyke.proxy.statements.hedged_read import RAN_IN_VAIN, HedgedRead, SecondMember
 from limedyke.proxy.statements.members.member_exchange import MemberExchange
 from limedyke.proxy.statements.members.member_pool import MemberPool
@@ -89,7 +89,7 @@
         soonest = soonest_replica(
             group.observed_members, group.primary, required, self._zone, now, held_since, instead_s
         )
-        if soonest is None or soonest[1] >= attempt.time_left() - LEAST_ATTEMPT_S:
+        if soonest is None or soonest[1] >= attempt.time_left() - MINIMUM_ATTEMPT_S:
             return False
         attempt.tried.discard(soonest[0].record.identity)
         await curio.sleep(soonest[1])
