--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -23,7 +23,7 @@
 PAUSE_GROWTH = 1.5
 LONGEST_PAUSE_S = 0.1
 MINIMUM_ATTEMPT_S = 0.05
-LATE_SHARE_OF_TIME = 0.5
+MAXIMUM_ANSWER_SHARE_OF_TIME = 0.5
 """Share of a statement's time. While more is left, the statement is sent regardless of the expected
 answer time; otherwise a member that became faster could never correct its estimate."""
 HELD_SHARE_OF_TARGET = 0.2
@@ -142,7 +142,7 @@
 
         :param answer_s: recent answer time of the member, in seconds
         """
-        least_s = min(max(MINIMUM_ATTEMPT_S, answer_s), LATE_SHARE_OF_TIME * self.whole_s)
+        least_s = min(max(MINIMUM_ATTEMPT_S, answer_s), MAXIMUM_ANSWER_SHARE_OF_TIME * self.whole_s)
         return self.time_left() < least_s
 
     def may_run_again(self) -> bool:
