--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -26,7 +26,7 @@
 MAXIMUM_ANSWER_SHARE_OF_TIME = 0.5
 """Share of a statement's time. While more is left, the statement is sent regardless of the expected
 answer time; otherwise a member that became faster could never correct its estimate."""
-HELD_SHARE_OF_TARGET = 0.2
+HOLD_SHARE_OF_TARGET = 0.2
 """Longest hold, as a share of the target latency, for a statement that no member can run and that
 no event is expected to unblock. The client needs the rest of the time to try another proxy."""
 
@@ -80,7 +80,7 @@
         now = time.monotonic()
         database = session.database
         whole_s = session.statement_time_s(now)
-        hold_until = now + HELD_SHARE_OF_TARGET * database.target_latency_ms / MS_PER_S
+        hold_until = now + HOLD_SHARE_OF_TARGET * database.target_latency_ms / MS_PER_S
         return cls(session, run, group, log, now, whole_s, now + whole_s, hold_until)
 
     def token_wait_until(self) -> float:
--- a/limedyke/proxy/statements/homes/forwarded_attempt.py
+++ b/limedyke/proxy/statements/homes/forwarded_attempt.py
@@ -11,7 +11,7 @@
 from limedyke.messages.statements import StatementAnswer
 from limedyke.proxy.forwarding.link import NEVER, HomeLink
 from limedyke.proxy.statements.attempt import (
-    HELD_SHARE_OF_TARGET,
+    HOLD_SHARE_OF_TARGET,
     MINIMUM_ATTEMPT_S,
     MS_PER_S,
     RETRY_PAUSE_S,
@@ -70,7 +70,7 @@
             group,
             deadline=now + whole_s,
             home_until=now + LEASE_WAIT_SHARE * whole_s,
-            hold_until=now + HELD_SHARE_OF_TARGET * target_s,
+            hold_until=now + HOLD_SHARE_OF_TARGET * target_s,
         )
 
     def time_left(self) -> float:
