--- a/features/steps/hedged_reads_steps.py
+++ b/features/steps/hedged_reads_steps.py
@@ -94,7 +94,7 @@
     attempt = SimpleNamespace(
         tried=set(),
         runs=0,
-        may_run_again=lambda: True,
+        may_retry_read=lambda: True,
         may_be_sent=lambda: True,
         time_left=lambda: WHOLE_S,
         connection_wait_s=lambda pool: WHOLE_S,
--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -145,7 +145,7 @@
         least_s = min(max(MINIMUM_ATTEMPT_S, answer_s), MAXIMUM_ANSWER_SHARE_OF_TIME * self.whole_s)
         return self.time_left() < least_s
 
-    def may_run_again(self) -> bool:
+    def may_retry_read(self) -> bool:
         """Tell whether a read that may have run on one member may run on another one too."""
         is_time_left = self.time_left() > MINIMUM_ATTEMPT_S
         return is_time_left and self.runs + 1 < self.session.database.maximum_attempts
--- a/limedyke/proxy/statements/hedged_read.py
+++ b/limedyke/proxy/statements/hedged_read.py
@@ -79,7 +79,7 @@
 
     async def run(self, pinned: PinnedConnection, after: LogPosition | None) -> SentRead:
         """Return the first final answer, or the last one when none is final."""
-        if not self._attempt.may_run_again():
+        if not self._attempt.may_retry_read():
             return await self._ask(pinned, after)
         sent: SentRead | None = None
         try:
--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -116,7 +116,7 @@
             return StatementOutcome(attempt.give_up(ResultCode.NO_MEMBER))
         hedged = HedgedRead(self._exchange, attempt, lambda: self._second(attempt, required))
         sent = await hedged.run(pinned, None if is_primary else required)
-        is_given_up = sent.answer.kind in RAN_IN_VAIN and not attempt.may_run_again()
+        is_given_up = sent.answer.kind in RAN_IN_VAIN and not attempt.may_retry_read()
         if sent.is_final or is_given_up:
             return await settle_first(attempt.session, attempt.run, sent.pinned, sent.answer)
         await sent.put_back(attempt)
@@ -124,7 +124,7 @@
 
     def _second(self, attempt: Attempt, required: LogPosition | None) -> SecondMember | None:
         """Return another member with room, to hedge a read that is slow on the first."""
-        if not attempt.may_run_again():
+        if not attempt.may_retry_read():
             return None
         group = attempt.group
         now = time.monotonic()
