--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -203,7 +203,7 @@
         retry_after_ms = self.group.retry_after_ms(priority, needs_primary, self._ready_in_s)
         return give_up(self.session, code, self.last, self.runs > 0, retry_after_ms)
 
-    def had_better_run_elsewhere(self) -> bool:
+    def should_run_elsewhere(self) -> bool:
         """Tell whether to return a forwarded statement because this proxy can't reach the primary.
 
         Another home proxy may reach it.
--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -54,7 +54,7 @@
                 continue
             able = self._able(attempt, required)
             if not able:
-                if attempt.had_better_run_elsewhere():
+                if attempt.should_run_elsewhere():
                     return StatementOutcome(attempt.leave_to_others())
                 attempt.tried.clear()
                 if not await attempt.pause():
