--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -211,7 +211,7 @@
         may_leave = self.session.may_run_elsewhere and self.runs == 0
         return may_leave and self.group.has_unreachable_primary()
 
-    def leave_to_others(self) -> StatementAnswer:
+    def refuse_unreachable_primary(self) -> StatementAnswer:
         """Return the refusal that makes the forwarding proxy try another home proxy."""
         return refusal(ResultCode.PRIMARY_UNREACHED, self.group.primary)
 
--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -55,7 +55,7 @@
             able = self._able(attempt, required)
             if not able:
                 if attempt.should_run_elsewhere():
-                    return StatementOutcome(attempt.leave_to_others())
+                    return StatementOutcome(attempt.refuse_unreachable_primary())
                 attempt.tried.clear()
                 if not await attempt.pause():
                     return StatementOutcome(attempt.give_up(ResultCode.NO_MEMBER))
