--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -64,7 +64,7 @@
     runs: int = 0
     sends: int = 0
     last: str = "no member is known"
-    _wants_connection: bool = False
+    _lacks_connection: bool = False
     _was_misrouted: bool = False
     _connection_until: float = 0.0
     _is_turned_away: bool = False
@@ -128,7 +128,7 @@
         """
         if self._is_turned_away or self._has_lost_lease:
             return 0.0
-        until = max(self.hold_until, self._connection_until if self._wants_connection else 0.0)
+        until = max(self.hold_until, self._connection_until if self._lacks_connection else 0.0)
         now = time.monotonic()
         if self.group.lacks_primary(now):
             self.group.outage.noticed(now)
@@ -173,7 +173,7 @@
         self._ready_in_s = UNKNOWN_READY_S
         self._lacks_lease = reason is NotSent.NO_LEASE
         self._is_turned_away = reason is NotSent.TURNED_AWAY
-        self._wants_connection = reason in LACKS_CONNECTION
+        self._lacks_connection = reason in LACKS_CONNECTION
         self._was_misrouted = reason in MISROUTED
         last = f"{reason} at {member}" if member else str(reason)
         is_news = last != self.last
