--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -67,7 +67,7 @@
     _lacks_connection: bool = False
     _was_misrouted: bool = False
     _connection_until: float = 0.0
-    _is_turned_away: bool = False
+    _is_queue_refused: bool = False
     _lacks_lease: bool = False
     _ready_in_s: float = UNKNOWN_READY_S
     _pause_s: float = RETRY_PAUSE_S
@@ -126,7 +126,7 @@
         held if the queue refused it or this proxy lost its lease, because another proxy can serve
         it sooner.
         """
-        if self._is_turned_away or self._has_lost_lease:
+        if self._is_queue_refused or self._has_lost_lease:
             return 0.0
         until = max(self.hold_until, self._connection_until if self._lacks_connection else 0.0)
         now = time.monotonic()
@@ -172,7 +172,7 @@
         """
         self._ready_in_s = UNKNOWN_READY_S
         self._lacks_lease = reason is NotSent.NO_LEASE
-        self._is_turned_away = reason is NotSent.TURNED_AWAY
+        self._is_queue_refused = reason is NotSent.TURNED_AWAY
         self._lacks_connection = reason in LACKS_CONNECTION
         self._was_misrouted = reason in MISROUTED
         last = f"{reason} at {member}" if member else str(reason)
