--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -66,7 +66,7 @@
     last: str = "no member is known"
     _lacks_connection: bool = False
     _was_misrouted: bool = False
-    _connection_until: float = 0.0
+    _connection_wait_until: float = 0.0
     _is_queue_refused: bool = False
     _lacks_lease: bool = False
     _ready_in_s: float = UNKNOWN_READY_S
@@ -107,8 +107,8 @@
         """
         now = time.monotonic()
         is_silent = pool.observed.seems_silent(now)
-        self._connection_until = self.hold_until if is_silent else self.start_by(pool)
-        return max(0.0, min(self._connection_until, self.deadline) - now)
+        self._connection_wait_until = self.hold_until if is_silent else self.start_by(pool)
+        return max(0.0, min(self._connection_wait_until, self.deadline) - now)
 
     def start_by(self, pool: MemberPool) -> float:
         """Return the latest time to send the statement to a member for an answer in time."""
@@ -128,7 +128,7 @@
         """
         if self._is_queue_refused or self._has_lost_lease:
             return 0.0
-        until = max(self.hold_until, self._connection_until if self._lacks_connection else 0.0)
+        until = max(self.hold_until, self._connection_wait_until if self._lacks_connection else 0.0)
         now = time.monotonic()
         if self.group.lacks_primary(now):
             self.group.outage.noticed(now)
