--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -69,7 +69,7 @@
     _connection_wait_until: float = 0.0
     _is_queue_refused: bool = False
     _lacks_lease: bool = False
-    _ready_in_s: float = UNKNOWN_READY_S
+    _retry_ready_in_s: float = UNKNOWN_READY_S
     _pause_s: float = RETRY_PAUSE_S
 
     @classmethod
@@ -170,7 +170,7 @@
 
         :param member: the member that was tried; empty for none
         """
-        self._ready_in_s = UNKNOWN_READY_S
+        self._retry_ready_in_s = UNKNOWN_READY_S
         self._lacks_lease = reason is NotSent.NO_LEASE
         self._is_queue_refused = reason is NotSent.TURNED_AWAY
         self._lacks_connection = reason in LACKS_CONNECTION
@@ -186,7 +186,7 @@
         """Record and log that a member's queue refused the statement or dropped it."""
         self.failed(NotSent.TURNED_AWAY, member)
         self.last = f"{refused.reason} at {member}"
-        self._ready_in_s = refused.room_in_s
+        self._retry_ready_in_s = refused.room_in_s
         self.log.turned_away(self.session.database, self.run.statement, member, refused)
 
     @property
@@ -200,7 +200,7 @@
             code = ResultCode.NO_LEASE
         priority = self.session.database.priority
         needs_primary = self.session.needs_primary(self.run)
-        retry_after_ms = self.group.retry_after_ms(priority, needs_primary, self._ready_in_s)
+        retry_after_ms = self.group.retry_after_ms(priority, needs_primary, self._retry_ready_in_s)
         return give_up(self.session, code, self.last, self.runs > 0, retry_after_ms)
 
     def should_run_elsewhere(self) -> bool:
