--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -13,7 +13,7 @@
 from limedyke.proxy.statements.group import StatementGroup
 from limedyke.proxy.statements.members.member_pool import MemberPool
 from limedyke.proxy.statements.statement_log import NotSent, StatementLog, Try
-from limedyke.proxy.statements.statement_refusal import UNKNOWN_READY_S, give_up
+from limedyke.proxy.statements.statement_refusal import DEFAULT_READY_S, give_up
 from limedyke.result_codes import ResultCode
 
 MS_PER_S = 1_000.0
@@ -69,7 +69,7 @@
     _connection_wait_until: float = 0.0
     _is_queue_refused: bool = False
     _lacks_lease: bool = False
-    _retry_ready_in_s: float = UNKNOWN_READY_S
+    _retry_ready_in_s: float = DEFAULT_READY_S
     _pause_s: float = RETRY_PAUSE_S
 
     @classmethod
@@ -170,7 +170,7 @@
 
         :param member: the member that was tried; empty for none
         """
-        self._retry_ready_in_s = UNKNOWN_READY_S
+        self._retry_ready_in_s = DEFAULT_READY_S
         self._lacks_lease = reason is NotSent.NO_LEASE
         self._is_queue_refused = reason is NotSent.TURNED_AWAY
         self._lacks_connection = reason in LACKS_CONNECTION
--- a/limedyke/proxy/statements/homes/forwarded_attempt.py
+++ b/limedyke/proxy/statements/homes/forwarded_attempt.py
@@ -17,7 +17,7 @@
     RETRY_PAUSE_S,
 )
 from limedyke.proxy.statements.group import StatementGroup
-from limedyke.proxy.statements.statement_refusal import UNKNOWN_READY_S, give_up
+from limedyke.proxy.statements.statement_refusal import DEFAULT_READY_S, give_up
 from limedyke.result_codes import ResultCode, did_not_run
 
 LEASE_WAIT_SHARE = 0.7
@@ -122,7 +122,7 @@
     def give_up(self, code: ResultCode) -> StatementAnswer:
         """Return the final refusal of the statement, which had no lasting effect."""
         priority = self.session.database.priority
-        retry_after_ms = self.group.retry_after_ms(priority, True, UNKNOWN_READY_S)
+        retry_after_ms = self.group.retry_after_ms(priority, True, DEFAULT_READY_S)
         return give_up(self.session, code, self.last, self.unanswered > 0, retry_after_ms)
 
     def outcome_of(self, answer: StatementAnswer) -> StatementAnswer:
--- a/limedyke/proxy/statements/statement_refusal.py
+++ b/limedyke/proxy/statements/statement_refusal.py
@@ -8,7 +8,7 @@
 from limedyke.result_codes import ResultCode
 
 MS_PER_S = 1_000
-UNKNOWN_READY_S = 0.2
+DEFAULT_READY_S = 0.2
 """Retry delay, in seconds, when nothing predicts recovery, such as while no member is fresh."""
 RETRY_AFTER_MS = int(LEAST_RETURN_S * MS_PER_S)
 """Retry delay when another proxy or connection can serve at once, as when a home proxy is lost."""
