--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -42,7 +42,7 @@
 from limedyke.result_codes import ResultCode
 
 RECEIVE_BYTES = 64 * 1024
-ENDS_AN_OPERATION = frozenset(
+OPERATION_END_KINDS = frozenset(
     {
         StatementKind.READ,
         StatementKind.WRITE,
@@ -319,7 +319,7 @@
         if answer.code == KEY_UNKNOWN:
             await self._end_session(ResultCode.ACCESS_KEY_UNKNOWN)
             return False
-        is_over = session.status is TransactionStatus.IDLE and statement.kind in ENDS_AN_OPERATION
+        is_over = session.status is TransactionStatus.IDLE and statement.kind in OPERATION_END_KINDS
         if is_over and self._is_sent_away:
             await self._end_session(ResultCode.NO_LEASE)
             return False
