--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -53,7 +53,7 @@
 )
 """Statements after which a session may be closed. After others, such as SET, the client usually has
 sent the statement that they prepare already."""
-SERVED_ELSEWHERE = frozenset(
+RETRYABLE_ELSEWHERE_CODES = frozenset(
     code.value.number
     for code in (
         ResultCode.FRESHNESS_UNPROVEN,
@@ -331,7 +331,7 @@
         A proxy that lost the controllers learns no new primary and can prove no position; another
         proxy may be on the other side of the network partition.
         """
-        if answer.code in SERVED_ELSEWHERE and self._services.is_cut_off():
+        if answer.code in RETRYABLE_ELSEWHERE_CODES and self._services.is_cut_off():
             self._is_sent_away = True
 
     async def _answer(self, session: StatementSession, statement: Statement) -> StatementAnswer:
