--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -65,7 +65,7 @@
     )
 )
 """Refusals by a proxy cut off from the controllers that another proxy might not give."""
-KEY_UNKNOWN = ResultCode.ACCESS_KEY_UNKNOWN.value.number
+ACCESS_KEY_UNKNOWN_CODE = ResultCode.ACCESS_KEY_UNKNOWN.value.number
 """Ends the session: the access key it was opened with was revoked."""
 STOPPED_RETRY_AFTER_MS = 10
 """Short, because another proxy can serve the client at once."""
@@ -316,7 +316,7 @@
         self, session: StatementSession, statement: Statement, answer: StatementAnswer
     ) -> bool:
         """Tell whether the session continues after an answer; end it otherwise."""
-        if answer.code == KEY_UNKNOWN:
+        if answer.code == ACCESS_KEY_UNKNOWN_CODE:
             await self._end_session(ResultCode.ACCESS_KEY_UNKNOWN)
             return False
         is_over = session.status is TransactionStatus.IDLE and statement.kind in OPERATION_END_KINDS
