--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -67,7 +67,7 @@
 """Refusals by a proxy cut off from the controllers that another proxy might not give."""
 ACCESS_KEY_UNKNOWN_CODE = ResultCode.ACCESS_KEY_UNKNOWN.value.number
 """Ends the session: the access key it was opened with was revoked."""
-STOPPED_RETRY_AFTER_MS = 10
+STOPPING_RETRY_AFTER_MS = 10
 """Short, because another proxy can serve the client at once."""
 REST_BEFORE_LEAVING_S = 0.25
 """Seconds a session must be idle before the first phase of a planned stop ends it."""
@@ -217,7 +217,7 @@
         """End the session; statements that arrived meanwhile are answered as not run."""
         self._is_over = True
         limit_s = max(0.0, self._services.stop.schedule.ends_at - time.monotonic())
-        reason = refusal(code, retry_after_ms=STOPPED_RETRY_AFTER_MS)
+        reason = refusal(code, retry_after_ms=STOPPING_RETRY_AFTER_MS)
         await end_session(self._socket, self._codec, reason, tuple(self._events), limit_s)
 
     async def _stay_for_what_came(self) -> None:
@@ -273,7 +273,7 @@
     async def _admit(self, event: SessionRequested) -> Result[StatementSession, StatementAnswer]:
         """Open a session, unless the proxy is stopping and accepts no more statements."""
         if not self._services.stop.schedule.takes(StatementKind.READ, time.monotonic()):
-            return Err(refusal(ResultCode.DRAINING, retry_after_ms=STOPPED_RETRY_AFTER_MS))
+            return Err(refusal(ResultCode.DRAINING, retry_after_ms=STOPPING_RETRY_AFTER_MS))
         return await self._services.admission.open(event)
 
     async def _refuse_malformed(self, event: MalformedStatement) -> bool:
@@ -307,7 +307,7 @@
         is_taken = self._services.stop.schedule.takes(statement.kind, time.monotonic())
         match session.status:
             case TransactionStatus.IDLE if not is_taken:
-                return refusal(ResultCode.DRAINING, retry_after_ms=STOPPED_RETRY_AFTER_MS)
+                return refusal(ResultCode.DRAINING, retry_after_ms=STOPPING_RETRY_AFTER_MS)
             case TransactionStatus.IDLE:
                 return self._services.admission.renew(session)
         return None
