--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -69,7 +69,7 @@
 """Ends the session: the access key it was opened with was revoked."""
 STOPPING_RETRY_AFTER_MS = 10
 """Short, because another proxy can serve the client at once."""
-REST_BEFORE_LEAVING_S = 0.25
+IDLE_BEFORE_SESSION_END_S = 0.25
 """Seconds a session must be idle before the first phase of a planned stop ends it."""
 EVENTS = EventLog("client")
 
@@ -198,7 +198,7 @@
         status = TransactionStatus.IDLE if self._session is None else self._session.status
         match status:
             case TransactionStatus.IDLE:
-                has_rested = now - self._waiting_since > REST_BEFORE_LEAVING_S
+                has_rested = now - self._waiting_since > IDLE_BEFORE_SESSION_END_S
                 return has_rested or now >= schedule.statements_until
             case TransactionStatus.IN_TRANSACTION:
                 return now >= schedule.statements_until
