--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -74,11 +74,11 @@
 EVENTS = EventLog("client")
 
 
-class LeaveAskedError(curio.CancelledError):
+class SessionEndRequestedError(curio.CancelledError):
     """Raised in a client task that waits for its client when the session is to end."""
 
 
-class StopDeadlineError(LeaveAskedError):
+class StopDeadlineError(SessionEndRequestedError):
     """Raised in a client task whose statement must be answered now because the proxy exits."""
 
 
@@ -169,7 +169,7 @@
         while not self._events:
             try:
                 data = await self._receive()
-            except LeaveAskedError:
+            except SessionEndRequestedError:
                 if self._session is None or self._session.transaction is None:
                     return LeaveAsked()
                 await self._lose_transaction(ResultCode.TRANSACTION_LOST)
@@ -190,7 +190,7 @@
         just got an answer may have sent its next statement already.
         """
         if self.is_waiting and self._is_due(time.monotonic()):
-            await self._interrupt(LeaveAskedError)
+            await self._interrupt(SessionEndRequestedError)
 
     def _is_due(self, now: float) -> bool:
         """Tell whether the stop schedule ends a session that waits for its client now."""
@@ -209,7 +209,7 @@
         if self.is_serving:
             await self._interrupt(StopDeadlineError)
 
-    async def _interrupt(self, error: type[LeaveAskedError]) -> None:
+    async def _interrupt(self, error: type[SessionEndRequestedError]) -> None:
         if self.task is not None and not self._is_over:
             await interrupt(self.task, error)
 
@@ -228,7 +228,7 @@
         """
         if self._services.stop.is_stopping:
             async with curio.disable_cancellation():
-                await curio.check_cancellation(LeaveAskedError)
+                await curio.check_cancellation(SessionEndRequestedError)
 
     async def _receive(self) -> bytes | None:
         """Return received bytes; None when an open transaction was idle for too long."""
