--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -110,7 +110,7 @@
         self._services = services
         self._session: StatementSession | None = None
         self._place: TransactionLocation | None = None
-        self._is_sent_away = False
+        self._must_reconnect_elsewhere = False
         self._is_over = False
         self._events: deque[ClientEvent] = deque()
         self.is_waiting = False
@@ -320,7 +320,7 @@
             await self._end_session(ResultCode.ACCESS_KEY_UNKNOWN)
             return False
         is_over = session.status is TransactionStatus.IDLE and statement.kind in OPERATION_END_KINDS
-        if is_over and self._is_sent_away:
+        if is_over and self._must_reconnect_elsewhere:
             await self._end_session(ResultCode.NO_LEASE)
             return False
         return True
@@ -332,7 +332,7 @@
         proxy may be on the other side of the network partition.
         """
         if answer.code in RETRYABLE_ELSEWHERE_CODES and self._services.is_cut_off():
-            self._is_sent_away = True
+            self._must_reconnect_elsewhere = True
 
     async def _answer(self, session: StatementSession, statement: Statement) -> StatementAnswer:
         plan = session.plan(statement)
