--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -133,10 +133,10 @@
             self._ended_by = f"connection: {error}"
         finally:
             async with curio.disable_cancellation():
-                self._tell_unanswered()
+                self._log_unanswered()
                 await self._clean_up()
 
-    def _tell_unanswered(self) -> None:
+    def _log_unanswered(self) -> None:
         """Log a statement whose connection ended before it was answered."""
         if self._under_way is not None:
             was_sent = self._session is not None and self._session.was_sent
