--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -179,7 +179,7 @@
                 continue
             if not data:
                 return SessionEnded("closed by the client")
-            await self._stay_for_what_came()
+            await self._discard_end_request()
             self._events.extend(self._codec.feed(data))
         return self._events.popleft()
 
@@ -220,7 +220,7 @@
         reason = refusal(code, retry_after_ms=STOPPING_RETRY_AFTER_MS)
         await end_session(self._socket, self._codec, reason, tuple(self._events), limit_s)
 
-    async def _stay_for_what_came(self) -> None:
+    async def _discard_end_request(self) -> None:
         """Discard a pending request to end the session, because the client sent data.
 
         Cancellation can't be disabled for the whole statement instead, because timeouts are
