--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -172,10 +172,10 @@
             except SessionEndRequestedError:
                 if self._session is None or self._session.transaction is None:
                     return LeaveAsked()
-                await self._lose_transaction(ResultCode.TRANSACTION_LOST)
+                await self._roll_back_idle_transaction(ResultCode.TRANSACTION_LOST)
                 continue
             if data is None:
-                await self._lose_transaction(ResultCode.IDLE_IN_TRANSACTION)
+                await self._roll_back_idle_transaction(ResultCode.IDLE_IN_TRANSACTION)
                 continue
             if not data:
                 return SessionEnded("closed by the client")
@@ -253,7 +253,7 @@
             return None
         return view.session_limits.idle_in_transaction_ms / 1_000
 
-    async def _lose_transaction(self, code: ResultCode) -> None:
+    async def _roll_back_idle_transaction(self, code: ResultCode) -> None:
         """Roll back an idle transaction; the answer to the client's next statement reports it."""
         self._session.lose_transaction(code)
         if self._place is not None:
