--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -293,14 +293,14 @@
         started_at = time.monotonic()
         self._under_way = StatementUnderWay(session.database, statement, started_at)
         session.begin_statement(self._services.stop.schedule.answers_until)
-        answer = self._refused_at_once(session, statement) or await self._answer(session, statement)
+        answer = self._early_refusal(session, statement) or await self._answer(session, statement)
         self._services.log.answered(session.database, statement, answer, started_at)
         await self._socket.sendall(self._codec.answer(answer, session.status))
         self._under_way = None
         self._note_refusal(answer)
         return await self._goes_on(session, statement, answer)
 
-    def _refused_at_once(
+    def _early_refusal(
         self, session: StatementSession, statement: Statement
     ) -> StatementAnswer | None:
         """Return the refusal of a statement that is not run at all; None when it is run."""
