--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -298,7 +298,7 @@
         await self._socket.sendall(self._codec.answer(answer, session.status))
         self._under_way = None
         self._note_refusal(answer)
-        return await self._goes_on(session, statement, answer)
+        return await self._continues_after(session, statement, answer)
 
     def _early_refusal(
         self, session: StatementSession, statement: Statement
@@ -312,7 +312,7 @@
                 return self._services.admission.renew(session)
         return None
 
-    async def _goes_on(
+    async def _continues_after(
         self, session: StatementSession, statement: Statement, answer: StatementAnswer
     ) -> bool:
         """Tell whether the session continues after an answer; end it otherwise."""
