--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -350,11 +350,13 @@
         try:
             placed = await self._services.executor.run(session, run, self._place)
         except StopDeadlineError:
-            placed = await self._cut(session, run)
+            placed = await self._outcome_of_interrupted(session, run)
         self._place = placed.place
         return placed.answer
 
-    async def _cut(self, session: StatementSession, run: RunOnMember) -> StatementOutcome:
+    async def _outcome_of_interrupted(
+        self, session: StatementSession, run: RunOnMember
+    ) -> StatementOutcome:
         """Return the result of a statement that is unanswered when the stop deadline passes."""
         if self._place is not None:
             await self._services.executor.abandon(self._place)
