--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -189,10 +189,10 @@
         The first phase of a stop ends only sessions that have been idle for a while: a client that
         just got an answer may have sent its next statement already.
         """
-        if self.is_waiting and self._is_due(time.monotonic()):
+        if self.is_waiting and self._is_end_due(time.monotonic()):
             await self._interrupt(SessionEndRequestedError)
 
-    def _is_due(self, now: float) -> bool:
+    def _is_end_due(self, now: float) -> bool:
         """Tell whether the stop schedule ends a session that waits for its client now."""
         schedule = self._services.stop.schedule
         status = TransactionStatus.IDLE if self._session is None else self._session.status
