--- a/limedyke/proxy/statements/clients/session_end.py
+++ b/limedyke/proxy/statements/clients/session_end.py
@@ -17,7 +17,7 @@
 )
 
 RECEIVE_BYTES = 64 * 1024
-LONGEST_END_S = 3.0
+MAXIMUM_END_S = 3.0
 """Seconds for which further statements are refused before the connection is closed."""
 SILENCE_S = 0.5
 """Seconds within which anything arrives that the client sent before it read the end: a round trip
@@ -41,7 +41,7 @@
     :param limit_s: time limit in seconds
     """
     try:
-        async with curio.timeout_after(min(limit_s, LONGEST_END_S)):
+        async with curio.timeout_after(min(limit_s, MAXIMUM_END_S)):
             await sock.sendall(codec.session_over(reason))
             await _answer_what_crosses(sock, codec, reason, unserved)
         await sock.shutdown(socket.SHUT_WR)
