--- a/limedyke/proxy/statements/clients/session_end.py
+++ b/limedyke/proxy/statements/clients/session_end.py
@@ -43,13 +43,13 @@
     try:
         async with curio.timeout_after(min(limit_s, MAXIMUM_END_S)):
             await sock.sendall(codec.session_over(reason))
-            await _answer_what_crosses(sock, codec, reason, unserved)
+            await _refuse_late_statements(sock, codec, reason, unserved)
         await sock.shutdown(socket.SHUT_WR)
     except (OSError, curio.TaskTimeout):
         return
 
 
-async def _answer_what_crosses(
+async def _refuse_late_statements(
     sock: socket.socket,
     codec: ClientCodec,
     reason: StatementAnswer,
