--- a/limedyke/proxy/statements/executor.py
+++ b/limedyke/proxy/statements/executor.py
@@ -57,10 +57,10 @@
             forwarded = await self._run_elsewhere(session, run, group)
             if forwarded is not None:
                 return forwarded
-            return await self._run_here_first(session, run, group)
+            return await self._run_locally(session, run, group)
         return await self._runner.run(session, run, group, place)
 
-    async def _run_here_first(
+    async def _run_locally(
         self, session: StatementSession, run: RunOnMember, group: StatementGroup
     ) -> StatementOutcome:
         """Run a statement outside an open transaction on this proxy.
