--- a/limedyke/core/control/leader.py
+++ b/limedyke/core/control/leader.py
@@ -233,7 +233,7 @@
     def _on_time(self, now: float) -> None:
         self.failover.tick(now)
         self.authority.tick(now)
-        self.limits.known_share(self.leases.reported_share, now)
+        self.limits.set_connected_share(self.leases.reported_share, now)
         self.limits.tick(now)
         self.leases.divide(now)
         if now < self._next_judgement_at:
@@ -242,7 +242,7 @@
         for proxy in self.leases.expire(now):
             self._commands.append(DisconnectProxy(proxy, LEASES_RUN_OUT))
         self.membership.judge(now, self.leases.holders())
-        gone = self.announcements.silent(self._timing.member_forgotten_s, now)
+        gone = self.announcements.remove_silent(self._timing.member_forgotten_s, now)
         if gone is not None:
             self._commands.append(Propose(gone))
 
--- a/limedyke/core/control/primaries/promotion_places.py
+++ b/limedyke/core/control/primaries/promotion_slots.py
@@ -4,10 +4,10 @@
 
 from collections import Counter
 
-from limedyke.core.control.primaries.group_care import GroupFailoverState
+from limedyke.core.control.primaries.group_failover_state import GroupFailoverState
 
 
-class PromotionPlaces:
+class PromotionSlots:
     """Counts promotions under way.
 
     :param total: promotions under way over all groups
--- a/limedyke/core/limits/operation_limits.py
+++ b/limedyke/core/limits/operation_limits.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass
 
 from limedyke.core.limits.operation_allowance import SHARE_LIFE_S
-from limedyke.core.limits.quiet_time import QuietTime
+from limedyke.core.limits.quiet_time import ProcessEnds
 from limedyke.core.limits.tenant_budget import TenantBudget
 from limedyke.core.limits.token_bucket import TokenBucket
-from limedyke.core.limits.use_adoption import UseAdoption
+from limedyke.core.limits.use_adoption import InheritedUse
 from limedyke.core.limits.use_rate import UseRate
 from limedyke.core.limits.use_window import SLOT_S, WINDOW_S
 from limedyke.messages.declaration import Tenant
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldShare:
+class GrantedShare:
     """What a proxy was told it may run alone: operations a second, and when."""
 
     rate: float
@@ -106,11 +106,11 @@
         self._uses: dict[str, dict[str, UseRate]] = {}
         self._heard_at: dict[str, float] = {}
         self._running_alone: dict[str, dict[str, float]] = {}
-        self._told: dict[str, dict[str, ToldShare]] = {}
-        self._adoption = UseAdoption()
-        self._quiet = QuietTime()
+        self._told: dict[str, dict[str, GrantedShare]] = {}
+        self._adoption = InheritedUse()
+        self._quiet = ProcessEnds()
 
-    def known_share(self, share: float, now: float) -> None:
+    def set_connected_share(self, share: float, now: float) -> None:
         """Take which share of the registered proxies has come to this leader.
 
         The others may run by themselves yet, at rates that only the leader before knew.
@@ -157,7 +157,7 @@
             for age, operations in reversed(list(enumerate(report.granted))):
                 use.count(operations, now - age * SLOT_S)
             share = report.alone_per_minute / SECONDS_PER_MINUTE
-            self._told.setdefault(report.tenant, {})[proxy] = ToldShare(share, now)
+            self._told.setdefault(report.tenant, {})[proxy] = GrantedShare(share, now)
             budget = self._budgets.get(report.tenant)
             if budget is not None:
                 self._adopt(report.tenant, budget.bucket, now)
@@ -267,7 +267,7 @@
         heard_rate = _rate(tenant) - self._unheard_rate(tenant)
         left = heard_rate - self._told_rate(tenant.name, now)
         rate = max(0.0, min(heard_rate * uses[proxy].at(now) / total, left))
-        told[proxy] = ToldShare(rate, now)
+        told[proxy] = GrantedShare(rate, now)
         return rate
 
     def _told_rate(self, tenant: str, now: float) -> float:
