--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -48,8 +48,8 @@
     :param outage_times: usual durations of primary changes
 
     :ivar retries: budget for retries of the group's statements
-    :ivar exposed: member that reports itself as primary but is not the recorded one; empty for none
-    :ivar replaced: former primary while no primary is recorded; empty otherwise
+    :ivar exposed: member that claims to be primary but is not the recorded one
+    :ivar replaced: the former primary, while no primary is recorded
     :ivar denied: members that reported that they are not primary
     :ivar position_is_asked: a query for the primary's position is running
     """
