--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -21,7 +21,7 @@
 LACKS_CONNECTION = frozenset({NotSent.NO_CONNECTION_FREE, AnswerKind.NO_CONNECTION})
 MISROUTED = frozenset({AnswerKind.BEHIND, AnswerKind.NOT_PRIMARY, AnswerKind.WRONG_MEMBER})
 PAUSE_GROWTH = 1.5
-LONGEST_PAUSE_S = 0.1
+MAXIMUM_PAUSE_S = 0.1
 MINIMUM_ATTEMPT_S = 0.05
 MAXIMUM_ANSWER_SHARE_OF_TIME = 0.5
 """Share of a statement's time. While more is left, the statement is sent regardless of the expected
@@ -229,5 +229,5 @@
         if time.monotonic() + RETRY_PAUSE_S >= limit:
             return False
         await curio.sleep(self._pause_s)
-        self._pause_s = min(self._pause_s * PAUSE_GROWTH, LONGEST_PAUSE_S)
+        self._pause_s = min(self._pause_s * PAUSE_GROWTH, MAXIMUM_PAUSE_S)
         return True
