--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -232,7 +232,7 @@
 
     async def _receive(self) -> bytes | None:
         """Return received bytes; None when an open transaction was idle for too long."""
-        rest_s = self._rest_limit_s()
+        rest_s = self._idle_limit_s()
         self.is_waiting = True
         self._waiting_since = time.monotonic()
         try:
@@ -245,7 +245,7 @@
         finally:
             self.is_waiting = False
 
-    def _rest_limit_s(self) -> float | None:
+    def _idle_limit_s(self) -> float | None:
         """Return the idle limit in seconds; None for no limit."""
         view = self._services.groups.view
         is_open = self._session is not None and self._session.transaction is not None
