--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -232,13 +232,13 @@
 
     async def _receive(self) -> bytes | None:
         """Return received bytes; None when an open transaction was idle for too long."""
-        rest_s = self._idle_limit_s()
+        idle_limit_s = self._idle_limit_s()
         self.is_waiting = True
         self._waiting_since = time.monotonic()
         try:
-            if rest_s is None:
+            if idle_limit_s is None:
                 return await self._socket.recv(RECEIVE_BYTES)
-            async with curio.timeout_after(rest_s):
+            async with curio.timeout_after(idle_limit_s):
                 return await self._socket.recv(RECEIVE_BYTES)
         except curio.TaskTimeout:
             return None
