--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -198,8 +198,8 @@
         status = TransactionStatus.IDLE if self._session is None else self._session.status
         match status:
             case TransactionStatus.IDLE:
-                has_rested = now - self._waiting_since > IDLE_BEFORE_SESSION_END_S
-                return has_rested or now >= schedule.statements_until
+                has_been_idle = now - self._waiting_since > IDLE_BEFORE_SESSION_END_S
+                return has_been_idle or now >= schedule.statements_until
             case TransactionStatus.IN_TRANSACTION:
                 return now >= schedule.statements_until
         return now >= schedule.answers_until
