--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -25,9 +25,9 @@
 from limedyke.proxy.statements.clients.client_codec import (
     ClientCodec,
     ClientEvent,
-    LeaveAsked,
     MalformedStatement,
     SessionEnded,
+    SessionEndRequested,
     SessionRequested,
     StatementReceived,
 )
@@ -161,7 +161,7 @@
                 return await self._serve_statement(event.statement)
             case MalformedStatement():
                 return await self._refuse_malformed(event)
-            case LeaveAsked():
+            case SessionEndRequested():
                 await self._end_session(ResultCode.DRAINING)
         return False
 
@@ -171,7 +171,7 @@
                 data = await self._receive()
             except SessionEndRequestedError:
                 if self._session is None or self._session.transaction is None:
-                    return LeaveAsked()
+                    return SessionEndRequested()
                 await self._roll_back_idle_transaction(ResultCode.TRANSACTION_LOST)
                 continue
             if data is None:
--- a/limedyke/proxy/statements/clients/client_codec.py
+++ b/limedyke/proxy/statements/clients/client_codec.py
@@ -42,11 +42,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaveAsked:
+class SessionEndRequested:
     """The proxy ends the session while its client is idle."""
 
 
-ClientEvent = SessionRequested | StatementReceived | MalformedStatement | SessionEnded | LeaveAsked
+ClientEvent = (
+    SessionRequested | StatementReceived | MalformedStatement | SessionEnded | SessionEndRequested
+)
 
 
 class ClientCodec(Protocol):
