--- a/limedyke/proxy/statements/executor.py
+++ b/limedyke/proxy/statements/executor.py
@@ -54,7 +54,7 @@
             refused = refusal(ResultCode.NO_MEMBER, detail, UNDECLARED_RETRY_AFTER_MS)
             return StatementOutcome(refused)
         if place is None:
-            forwarded = await self._run_elsewhere(session, run, group)
+            forwarded = await self._forward(session, run, group)
             if forwarded is not None:
                 return forwarded
             return await self._run_locally(session, run, group)
@@ -81,7 +81,7 @@
         forwarded = await self._forwarding.run(session, run, group)
         return forwarded or await self._runner.run(session, run, group, None)
 
-    async def _run_elsewhere(
+    async def _forward(
         self, session: StatementSession, run: RunOnMember, group: StatementGroup
     ) -> StatementOutcome | None:
         """Forward a statement outside an open transaction; None to run it on this proxy."""
