--- a/limedyke/proxy/statements/planned_stop.py
+++ b/limedyke/proxy/statements/planned_stop.py
@@ -74,14 +74,14 @@
         await close_listener()
         self._home_server.draining = True
         await self._serve_until(schedule.answers_until)
-        cut = await self._answer_the_rest(schedule)
+        interrupted = await self._answer_the_rest(schedule)
         await self._control.leave(done=True)
         EVENTS.info(
             "stopped",
             clients=len(self._clients),
             under_way=sum(client.is_serving for client in self._clients),
             forwarded_under_way=self._forwarded.under_way,
-            cut_short=cut,
+            cut_short=interrupted,
             elapsed_ms=int((time.monotonic() - began_at) * MS_PER_S),
         )
 
@@ -96,12 +96,12 @@
 
     async def _answer_the_rest(self, schedule: StopSchedule) -> int:
         """Answer each running statement with its known outcome; return how many there were."""
-        cut = 0
+        interrupted = 0
         for client in list(self._clients):
-            cut += client.is_serving
+            interrupted += client.is_serving
             await client.cut_short()
         while self._clients and time.monotonic() < schedule.ends_at:
             for client in list(self._clients):
                 await client.leave()
             await curio.sleep(LOOK_INTERVAL_S)
-        return cut
+        return interrupted
