--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -48,7 +48,7 @@
     :param outage_times: usual durations of primary changes
 
     :ivar retries: budget for retries of the group's statements
-    :ivar exposed: member that claims to be primary but is not the recorded one
+    :ivar self_reported_primary: member that claims to be primary but is not the recorded one
     :ivar replaced: the former primary, while no primary is recorded
     :ivar denied: members that reported that they are not primary
     :ivar position_is_asked: a query for the primary's position is running
@@ -71,7 +71,7 @@
         self.limit = 0
         self._declared: Group | None = None
         self._limits_at: Mapping[str, int] = NO_MEMBERS
-        self.exposed = ""
+        self.self_reported_primary = ""
         self.replaced = ""
         self.denied: set[str] = set()
         self._primary_started_at_ms = 0
@@ -101,9 +101,9 @@
             recorded = None
         if recorded is not None and self.primary not in self.denied:
             return recorded
-        if self.exposed == self.replaced:
+        if self.self_reported_primary == self.replaced:
             return recorded
-        return self.pools.get(self.exposed) or recorded
+        return self.pools.get(self.self_reported_primary) or recorded
 
     def retry_after_ms(self, priority: int, needs_primary: bool, ready_in_s: float) -> int:
         """Return the retry delay for a refused statement, from the rate at which members serve.
@@ -123,12 +123,12 @@
         """Record a member's own report on whether it is primary."""
         if not is_primary:
             self.denied.add(identity)
-            if self.exposed == identity:
-                self.exposed = ""
+            if self.self_reported_primary == identity:
+                self.self_reported_primary = ""
             return
         self.denied.discard(identity)
-        if identity not in (self.primary, self.exposed):
-            self.exposed = identity
+        if identity not in (self.primary, self.self_reported_primary):
+            self.self_reported_primary = identity
             await self._wake_waiting()
 
     def leads(self, identity: str) -> bool:
@@ -226,7 +226,7 @@
         for name, pool in self.pools.items():
             pool.observed.take_office(name == identity)
         self.positions.clear()
-        self.exposed = ""
+        self.self_reported_primary = ""
         self.denied.clear()
         await self._wake_waiting()
 
