--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -50,7 +50,7 @@
     :ivar retries: budget for retries of the group's statements
     :ivar self_reported_primary: member that claims to be primary but is not the recorded one
     :ivar replaced: the former primary, while no primary is recorded
-    :ivar denied: members that reported that they are not primary
+    :ivar denies_primary: members that reported that they are not primary
     :ivar position_is_asked: a query for the primary's position is running
     """
 
@@ -73,7 +73,7 @@
         self._limits_at: Mapping[str, int] = NO_MEMBERS
         self.self_reported_primary = ""
         self.replaced = ""
-        self.denied: set[str] = set()
+        self.denies_primary: set[str] = set()
         self._primary_started_at_ms = 0
         self.next_search_at = 0.0
         self.position_is_asked = False
@@ -99,7 +99,7 @@
         recorded = self.pools.get(self.primary)
         if self._has_started_again():
             recorded = None
-        if recorded is not None and self.primary not in self.denied:
+        if recorded is not None and self.primary not in self.denies_primary:
             return recorded
         if self.self_reported_primary == self.replaced:
             return recorded
@@ -122,18 +122,18 @@
     async def says_role(self, identity: str, is_primary: bool) -> None:
         """Record a member's own report on whether it is primary."""
         if not is_primary:
-            self.denied.add(identity)
+            self.denies_primary.add(identity)
             if self.self_reported_primary == identity:
                 self.self_reported_primary = ""
             return
-        self.denied.discard(identity)
+        self.denies_primary.discard(identity)
         if identity not in (self.primary, self.self_reported_primary):
             self.self_reported_primary = identity
             await self._wake_waiting()
 
     def leads(self, identity: str) -> bool:
-        """Tell whether a member is the recorded primary and has not denied that it is."""
-        is_recorded = identity == self.primary and identity not in self.denied
+        """Tell whether a member is the recorded primary and has not denies_primary that it is."""
+        is_recorded = identity == self.primary and identity not in self.denies_primary
         return is_recorded and not self._has_started_again()
 
     def has_unreachable_primary(self) -> bool:
@@ -144,7 +144,7 @@
     def lacks_primary(self, now: float) -> bool:
         """Tell whether there is no known primary that answers."""
         pool = self.primary_pool()
-        if pool is None or pool.observed.record.identity in self.denied:
+        if pool is None or pool.observed.record.identity in self.denies_primary:
             return True
         return pool.observed.health is MemberHealth.UNREACHABLE or pool.observed.seems_silent(now)
 
@@ -206,7 +206,7 @@
                 continue
             if pool is not None:
                 await pool.drain()
-            self.denied.discard(identity)
+            self.denies_primary.discard(identity)
             self.pools[identity] = self._make_pool(ObservedMember(record))
             self.pools[identity].observed.leads = identity == self.primary
             await self.pools[identity].set_limit(self.limit_at(identity))
@@ -227,7 +227,7 @@
             pool.observed.take_office(name == identity)
         self.positions.clear()
         self.self_reported_primary = ""
-        self.denied.clear()
+        self.denies_primary.clear()
         await self._wake_waiting()
 
     async def wait_for_primary(self, until: float) -> bool:
