--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -119,7 +119,7 @@
         return_s = self._returns.retry_after_s(priority, ready_in_s, time.monotonic(), gap_s)
         return math.ceil(return_s * MS_PER_S)
 
-    async def says_role(self, identity: str, is_primary: bool) -> None:
+    async def record_reported_role(self, identity: str, is_primary: bool) -> None:
         """Record a member's own report on whether it is primary."""
         if not is_primary:
             self.denies_primary.add(identity)
--- a/limedyke/proxy/statements/members/member_queries.py
+++ b/limedyke/proxy/statements/members/member_queries.py
@@ -40,7 +40,7 @@
         status = await self.ask_status(pool, min(limit_s, 1.0))
         if status is None:
             return None
-        await group.says_role(pool.observed.record.identity, status.is_primary)
+        await group.record_reported_role(pool.observed.record.identity, status.is_primary)
         if not status.is_primary:
             await self.look_for_primary(group)
             return None
@@ -83,7 +83,7 @@
         identity = pool.observed.record.identity
         if status.is_primary:
             group.learn_position(identity, asked_at, status.position, proven=True)
-        await group.says_role(identity, status.is_primary)
+        await group.record_reported_role(identity, status.is_primary)
 
     async def ask_status(self, pool: MemberPool, limit_s: float) -> MemberStatus | None:
         """Return a member's status; None when it doesn't answer.
--- a/limedyke/proxy/statements/runner.py
+++ b/limedyke/proxy/statements/runner.py
@@ -133,7 +133,7 @@
             attempt.failed(answer.kind, pinned.identity)
             await pinned.release()
             if answer.kind is AnswerKind.NOT_PRIMARY:
-                await group.says_role(pinned.identity, is_primary=False)
+                await group.record_reported_role(pinned.identity, is_primary=False)
                 await self.questions.look_for_primary(group)
             until = attempt.deadline if answer.kind is AnswerKind.BUSY else attempt.held_until()
             if not await attempt.pause(until):
