--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -131,7 +131,7 @@
             self.self_reported_primary = identity
             await self._wake_waiting()
 
-    def leads(self, identity: str) -> bool:
+    def is_accepted_primary(self, identity: str) -> bool:
         """Tell whether a member is the recorded primary and has not denies_primary that it is."""
         is_recorded = identity == self.primary and identity not in self.denies_primary
         return is_recorded and not self._has_started_again()
@@ -208,7 +208,7 @@
                 await pool.drain()
             self.denies_primary.discard(identity)
             self.pools[identity] = self._make_pool(ObservedMember(record))
-            self.pools[identity].observed.leads = identity == self.primary
+            self.pools[identity].observed.is_accepted_primary = identity == self.primary
             await self.pools[identity].set_limit(self.limit_at(identity))
 
     async def take_primary(self, primary: GroupPrimary | None) -> None:
--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -222,7 +222,7 @@
         """
         identity = observed.record.identity
         key = (group.name, identity)
-        is_primary = group.leads(identity)
+        is_primary = group.is_accepted_primary(identity)
         health = MemberHealth.UNREACHABLE if observed.has_lost_log else observed.health
         started_at_ms = observed.record.started_at_ms
         seen = _Seen(health, is_primary, observed.position.term, started_at_ms)
