--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -97,7 +97,7 @@
         never chosen, because writes that it acknowledges now may be lost.
         """
         recorded = self.pools.get(self.primary)
-        if self._has_started_again():
+        if self._primary_has_restarted():
             recorded = None
         if recorded is not None and self.primary not in self.denies_primary:
             return recorded
@@ -134,7 +134,7 @@
     def is_accepted_primary(self, identity: str) -> bool:
         """Tell whether a member is the recorded primary and has not denies_primary that it is."""
         is_recorded = identity == self.primary and identity not in self.denies_primary
-        return is_recorded and not self._has_started_again()
+        return is_recorded and not self._primary_has_restarted()
 
     def has_unreachable_primary(self) -> bool:
         """Tell whether the presumed primary is known but unreachable from this proxy."""
@@ -183,10 +183,10 @@
 
         A statement that is sent now runs a little later, so the lease must last until then.
         """
-        is_recorded = identity == self.primary and not self._has_started_again()
+        is_recorded = identity == self.primary and not self._primary_has_restarted()
         return is_recorded and self.primary_lease_left_s() > 0.0
 
-    def _has_started_again(self) -> bool:
+    def _primary_has_restarted(self) -> bool:
         """Tell whether the recorded primary restarted and so lost its log."""
         pool = self.pools.get(self.primary)
         if pool is None:
