--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -195,7 +195,7 @@
         is_later = 0 < self._primary_started_at_ms < started_at_ms
         return is_later or pool.observed.has_lost_log
 
-    async def take_members(self, members: Mapping[str, AnnouncedMember]) -> None:
+    async def update_members(self, members: Mapping[str, AnnouncedMember]) -> None:
         """Update the pools to the recorded members of this group, given by identity."""
         for identity in [name for name in self.pools if name not in members]:
             await self.pools.pop(identity).drain()
--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -122,7 +122,7 @@
                 group = self.groups[name] = self._new_group(name)
                 await group.set_limit(*self._limits_of(name))
             await group.take_declared(view.groups[name])
-            await group.take_members(members[name])
+            await group.update_members(members[name])
             group.shared_by(len(view.home_proxies(name)))
             await group.take_primary(view.primaries.get(name))
         self._forget_reports(view)
