--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -211,7 +211,7 @@
             self.pools[identity].observed.is_accepted_primary = identity == self.primary
             await self.pools[identity].set_limit(self.limit_at(identity))
 
-    async def take_primary(self, primary: GroupPrimary | None) -> None:
+    async def update_primary(self, primary: GroupPrimary | None) -> None:
         """Update the recorded primary."""
         identity = primary.primary if primary is not None else ""
         term = primary.term if primary is not None else 0
--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -124,7 +124,7 @@
             await group.take_declared(view.groups[name])
             await group.update_members(members[name])
             group.shared_by(len(view.home_proxies(name)))
-            await group.take_primary(view.primaries.get(name))
+            await group.update_primary(view.primaries.get(name))
         self._forget_reports(view)
         await self._first_view.set()
         if self.on_view is not None:
