--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -263,7 +263,7 @@
         for observed in self.observed_members:
             observed.concurrency.shared_by(proxies)
 
-    async def take_declared(self, declared: Group) -> None:
+    async def update_declaration(self, declared: Group) -> None:
         """Update the group's declaration, which says at which members the common lease holds."""
         if declared == self._declared:
             return
--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -121,7 +121,7 @@
             if group is None:
                 group = self.groups[name] = self._new_group(name)
                 await group.set_limit(*self._limits_of(name))
-            await group.take_declared(view.groups[name])
+            await group.update_declaration(view.groups[name])
             await group.update_members(members[name])
             group.shared_by(len(view.home_proxies(name)))
             await group.update_primary(view.primaries.get(name))
