--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -258,10 +258,10 @@
         for identity, pool in self.pools.items():
             await pool.set_limit(self.limit_at(identity))
 
-    def shared_by(self, proxies: int) -> None:
+    def set_home_proxy_count(self, proxies: int) -> None:
         """Update how many home proxies share the members."""
         for observed in self.observed_members:
-            observed.concurrency.shared_by(proxies)
+            observed.concurrency.set_home_proxy_count(proxies)
 
     async def update_declaration(self, declared: Group) -> None:
         """Update the group's declaration, which says at which members the common lease holds."""
--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -123,7 +123,7 @@
                 await group.set_limit(*self._limits_of(name))
             await group.update_declaration(view.groups[name])
             await group.update_members(members[name])
-            group.shared_by(len(view.home_proxies(name)))
+            group.set_home_proxy_count(len(view.home_proxies(name)))
             await group.update_primary(view.primaries.get(name))
         self._forget_reports(view)
         await self._first_view.set()
