--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -129,7 +129,7 @@
         self.denies_primary.discard(identity)
         if identity not in (self.primary, self.self_reported_primary):
             self.self_reported_primary = identity
-            await self._wake_waiting()
+            await self._wake_waiters()
 
     def is_accepted_primary(self, identity: str) -> bool:
         """Tell whether a member is the recorded primary and has not denies_primary that it is."""
@@ -228,7 +228,7 @@
         self.positions.clear()
         self.self_reported_primary = ""
         self.denies_primary.clear()
-        await self._wake_waiting()
+        await self._wake_waiters()
 
     async def wait_for_primary(self, until: float) -> bool:
         """Wait briefly for a change of the primary; False when ``until`` has already passed."""
@@ -238,7 +238,7 @@
         await curio.ignore_after(min(left_s, PRIMARY_LOOK_S), self.primary_changed.wait)
         return True
 
-    async def _wake_waiting(self) -> None:
+    async def _wake_waiters(self) -> None:
         """Wake all statements that wait for a primary."""
         event, self.primary_changed = self.primary_changed, curio.Event()
         await event.set()
