--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -51,7 +51,7 @@
     :ivar self_reported_primary: member that claims to be primary but is not the recorded one
     :ivar replaced: the former primary, while no primary is recorded
     :ivar denies_primary: members that reported that they are not primary
-    :ivar position_is_asked: a query for the primary's position is running
+    :ivar is_position_query_running: a query for the primary's position is running
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         self.denies_primary: set[str] = set()
         self._primary_started_at_ms = 0
         self.next_search_at = 0.0
-        self.position_is_asked = False
+        self.is_position_query_running = False
         self.primary_changed = curio.Event()
         self.leased = curio.Event()
         self._returns = ReturnSchedule()
--- a/limedyke/proxy/statements/members/member_queries.py
+++ b/limedyke/proxy/statements/members/member_queries.py
@@ -50,9 +50,9 @@
     async def learn_position(self, group: StatementGroup) -> None:
         """Query the presumed primary's position in the background, one query at a time."""
         pool = group.primary_pool()
-        if pool is None or group.position_is_asked:
+        if pool is None or group.is_position_query_running:
             return
-        group.position_is_asked = True
+        group.is_position_query_running = True
         await curio.spawn(self._learn_position, group, pool, daemon=True)
 
     async def _learn_position(self, group: StatementGroup, pool: MemberPool) -> None:
@@ -60,7 +60,7 @@
         try:
             status = await self.ask_status(pool, SEARCH_TIMEOUT_S)
         finally:
-            group.position_is_asked = False
+            group.is_position_query_running = False
         if status is not None and status.is_primary:
             identity = pool.observed.record.identity
             group.learn_position(identity, asked_at, status.position, proven=True)
