--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -75,7 +75,7 @@
         self.replaced = ""
         self.denies_primary: set[str] = set()
         self._primary_started_at_ms = 0
-        self.next_search_at = 0.0
+        self.next_primary_search_at = 0.0
         self.is_position_query_running = False
         self.primary_changed = curio.Event()
         self.leased = curio.Event()
--- a/limedyke/proxy/statements/members/member_queries.py
+++ b/limedyke/proxy/statements/members/member_queries.py
@@ -68,9 +68,9 @@
     async def look_for_primary(self, group: StatementGroup) -> None:
         """Query the members' roles in the background, at a limited rate."""
         now = time.monotonic()
-        if now < group.next_search_at:
+        if now < group.next_primary_search_at:
             return
-        group.next_search_at = now + SEARCH_INTERVAL_S
+        group.next_primary_search_at = now + SEARCH_INTERVAL_S
         for pool in list(group.pools.values()):
             if pool.observed.is_ready and pool.limit > 0:
                 await curio.spawn(self._ask_role, group, pool, daemon=True)
