--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -25,7 +25,7 @@
 LEASE_MARGIN_S = 0.2
 """The primary lease counts as expired this much early, so that a statement sent now still runs
 under it."""
-CUT_OFF_S = 1.0
+CUT_OFF_AFTER_S = 1.0
 """Seconds after the end of the primary lease from which statements are no longer held: the proxy
 may be cut off from the controllers and learn of a new primary late."""
 PRIMARY_LOOK_S = 0.1
@@ -170,7 +170,7 @@
 
     def hold_until(self, now: float) -> float:
         """Return until when statements that need the primary are held; ``now`` for no hold."""
-        if self.primary_lease_left_s() < -CUT_OFF_S:
+        if self.primary_lease_left_s() < -CUT_OFF_AFTER_S:
             return now
         return self.outage.hold_until(now)
 
