--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -28,7 +28,7 @@
 CUT_OFF_AFTER_S = 1.0
 """Seconds after the end of the primary lease from which statements are no longer held: the proxy
 may be cut off from the controllers and learn of a new primary late."""
-PRIMARY_LOOK_S = 0.1
+PRIMARY_CHECK_INTERVAL_S = 0.1
 """Interval at which a held statement checks whether the primary answers."""
 UNKNOWN_GAP_S = 0.005
 """Assumed time between two turns at members to which only other proxies have connections."""
@@ -235,7 +235,7 @@
         left_s = until - time.monotonic()
         if left_s <= 0.0:
             return False
-        await curio.ignore_after(min(left_s, PRIMARY_LOOK_S), self.primary_changed.wait)
+        await curio.ignore_after(min(left_s, PRIMARY_CHECK_INTERVAL_S), self.primary_changed.wait)
         return True
 
     async def _wake_waiters(self) -> None:
