--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -184,12 +184,12 @@
             await pool.room_came()
             pool.judgement.look(group.name, observed, now)
             is_primary = identity == group.primary
-            if self._wants_probe(observed, is_primary, now):
+            if self._should_probe(observed, is_primary, now):
                 observed.probed_at = now
                 await curio.spawn(self._probe, pool, daemon=True)
             await self._report(group, observed)
 
-    def _wants_probe(self, observed: ObservedMember, is_primary: bool, now: float) -> bool:
+    def _should_probe(self, observed: ObservedMember, is_primary: bool, now: float) -> bool:
         """Tell whether to probe a member.
 
         A silent primary is probed, and so is any member that is unreachable or seems to hang, as it
