--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -175,7 +175,7 @@
             await self._return_leases()
             if now >= next_housekeeping:
                 next_housekeeping = now + HOUSEKEEPING_S
-                await self._keep_house(now)
+                await self._close_idle_connections(now)
 
     async def _watch_group(self, group: StatementGroup, now: float) -> None:
         for identity, pool in list(group.pools.items()):
@@ -251,7 +251,7 @@
         for key in gone:
             del self._reported[key]
 
-    async def _keep_house(self, now: float) -> None:
+    async def _close_idle_connections(self, now: float) -> None:
         for group in self.groups.values():
             for pool in group.pools.values():
                 await pool.close_idle(now)
