--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -41,7 +41,7 @@
 """Interval of the member checks: the longest delay before a hanging member is probed."""
 BUSY_PROBE_SHARE = 0.3
 """Share of the probe interval after which a silent primary is probed while statements run there."""
-HOUSEKEEPING_S = 2.0
+IDLE_CHECK_INTERVAL_S = 2.0
 EVENTS = EventLog("groups")
 
 
@@ -164,7 +164,7 @@
 
     async def watch(self) -> None:
         """Monitor the members until cancelled: probe silent ones and report changes."""
-        next_housekeeping = time.monotonic() + HOUSEKEEPING_S
+        next_housekeeping = time.monotonic() + IDLE_CHECK_INTERVAL_S
         while True:
             self._pauses.sleeps_until(time.monotonic() + WATCH_INTERVAL_S)
             await curio.sleep(WATCH_INTERVAL_S)
@@ -174,7 +174,7 @@
                 await self._watch_group(group, now)
             await self._return_leases()
             if now >= next_housekeeping:
-                next_housekeeping = now + HOUSEKEEPING_S
+                next_housekeeping = now + IDLE_CHECK_INTERVAL_S
                 await self._close_idle_connections(now)
 
     async def _watch_group(self, group: StatementGroup, now: float) -> None:
