--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -102,7 +102,7 @@
         self._pauses = ProcessPauses()
         self._leases: dict[tuple[str, str], int] = {}
         self._demand_news = DemandReporter()
-        self._owed: set[tuple[str, str]] = set()
+        self._unconfirmed_leases: set[tuple[str, str]] = set()
         self._reported: dict[tuple[str, str], _Seen] = {}
         self._unusable: set[str] = set()
 
@@ -143,7 +143,7 @@
 
     async def leases_changed(self, leases: tuple[ConnectionLease, ...], expires_at: float) -> None:
         """Apply connection leases; connections above them are closed and returned."""
-        self._owed |= self._leases.keys()
+        self._unconfirmed_leases |= self._leases.keys()
         before = self._leases
         self._leases = {(lease.group, lease.tenant): lease.connections for lease in leases}
         if self._leases != before:
@@ -258,10 +258,10 @@
 
     async def _return_leases(self) -> None:
         """Confirm reduced leases once no member has more connections open than are left."""
-        if self.reporter is None or not self._owed:
+        if self.reporter is None or not self._unconfirmed_leases:
             return
-        due = {key for key in self._owed if self._holds_no_more_than_leased(*key)}
-        self._owed -= due
+        due = {key for key in self._unconfirmed_leases if self._holds_no_more_than_leased(*key)}
+        self._unconfirmed_leases -= due
         returned = [
             ConnectionLease(group, tenant, self._leases.get((group, tenant), 0))
             for group, tenant in sorted(due)
