--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -295,7 +295,7 @@
             settings = self._settings
             observed.pauses = self._pauses
             timeout_s = settings.connect_timeout_ms / 1_000
-            neighbour = self._known_in(observed.record.zone)
+            neighbour = self._observed_member_in(observed.record.zone)
             if neighbour is not None:
                 observed.assume_times_of(neighbour)
             count = MemberTraffic(self._meter, lambda: self._distance_to(observed.record.zone))
@@ -303,7 +303,7 @@
 
         return StatementGroup(name, make_pool, self._primary_lease_ends_at, self._outage_times)
 
-    def _known_in(self, zone: str) -> ObservedMember | None:
+    def _observed_member_in(self, zone: str) -> ObservedMember | None:
         """Return a member of a zone with known latency, as an estimate for a new one there."""
         pools = (pool for group in self.groups.values() for pool in group.pools.values())
         observed_members = (pool.observed for pool in pools if pool.observed.record.zone == zone)
