--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -147,7 +147,7 @@
         before = self._leases
         self._leases = {(lease.group, lease.tenant): lease.connections for lease in leases}
         if self._leases != before:
-            EVENTS.info("leases", connections=_text_of(self._leases) or "none")
+            EVENTS.info("leases", connections=_format_leases(self._leases) or "none")
         for name, group in self.groups.items():
             await group.set_limit(*self._limits_of(name))
         await self._return_leases()
@@ -317,7 +317,7 @@
         return own.distance_to(Place(zone, region))
 
 
-def _text_of(leases: dict[tuple[str, str], int]) -> str:
+def _format_leases(leases: dict[tuple[str, str], int]) -> str:
     """Return the total connections by group, formatted without blanks."""
     total: Counter[str] = Counter()
     for (group, _), connections in leases.items():
