--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -125,7 +125,7 @@
             await group.update_members(members[name])
             group.set_home_proxy_count(len(view.home_proxies(name)))
             await group.update_primary(view.primaries.get(name))
-        self._forget_reports(view)
+        self._discard_stale_reports(view)
         await self._first_view.set()
         if self.on_view is not None:
             await self.on_view(view)
@@ -245,7 +245,7 @@
             )
         )
 
-    def _forget_reports(self, view: ControlView) -> None:
+    def _discard_stale_reports(self, view: ControlView) -> None:
         self._unusable &= view.announced.keys()
         gone = [key for key in self._reported if key[1] not in view.announced]
         for key in gone:
