--- a/limedyke/proxy/statements/hedged_read.py
+++ b/limedyke/proxy/statements/hedged_read.py
@@ -14,7 +14,7 @@
 from limedyke.proxy.statements.members.member_pool import MemberPool
 from limedyke.proxy.statements.members.pinned_connection import PinnedConnection
 
-LEAST_PATIENCE_S = 0.1
+MINIMUM_HEDGE_DELAY_S = 0.1
 """Minimum delay, in seconds, before a read is sent to a second member: a healthy machine pauses for
 up to 0.1 s when its CPU quota is used up."""
 UNANSWERED = frozenset({AnswerKind.LOST, AnswerKind.TIMED_OUT})
@@ -140,4 +140,4 @@
 
 
 def _patience_s(pinned: PinnedConnection) -> float:
-    return max(LEAST_PATIENCE_S, pinned.pool.observed.answer.longest_s)
+    return max(MINIMUM_HEDGE_DELAY_S, pinned.pool.observed.answer.longest_s)
