--- a/limedyke/proxy/statements/hedged_read.py
+++ b/limedyke/proxy/statements/hedged_read.py
@@ -92,7 +92,7 @@
         async with curio.TaskGroup() as reads:
             await reads.spawn(self._ask, pinned, after)
             ended = None
-            async with curio.ignore_after(_patience_s(pinned)):
+            async with curio.ignore_after(_hedge_delay_s(pinned)):
                 ended = await reads.next_done()
             if ended is None:
                 await self._begin_second(reads)
@@ -139,5 +139,5 @@
         return sent
 
 
-def _patience_s(pinned: PinnedConnection) -> float:
+def _hedge_delay_s(pinned: PinnedConnection) -> float:
     return max(MINIMUM_HEDGE_DELAY_S, pinned.pool.observed.answer.longest_s)
