--- a/limedyke/proxy/statements/hedged_read.py
+++ b/limedyke/proxy/statements/hedged_read.py
@@ -18,7 +18,7 @@
 """Minimum delay, in seconds, before a read is sent to a second member: a healthy machine pauses for
 up to 0.1 s when its CPU quota is used up."""
 UNANSWERED = frozenset({AnswerKind.LOST, AnswerKind.TIMED_OUT})
-RAN_IN_VAIN = UNANSWERED | {AnswerKind.FAILED}
+RETRYABLE_READ_ANSWERS = UNANSWERED | {AnswerKind.FAILED}
 """Answers after which a read is tried at another member although it may have run: a faulty member
 fails reads that others serve."""
 
@@ -33,13 +33,13 @@
     @property
     def is_final(self) -> bool:
         """Whether no other member need be tried."""
-        return self.answer.kind not in NOT_RUN | RAN_IN_VAIN
+        return self.answer.kind not in NOT_RUN | RETRYABLE_READ_ANSWERS
 
     async def put_back(self, attempt: Attempt) -> None:
         """Return the connection of a read that is not final, and record why it failed."""
         kind = self.answer.kind
         attempt.failed(kind, self.pinned.identity)
-        if kind in RAN_IN_VAIN:
+        if kind in RETRYABLE_READ_ANSWERS:
             attempt.runs += 1
         if kind in UNANSWERED:
             await self.pinned.abandon()
--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -12,7 +12,7 @@
 from limedyke.messages.databases import Consistency
 from limedyke.messages.work import LogPosition
 from limedyke.proxy.statements.attempt import MINIMUM_ATTEMPT_S, MS_PER_S, Attempt
-from limedyke.proxy.statements.hedged_read import RAN_IN_VAIN, HedgedRead, SecondMember
+from limedyke.proxy.statements.hedged_read import RETRYABLE_READ_ANSWERS, HedgedRead, SecondMember
 from limedyke.proxy.statements.members.member_exchange import MemberExchange
 from limedyke.proxy.statements.members.member_pool import MemberPool
 from limedyke.proxy.statements.members.member_queries import MemberQueries
@@ -116,7 +116,7 @@
             return StatementOutcome(attempt.give_up(ResultCode.NO_MEMBER))
         hedged = HedgedRead(self._exchange, attempt, lambda: self._second(attempt, required))
         sent = await hedged.run(pinned, None if is_primary else required)
-        is_given_up = sent.answer.kind in RAN_IN_VAIN and not attempt.may_retry_read()
+        is_given_up = sent.answer.kind in RETRYABLE_READ_ANSWERS and not attempt.may_retry_read()
         if sent.is_final or is_given_up:
             return await settle_first(attempt.session, attempt.run, sent.pinned, sent.answer)
         await sent.put_back(attempt)
