--- a/limedyke/proxy/statements/hedged_read.py
+++ b/limedyke/proxy/statements/hedged_read.py
@@ -17,8 +17,8 @@
 MINIMUM_HEDGE_DELAY_S = 0.1
 """Minimum delay, in seconds, before a read is sent to a second member: a healthy machine pauses for
 up to 0.1 s when its CPU quota is used up."""
-UNANSWERED = frozenset({AnswerKind.LOST, AnswerKind.TIMED_OUT})
-RETRYABLE_READ_ANSWERS = UNANSWERED | {AnswerKind.FAILED}
+UNANSWERED_KINDS = frozenset({AnswerKind.LOST, AnswerKind.TIMED_OUT})
+RETRYABLE_READ_ANSWERS = UNANSWERED_KINDS | {AnswerKind.FAILED}
 """Answers after which a read is tried at another member although it may have run: a faulty member
 fails reads that others serve."""
 
@@ -41,7 +41,7 @@
         attempt.failed(kind, self.pinned.identity)
         if kind in RETRYABLE_READ_ANSWERS:
             attempt.runs += 1
-        if kind in UNANSWERED:
+        if kind in UNANSWERED_KINDS:
             await self.pinned.abandon()
         else:
             await self.pinned.release()
