--- a/features/steps/hedged_reads_steps.py
+++ b/features/steps/hedged_reads_steps.py
@@ -12,7 +12,7 @@
 from limedyke.messages.databases import AnnouncedMember, MemberState
 from limedyke.messages.statements import AnswerKind, MemberAnswer
 from limedyke.messages.work import TransactionStatus
-from limedyke.proxy.statements.hedged_read import HedgedRead, SecondMember
+from limedyke.proxy.statements.hedged_read import HedgedRead, HedgeTarget
 from limedyke.proxy.statements.members.pinned_connection import PinnedConnection
 
 USUAL_S = 0.02
@@ -101,7 +101,7 @@
         failed=lambda reason, member: None,
     )
     exchange = _Exchange({"first": first, "second": second})
-    read = HedgedRead(exchange, attempt, lambda: SecondMember(pools[1], None))
+    read = HedgedRead(exchange, attempt, lambda: HedgeTarget(pools[1], None))
     return read, pools, pools[0].lend()
 
 
--- a/limedyke/proxy/statements/hedged_read.py
+++ b/limedyke/proxy/statements/hedged_read.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SecondMember:
+class HedgeTarget:
     """The second member for a hedged read.
 
     :param after: log position that the member must hold; None for the primary
@@ -70,7 +70,7 @@
         self,
         exchange: MemberExchange,
         attempt: Attempt,
-        choose_second: Callable[[], SecondMember | None],
+        choose_second: Callable[[], HedgeTarget | None],
     ) -> None:
         self._exchange = exchange
         self._attempt = attempt
@@ -126,7 +126,7 @@
             self._exchange.second_begun()
             await reads.spawn(self._connect_and_ask, second)
 
-    async def _connect_and_ask(self, second: SecondMember) -> SentRead | None:
+    async def _connect_and_ask(self, second: HedgeTarget) -> SentRead | None:
         wait_s = self._attempt.connection_wait_s(second.pool)
         pinned = await self._exchange.connect(second.pool, self._attempt, wait_s)
         return None if pinned is None else await self._ask(pinned, second.after)
--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -12,7 +12,7 @@
 from limedyke.messages.databases import Consistency
 from limedyke.messages.work import LogPosition
 from limedyke.proxy.statements.attempt import MINIMUM_ATTEMPT_S, MS_PER_S, Attempt
-from limedyke.proxy.statements.hedged_read import RETRYABLE_READ_ANSWERS, HedgedRead, SecondMember
+from limedyke.proxy.statements.hedged_read import RETRYABLE_READ_ANSWERS, HedgedRead, HedgeTarget
 from limedyke.proxy.statements.members.member_exchange import MemberExchange
 from limedyke.proxy.statements.members.member_pool import MemberPool
 from limedyke.proxy.statements.members.member_queries import MemberQueries
@@ -122,7 +122,7 @@
         await sent.put_back(attempt)
         return None
 
-    def _second(self, attempt: Attempt, required: LogPosition | None) -> SecondMember | None:
+    def _second(self, attempt: Attempt, required: LogPosition | None) -> HedgeTarget | None:
         """Return another member with room, to hedge a read that is slow on the first."""
         if not attempt.may_retry_read():
             return None
@@ -133,7 +133,7 @@
             pool = group.pools[identity]
             is_primary = group.is_surely_primary(identity)
             if pool.has_usual_room and not observed.seems_silent(now):
-                return SecondMember(pool, None if is_primary else required)
+                return HedgeTarget(pool, None if is_primary else required)
         return None
 
     def _able(self, attempt: Attempt, required: LogPosition | None) -> list[ObservedMember]:
