--- a/limedyke/proxy/statements/hedged_read.py
+++ b/limedyke/proxy/statements/hedged_read.py
@@ -74,7 +74,7 @@
     ) -> None:
         self._exchange = exchange
         self._attempt = attempt
-        self._choose_second = choose_second
+        self._choose_hedge_target = choose_second
         self._answered: list[SentRead] = []
 
     async def run(self, pinned: PinnedConnection, after: LogPosition | None) -> SentRead:
@@ -120,7 +120,7 @@
         return sent
 
     async def _begin_second(self, reads: curio.TaskGroup) -> None:
-        second = self._choose_second()
+        second = self._choose_hedge_target()
         if second is not None and self._attempt.may_be_sent():
             self._attempt.tried.add(second.pool.observed.record.identity)
             self._exchange.second_begun()
