--- a/limedyke/proxy/statements/hedged_read.py
+++ b/limedyke/proxy/statements/hedged_read.py
@@ -63,18 +63,18 @@
 
     The first try continues when the second starts; the first final answer is used.
 
-    :param choose_second: returns another member with room, or None
+    :param choose_hedge_target: returns another member with room, or None
     """
 
     def __init__(
         self,
         exchange: MemberExchange,
         attempt: Attempt,
-        choose_second: Callable[[], HedgeTarget | None],
+        choose_hedge_target: Callable[[], HedgeTarget | None],
     ) -> None:
         self._exchange = exchange
         self._attempt = attempt
-        self._choose_hedge_target = choose_second
+        self._choose_hedge_target = choose_hedge_target
         self._answered: list[SentRead] = []
 
     async def run(self, pinned: PinnedConnection, after: LogPosition | None) -> SentRead:
