--- a/limedyke/proxy/statements/hedged_read.py
+++ b/limedyke/proxy/statements/hedged_read.py
@@ -95,7 +95,7 @@
             async with curio.ignore_after(_hedge_delay_s(pinned)):
                 ended = await reads.next_done()
             if ended is None:
-                await self._begin_second(reads)
+                await self._start_hedge(reads)
                 ended = await reads.next_done()
             sent = await self._first_final(reads, ended)
             await reads.cancel_remaining()
@@ -119,7 +119,7 @@
             ended = await reads.next_done()
         return sent
 
-    async def _begin_second(self, reads: curio.TaskGroup) -> None:
+    async def _start_hedge(self, reads: curio.TaskGroup) -> None:
         second = self._choose_hedge_target()
         if second is not None and self._attempt.may_be_sent():
             self._attempt.tried.add(second.pool.observed.record.identity)
