--- a/features/steps/hedged_reads_steps.py
+++ b/features/steps/hedged_reads_steps.py
@@ -70,7 +70,7 @@
         self._answers = answers
         self.wait = curio.sleep
 
-    def second_begun(self):
+    def count_hedged_read(self):
         """Count nothing."""
 
     async def connect(self, pool, _attempt, _wait_s):
--- a/limedyke/proxy/statements/hedged_read.py
+++ b/limedyke/proxy/statements/hedged_read.py
@@ -123,7 +123,7 @@
         second = self._choose_hedge_target()
         if second is not None and self._attempt.may_be_sent():
             self._attempt.tried.add(second.pool.observed.record.identity)
-            self._exchange.second_begun()
+            self._exchange.count_hedged_read()
             await reads.spawn(self._connect_and_ask, second)
 
     async def _connect_and_ask(self, second: HedgeTarget) -> SentRead | None:
--- a/limedyke/proxy/statements/members/member_exchange.py
+++ b/limedyke/proxy/statements/members/member_exchange.py
@@ -81,7 +81,7 @@
             self._metrics.waited_for_connection(priority, time.monotonic() - began_at)
         return PinnedConnection(pool, connection)
 
-    def second_begun(self) -> None:
+    def count_hedged_read(self) -> None:
         """Count a read that is also sent to a second member."""
         self._metrics.hedged_reads.inc()
 
