--- a/limedyke/proxy/statements/hedged_read.py
+++ b/limedyke/proxy/statements/hedged_read.py
@@ -83,12 +83,12 @@
             return await self._ask(pinned, after)
         sent: SentRead | None = None
         try:
-            sent = await self._run_beside(pinned, after)
+            sent = await self._run_hedged(pinned, after)
         finally:
             await self._give_back_all_but(sent)
         return sent
 
-    async def _run_beside(self, pinned: PinnedConnection, after: LogPosition | None) -> SentRead:
+    async def _run_hedged(self, pinned: PinnedConnection, after: LogPosition | None) -> SentRead:
         async with curio.TaskGroup() as reads:
             await reads.spawn(self._ask, pinned, after)
             ended = None
