--- a/limedyke/proxy/statements/hedged_read.py
+++ b/limedyke/proxy/statements/hedged_read.py
@@ -85,7 +85,7 @@
         try:
             sent = await self._run_hedged(pinned, after)
         finally:
-            await self._give_back_all_but(sent)
+            await self._release_all_but(sent)
         return sent
 
     async def _run_hedged(self, pinned: PinnedConnection, after: LogPosition | None) -> SentRead:
@@ -101,7 +101,7 @@
             await reads.cancel_remaining()
         return sent
 
-    async def _give_back_all_but(self, chosen: SentRead | None) -> None:
+    async def _release_all_but(self, chosen: SentRead | None) -> None:
         """Release the connections of all other answers, even of one that came at the same time."""
         for sent in self._answered:
             if sent is not chosen and not sent.pinned.is_given_back:
