--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -114,7 +114,7 @@
         if not attempt.may_be_sent():
             await pinned.release()
             return StatementOutcome(attempt.give_up(ResultCode.NO_MEMBER))
-        hedged = HedgedRead(self._exchange, attempt, lambda: self._second(attempt, required))
+        hedged = HedgedRead(self._exchange, attempt, lambda: self._hedge_target(attempt, required))
         sent = await hedged.run(pinned, None if is_primary else required)
         is_given_up = sent.answer.kind in RETRYABLE_READ_ANSWERS and not attempt.may_retry_read()
         if sent.is_final or is_given_up:
@@ -122,7 +122,7 @@
         await sent.put_back(attempt)
         return None
 
-    def _second(self, attempt: Attempt, required: LogPosition | None) -> HedgeTarget | None:
+    def _hedge_target(self, attempt: Attempt, required: LogPosition | None) -> HedgeTarget | None:
         """Return another member with room, to hedge a read that is slow on the first."""
         if not attempt.may_retry_read():
             return None
