--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -52,7 +52,7 @@
                 if not await attempt.pause():
                     return StatementOutcome(attempt.give_up(ResultCode.FRESHNESS_UNPROVEN))
                 continue
-            able = self._able(attempt, required)
+            able = self._eligible_members(attempt, required)
             if not able:
                 if attempt.should_run_elsewhere():
                     return StatementOutcome(attempt.refuse_unreachable_primary())
@@ -128,7 +128,7 @@
             return None
         group = attempt.group
         now = time.monotonic()
-        for observed in self._able(attempt, required):
+        for observed in self._eligible_members(attempt, required):
             identity = observed.record.identity
             pool = group.pools[identity]
             is_primary = group.is_surely_primary(identity)
@@ -136,7 +136,9 @@
                 return HedgeTarget(pool, None if is_primary else required)
         return None
 
-    def _able(self, attempt: Attempt, required: LogPosition | None) -> list[ObservedMember]:
+    def _eligible_members(
+        self, attempt: Attempt, required: LogPosition | None
+    ) -> list[ObservedMember]:
         """Return the members that can serve the read now, the best first."""
         group = attempt.group
         wants_primary = attempt.session.database.consistency is Consistency.PRIMARY
