--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -52,20 +52,20 @@
                 if not await attempt.pause():
                     return StatementOutcome(attempt.give_up(ResultCode.FRESHNESS_UNPROVEN))
                 continue
-            able = self._eligible_members(attempt, required)
-            if not able:
+            eligible = self._eligible_members(attempt, required)
+            if not eligible:
                 if attempt.should_run_elsewhere():
                     return StatementOutcome(attempt.refuse_unreachable_primary())
                 attempt.tried.clear()
                 if not await attempt.pause():
                     return StatementOutcome(attempt.give_up(ResultCode.NO_MEMBER))
                 continue
-            has_late = len(able) + len(attempt.tried) < len(group.pools)
-            if has_late and await self._wait_for_replica(attempt, required, able[0]):
+            has_late = len(eligible) + len(attempt.tried) < len(group.pools)
+            if has_late and await self._wait_for_replica(attempt, required, eligible[0]):
                 continue
-            pool = group.pools[able[0].record.identity]
+            pool = group.pools[eligible[0].record.identity]
             wait_s = attempt.connection_wait_s(pool)
-            if len(able) > 1:
+            if len(eligible) > 1:
                 wait_s = min(wait_s, CHOICE_INTERVAL_S)
             answer = await self._try_at(pool, attempt, required, wait_s)
             if answer is not None:
