--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -60,8 +60,8 @@
                 if not await attempt.pause():
                     return StatementOutcome(attempt.give_up(ResultCode.NO_MEMBER))
                 continue
-            has_late = len(eligible) + len(attempt.tried) < len(group.pools)
-            if has_late and await self._wait_for_replica(attempt, required, eligible[0]):
+            has_lagging = len(eligible) + len(attempt.tried) < len(group.pools)
+            if has_lagging and await self._wait_for_replica(attempt, required, eligible[0]):
                 continue
             pool = group.pools[eligible[0].record.identity]
             wait_s = attempt.connection_wait_s(pool)
