--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -85,9 +85,15 @@
         now = time.monotonic()
         held_since = group.positions.held_since(required)
         wait_s = group.pools[best.record.identity].connection_cost_s(attempt.session.tenant)
-        instead_s = cost_s(best, self._zone, now, wait_s, self._failure_cost_s(attempt))
+        alternative_s = cost_s(best, self._zone, now, wait_s, self._failure_cost_s(attempt))
         soonest = soonest_replica(
-            group.observed_members, group.primary, required, self._zone, now, held_since, instead_s
+            group.observed_members,
+            group.primary,
+            required,
+            self._zone,
+            now,
+            held_since,
+            alternative_s,
         )
         if soonest is None or soonest[1] >= attempt.time_left() - MINIMUM_ATTEMPT_S:
             return False
