--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -23,7 +23,7 @@
 
 STALENESS_MARGIN_S = 0.03
 """Seconds by which a position must be fresher than the staleness bound."""
-CHOICE_INTERVAL_S = 0.06
+MEMBER_CHOICE_INTERVAL_S = 0.06
 """Seconds a read waits for a connection to one member before it chooses among all members again:
 twice the time until a connection beyond the usual share of the lease is opened."""
 
@@ -66,7 +66,7 @@
             pool = group.pools[eligible[0].record.identity]
             wait_s = attempt.connection_wait_s(pool)
             if len(eligible) > 1:
-                wait_s = min(wait_s, CHOICE_INTERVAL_S)
+                wait_s = min(wait_s, MEMBER_CHOICE_INTERVAL_S)
             answer = await self._try_at(pool, attempt, required, wait_s)
             if answer is not None:
                 return answer
