--- a/features/mutants/stop_safeguards.py
+++ b/features/mutants/stop_safeguards.py
@@ -189,7 +189,7 @@
     with (
         mock.patch.object(stop_schedule.StopSchedule, "of", _never_ends),
         mock.patch.object(StatementSession, "statement_time_s", lambda *_: whole_time),
-        mock.patch.object(StatementClient, "cut_short", _let_it_run),
+        mock.patch.object(StatementClient, "interrupt_statement", _let_it_run),
     ):
         yield
 
@@ -224,10 +224,10 @@
     ),
     Mutant(
         "end with statements under way",
-        "limedyke.proxy.statements.clients.client.StatementClient.cut_short",
+        "limedyke.proxy.statements.clients.client.StatementClient.interrupt_statement",
         "a statement that is taken is answered whole",
         lambda: _is_caught(
-            lambda: mock.patch.object(StatementClient, "cut_short", _let_it_run),
+            lambda: mock.patch.object(StatementClient, "interrupt_statement", _let_it_run),
             lambda: curio.run(_long_statement_is_cut),
         ),
     ),
--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -204,7 +204,7 @@
                 return now >= schedule.statements_until
         return now >= schedule.answers_until
 
-    async def cut_short(self) -> None:
+    async def interrupt_statement(self) -> None:
         """Interrupt the running statement and answer it with its known outcome."""
         if self.is_serving:
             await self._interrupt(StopDeadlineError)
--- a/limedyke/proxy/statements/planned_stop.py
+++ b/limedyke/proxy/statements/planned_stop.py
@@ -99,7 +99,7 @@
         interrupted = 0
         for client in list(self._clients):
             interrupted += client.is_serving
-            await client.cut_short()
+            await client.interrupt_statement()
         while self._clients and time.monotonic() < schedule.ends_at:
             for client in list(self._clients):
                 await client.leave()
