--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -183,7 +183,7 @@
             self._events.extend(self._codec.feed(data))
         return self._events.popleft()
 
-    async def leave(self) -> None:
+    async def end_if_due(self) -> None:
         """End the session or its idle transaction if the stop schedule says so.
 
         The first phase of a stop ends only sessions that have been idle for a while: a client that
--- a/limedyke/proxy/statements/planned_stop.py
+++ b/limedyke/proxy/statements/planned_stop.py
@@ -91,7 +91,7 @@
             if time.monotonic() >= until:
                 return
             for client in list(self._clients):
-                await client.leave()
+                await client.end_if_due()
             await curio.sleep(LOOK_INTERVAL_S)
 
     async def _answer_the_rest(self, schedule: StopSchedule) -> int:
@@ -102,6 +102,6 @@
             await client.interrupt_statement()
         while self._clients and time.monotonic() < schedule.ends_at:
             for client in list(self._clients):
-                await client.leave()
+                await client.end_if_due()
             await curio.sleep(LOOK_INTERVAL_S)
         return interrupted
