--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -49,7 +49,7 @@
 
     :ivar retries: budget for retries of the group's statements
     :ivar self_reported_primary: member that claims to be primary but is not the recorded one
-    :ivar replaced: the former primary, while no primary is recorded
+    :ivar replaced_primary: the former primary, while no primary is recorded
     :ivar denies_primary: members that reported that they are not primary
     :ivar is_position_query_running: a query for the primary's position is running
     """
@@ -72,7 +72,7 @@
         self._declared: Group | None = None
         self._limits_at: Mapping[str, int] = NO_MEMBERS
         self.self_reported_primary = ""
-        self.replaced = ""
+        self.replaced_primary = ""
         self.denies_primary: set[str] = set()
         self._primary_started_at_ms = 0
         self.next_primary_search_at = 0.0
@@ -101,7 +101,7 @@
             recorded = None
         if recorded is not None and self.primary not in self.denies_primary:
             return recorded
-        if self.self_reported_primary == self.replaced:
+        if self.self_reported_primary == self.replaced_primary:
             return recorded
         return self.pools.get(self.self_reported_primary) or recorded
 
@@ -132,7 +132,7 @@
             await self._wake_waiters()
 
     def is_accepted_primary(self, identity: str) -> bool:
-        """Tell whether a member is the recorded primary and has not denies_primary that it is."""
+        """Tell whether a member is the recorded primary and has not denied that it is."""
         is_recorded = identity == self.primary and identity not in self.denies_primary
         return is_recorded and not self._primary_has_restarted()
 
@@ -208,7 +208,7 @@
                 await pool.drain()
             self.denies_primary.discard(identity)
             self.pools[identity] = self._make_pool(ObservedMember(record))
-            self.pools[identity].observed.is_accepted_primary = identity == self.primary
+            self.pools[identity].observed.leads = identity == self.primary
             await self.pools[identity].set_limit(self.limit_at(identity))
 
     async def update_primary(self, primary: GroupPrimary | None) -> None:
@@ -218,7 +218,7 @@
         self._primary_started_at_ms = primary.started_at_ms if primary is not None else 0
         if (identity, term) == (self.primary, self.term):
             return
-        self.replaced = "" if identity else self.primary
+        self.replaced_primary = "" if identity else self.primary
         if identity:
             self.outage.replaced(time.monotonic())
         self.primary = identity
@@ -261,7 +261,7 @@
     def set_home_proxy_count(self, proxies: int) -> None:
         """Update how many home proxies share the members."""
         for observed in self.observed_members:
-            observed.concurrency.set_home_proxy_count(proxies)
+            observed.concurrency.shared_by(proxies)
 
     async def update_declaration(self, declared: Group) -> None:
         """Update the group's declaration, which says at which members the common lease holds."""
