--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -50,7 +50,7 @@
     :ivar retries: budget for retries of the group's statements
     :ivar self_reported_primary: member that claims to be primary but is not the recorded one
     :ivar replaced_primary: the former primary, while no primary is recorded
-    :ivar denies_primary: members that reported that they are not primary
+    :ivar denying_members: members that reported that they are not primary
     :ivar is_position_query_running: a query for the primary's position is running
     """
 
@@ -73,7 +73,7 @@
         self._limits_at: Mapping[str, int] = NO_MEMBERS
         self.self_reported_primary = ""
         self.replaced_primary = ""
-        self.denies_primary: set[str] = set()
+        self.denying_members: set[str] = set()
         self._primary_started_at_ms = 0
         self.next_primary_search_at = 0.0
         self.is_position_query_running = False
@@ -99,7 +99,7 @@
         recorded = self.pools.get(self.primary)
         if self._primary_has_restarted():
             recorded = None
-        if recorded is not None and self.primary not in self.denies_primary:
+        if recorded is not None and self.primary not in self.denying_members:
             return recorded
         if self.self_reported_primary == self.replaced_primary:
             return recorded
@@ -122,18 +122,18 @@
     async def record_reported_role(self, identity: str, is_primary: bool) -> None:
         """Record a member's own report on whether it is primary."""
         if not is_primary:
-            self.denies_primary.add(identity)
+            self.denying_members.add(identity)
             if self.self_reported_primary == identity:
                 self.self_reported_primary = ""
             return
-        self.denies_primary.discard(identity)
+        self.denying_members.discard(identity)
         if identity not in (self.primary, self.self_reported_primary):
             self.self_reported_primary = identity
             await self._wake_waiters()
 
     def is_accepted_primary(self, identity: str) -> bool:
         """Tell whether a member is the recorded primary and has not denied that it is."""
-        is_recorded = identity == self.primary and identity not in self.denies_primary
+        is_recorded = identity == self.primary and identity not in self.denying_members
         return is_recorded and not self._primary_has_restarted()
 
     def has_unreachable_primary(self) -> bool:
@@ -144,7 +144,7 @@
     def lacks_primary(self, now: float) -> bool:
         """Tell whether there is no known primary that answers."""
         pool = self.primary_pool()
-        if pool is None or pool.observed.record.identity in self.denies_primary:
+        if pool is None or pool.observed.record.identity in self.denying_members:
             return True
         return pool.observed.health is MemberHealth.UNREACHABLE or pool.observed.seems_silent(now)
 
@@ -206,7 +206,7 @@
                 continue
             if pool is not None:
                 await pool.drain()
-            self.denies_primary.discard(identity)
+            self.denying_members.discard(identity)
             self.pools[identity] = self._make_pool(ObservedMember(record))
             self.pools[identity].observed.leads = identity == self.primary
             await self.pools[identity].set_limit(self.limit_at(identity))
@@ -227,7 +227,7 @@
             pool.observed.take_office(name == identity)
         self.positions.clear()
         self.self_reported_primary = ""
-        self.denies_primary.clear()
+        self.denying_members.clear()
         await self._wake_waiters()
 
     async def wait_for_primary(self, until: float) -> bool:
