--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Seen:
+class _ReportedState:
     """The state of a member that was last reported to the controllers.
 
     :param is_primary: it is the recorded primary and has not denied that it is
@@ -103,7 +103,7 @@
         self._leases: dict[tuple[str, str], int] = {}
         self._demand_news = DemandReporter()
         self._unconfirmed_leases: set[tuple[str, str]] = set()
-        self._reported: dict[tuple[str, str], _Seen] = {}
+        self._reported: dict[tuple[str, str], _ReportedState] = {}
         self._unusable: set[str] = set()
 
     async def control_changed(self, view: ControlView) -> None:
@@ -225,7 +225,7 @@
         is_primary = group.is_accepted_primary(identity)
         health = MemberHealth.UNREACHABLE if observed.has_lost_log else observed.health
         started_at_ms = observed.record.started_at_ms
-        seen = _Seen(health, is_primary, observed.position.term, started_at_ms)
+        seen = _ReportedState(health, is_primary, observed.position.term, started_at_ms)
         known = self._reported.get(key)
         is_news = known != seen and (known is not None or observed.contact_at > 0.0 or is_primary)
         if not is_news or self.reporter is None:
