--- a/limedyke/proxy/forwarding/__init__.py
+++ b/limedyke/proxy/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Units of work that run at another proxy: both ends of the links between proxies."""
+"""Forwarding of units of work to other proxies: both ends of the links between proxies."""
