--- a/limedyke/proxy/forwarding/outbox.py
+++ b/limedyke/proxy/forwarding/outbox.py
@@ -1,6 +1,6 @@
-"""Sends the messages of many tasks over one link, from a task of its own.
+"""Sends the messages of many tasks over one link from a single task.
 
-A task that is cancelled while it waits can't leave half a message on the link.
+Cancelling one of those tasks can therefore not leave half a message on the link.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Outbox:
-    """Messages on their way to one peer."""
+    """The queue of messages to one peer."""
 
     def __init__(self, link: Link) -> None:
         self._link = link
@@ -33,7 +33,7 @@
             await self._wake.set()
 
     def withdraw(self, message: object) -> bool:
-        """Take back a message of which no byte was sent; False when that is too late."""
+        """Remove a message of which no byte was sent; return False if it was sent already."""
         for index, waiting in enumerate(self._waiting):
             if waiting is message:
                 del self._waiting[index]
