--- a/limedyke/proxy/forwarding/server.py
+++ b/limedyke/proxy/forwarding/server.py
@@ -1,4 +1,4 @@
-"""The home proxy's side of forwarding: runs the units that come over a link."""
+"""The receiving side of forwarding: a home proxy runs the units that arrive over a link."""
 
 from __future__ import annotations
 
@@ -26,14 +26,15 @@
 
 STREAM_WINDOW_BYTES = 256 * 1024
 SERVED_SILENCE_LIMIT_S = 3.0
-"""Longer than the other end's own limit, so that it has given the link up by then."""
+"""Silence, in seconds, after which a busy link is closed. It is longer than the sender's own limit,
+so that the sender has abandoned the link by then."""
 LOOK_INTERVAL_S = 0.1
 
 _log = EventLog("forwarding")
 
 
 class HomeExecutor(Protocol):
-    """Runs the units that other proxies forward; ``origin`` names the link they came over."""
+    """Runs the units that other proxies forward; ``origin`` identifies the link."""
 
     def has_transaction(self, key: WorkKey) -> bool:
         """Tell whether a transaction is open here."""
@@ -42,17 +43,17 @@
         """Tell whether a transaction that came over a link is open here."""
 
     async def run(self, unit: ForwardedUnit, relay: Relay, origin: str) -> ForwardedEnd:
-        """Run a unit and return the end of its answer; never raises for expected failures."""
+        """Run a unit and return the end of its answer; expected failures are not raised."""
 
     async def abandon(self, work: AbandonWork, origin: str) -> None:
-        """Stop a unit or roll a transaction back."""
+        """Cancel a unit or roll a transaction back."""
 
     async def abandon_origin(self, origin: str) -> None:
-        """Roll back what is open of a link that has ended."""
+        """Roll back the open transactions of a closed link."""
 
 
 class _Stream:
-    """The answer of one unit on its way to the proxy that sent the unit."""
+    """The answer of one unit, sent under flow control."""
 
     def __init__(self, number: int, outbox: Outbox) -> None:
         self._number = number
@@ -75,7 +76,7 @@
         await self._outbox.put(AnswerChunk(self._number, chunk.data))
 
     async def credit(self, size: int) -> None:
-        """Take the receiver's word that it passed ``size`` bytes on."""
+        """Add credit: the receiver has passed on ``size`` bytes."""
         self._unconfirmed = max(0, self._unconfirmed - size)
         await self._credited.set()
 
@@ -86,11 +87,11 @@
 
 
 class ForwardingServer:
-    """Serves links of other proxies.
+    """Serves the links of other proxies.
 
     :param executor: runs the units
     :param unit_kind: class of the units it runs
-    :param refuse: makes the end of a unit that is refused with a code
+    :param refuse: creates the end message of a unit that is refused with a code
     """
 
     def __init__(
@@ -106,7 +107,7 @@
         self.draining = False
 
     async def serve(self, link: Link) -> None:
-        """Run the units that come over ``link`` until it closes; then roll back what is open."""
+        """Run the units that arrive over ``link`` until it closes; then roll back transactions."""
         served = _ServedLink(self, self._executor, link, f"{link.peer_name}#{next(self._serial)}")
         await served.run()
 
@@ -154,11 +155,11 @@
         return bool(self._streams) or self._executor.has_transactions_of(self._origin)
 
     async def _watch_silence(self) -> None:
-        """Return when the other end, which has work here, gives no sign of life.
+        """Return when the other end has work here but has fallen silent.
 
-        It probes while anything of it is open here, so it is gone or cut off then; its open
-        transactions hold locks and connections and are rolled back. An idle link costs no look:
-        there may be hundreds.
+        The sender probes while it has work here, so silence means that it is dead or cut off. Its
+        open transactions hold locks and connections and must be rolled back. Idle links are not
+        polled, as there may be hundreds.
         """
         while not await self._fell_silent():
             self._work_began.clear()
@@ -180,7 +181,7 @@
         return False
 
     async def _spawn(self, work: Callable[..., Awaitable[None]], *arguments: object) -> None:
-        """Run something in a task of its own, which ends with the link at the latest."""
+        """Run work in a separate task that is cancelled when the link ends."""
         task = await curio.spawn(self._run_task, work, arguments, daemon=True)
         self._tasks.add(task)
 
