--- a/limedyke/proxy/forwarding/work_key.py
+++ b/limedyke/proxy/forwarding/work_key.py
@@ -1,4 +1,4 @@
-"""Names of units and transactions under way in a proxy, whoever sent them."""
+"""Keys of the units and transactions that run in a proxy, local and forwarded."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkKey:
-    """Names a unit or a transaction.
+    """Identifies a unit or a transaction.
 
-    :param origin: the link it came over, or ``LOCAL_ORIGIN``
-    :param number: stream of the unit, or number of the transaction
+    :param origin: the link that it came over, or ``LOCAL_ORIGIN``
+    :param number: stream number of the unit, or number of the transaction
     """
 
     origin: str
