--- a/limedyke/proxy/forwarding/executor.py
+++ b/limedyke/proxy/forwarding/executor.py
@@ -1,4 +1,4 @@
-"""Runs units at a home proxy when this proxy holds no lease for their group and tenant."""
+"""Forwards units to a home proxy when this proxy holds no lease for their group and tenant."""
 
 from __future__ import annotations
 
@@ -20,28 +20,30 @@
 NO_HOME_RETRY_MS = 500
 PAUSE_S = 0.05
 REFUSED_WAIT_S = 1.0
-"""Homes that answer have no connections for the tenant; leases may move for a moment."""
+"""Seconds for which a unit is retried after home proxies refused it. All of them may lack
+connections for the tenant for a moment while leases move."""
 _TRY_ANOTHER = frozenset({ResultCode.DRAINING.value.number, ResultCode.NO_MEMBER.value.number})
 
 
 class _WatchedRelay:
-    """Passes an answer on and remembers whether anything was passed."""
+    """Relays an answer and records whether any of it was relayed."""
 
     def __init__(self, relay: Relay) -> None:
         self._relay = relay
         self.used = False
 
     async def __call__(self, chunk: AnswerChunk) -> None:
-        """Pass a chunk on."""
+        """Relay a chunk."""
         self.used = True
         await self._relay(chunk)
 
 
 class ForwardingExecutor:
-    """Sends whole units to home proxies; a transaction stays on one of them.
+    """Forwards whole units to home proxies; a transaction stays on one of them.
 
-    :param wait_change: waits for a change of the control view, until a moment; False when late
-    :param meter: counts what is sent to home proxies
+    :param wait_change: waits for a change of the control view until a given time; returns False
+        when there was none
+    :param meter: counts the bytes exchanged with home proxies
     """
 
     def __init__(
@@ -57,15 +59,15 @@
         self._transactions: dict[int, HomeLink] = {}
 
     def control_changed(self, view: ControlView) -> None:
-        """Take a new view into force."""
+        """Apply a new control view."""
         self.links.control_changed(view)
 
     def holds(self, transaction: int) -> bool:
-        """Tell whether an open transaction was forwarded."""
+        """Tell whether a transaction is open at a home proxy."""
         return transaction in self._transactions
 
     async def run(self, unit: WorkUnit, relay: Relay) -> AnswerEnd:
-        """Run a unit at a home proxy and return the end of its answer (see ``Executor``)."""
+        """Run a unit at a home proxy and return the end of its answer; see ``Executor``."""
         link = self._transactions.get(unit.transaction)
         watched = _WatchedRelay(relay)
         if link is not None:
@@ -98,7 +100,7 @@
                 end = answer
 
     async def _pause(self, until: float) -> bool:
-        """Wait a little or until the control view changes; False when the time is up."""
+        """Wait briefly or until the control view changes; return False when the time is up."""
         if time.monotonic() >= until:
             return False
         await self._wait_change(min(until, time.monotonic() + PAUSE_S))
@@ -107,7 +109,7 @@
     async def _run_at(
         self, link: HomeLink, unit: WorkUnit, relay: _WatchedRelay
     ) -> AnswerEnd | NotSent | None:
-        """Run a unit that starts at this home proxy; None when that was lost and others may be."""
+        """Run a unit at a home proxy; None when the proxy was lost and the unit may be retried."""
         end = await link.run_unit(unit, relay)
         if end is None:
             return self._lost(unit, relay)
@@ -117,7 +119,11 @@
         return end
 
     def _lost(self, unit: WorkUnit, relay: _WatchedRelay) -> AnswerEnd | None:
-        """Judge a unit whose home proxy was lost: a write may have run, a read may be repeated."""
+        """Return the outcome of a unit whose home proxy was lost; None for a repeatable read.
+
+        A write may have run, so its outcome is unknown. A read may be repeated unless part of its
+        answer was relayed already.
+        """
         if unit.access is Access.WRITE or not unit.repeatable:
             only_opens = unit.transaction != 0 and not may_end_transaction(unit)
             code = ResultCode.TRANSACTION_LOST if only_opens else ResultCode.OUTCOME_UNKNOWN
@@ -153,7 +159,7 @@
         self._transactions.pop(transaction, None)
 
     async def abandon(self, work: AbandonWork) -> None:
-        """Stop a unit or roll a transaction back (see ``Executor``)."""
+        """Cancel a unit or roll a transaction back; see ``Executor``."""
         for link in self.links.links():
             if link.carries(work):
                 await link.abandon(work)
