--- a/limedyke/proxy/forwarding/home_links.py
+++ b/limedyke/proxy/forwarding/home_links.py
@@ -1,4 +1,4 @@
-"""Links to home proxies: which home proxy is chosen, and the dialling of links when wanted."""
+"""Links to home proxies: the choice of a home proxy, and dialling links on demand."""
 
 from __future__ import annotations
 
@@ -28,19 +28,20 @@
 DIAL_BACKOFF_BASE_S = 0.1
 DIAL_BACKOFF_LIMIT_S = 2.0
 DIAL_ROUND_TRIPS = 3
-"""To connect, to greet and to prove both identities."""
+"""Round trips of a dial: TCP connect, greeting, and authentication of both sides."""
 DIALS_AT_ONCE = 2
-"""For one unit; the others are dialled only when these fail, as many proxies want few links."""
+"""Parallel dials for one unit. More home proxies are dialled only when these fail, to keep the
+total number of links small."""
 
 _log = EventLog("forwarding")
 
 
 @dataclass(frozen=True, slots=True)
 class HomeNeed:
-    """What a unit waits for at a home proxy.
+    """What a unit needs from a home proxy, used to estimate its wait there.
 
-    :param priority: 0 goes first
-    :param writes: it needs the primary
+    :param priority: 0 is the most urgent
+    :param writes: the unit needs the primary
     """
 
     priority: int = 0
@@ -51,7 +52,7 @@
 
 
 class HomeLinkSettings(Protocol):
-    """The settings of a proxy that concern its links to home proxies."""
+    """The proxy settings that links to home proxies use."""
 
     name: str
     zone: str
@@ -63,11 +64,11 @@
 
 
 class HomeLinks:
-    """The links of one proxy to home proxies, by name; shared by all work for them.
+    """The links of one proxy to home proxies, by name, shared by all units.
 
-    :param meter: counts what is sent to them
-    :ivar loads: the waits that home proxies told
-    :ivar is_any_silent: at the last choice some home proxy owed a sign of life: others may be gone
+    :param meter: counts the bytes exchanged with them
+    :ivar loads: the waits that home proxies reported
+    :ivar is_any_silent: some home proxy was silent at the last choice; others may have failed too
     """
 
     def __init__(
@@ -89,14 +90,14 @@
         self._generator = random.Random()
 
     def control_changed(self, view: ControlView) -> None:
-        """Take a new view into force."""
+        """Apply a new control view."""
         self._view = view
         self._candidates.clear()
         self._ordered.clear()
         self._tenants_homes.clear()
 
     def get(self, home: str) -> HomeLink | None:
-        """Return the link to a home proxy, open or closing; None when there is none."""
+        """Return the open or closing link to a home proxy, or None."""
         return self._links.get(home)
 
     def links(self) -> list[HomeLink]:
@@ -108,21 +109,22 @@
         return self._view is not None and self._view.is_home(group, self._settings.name)
 
     def has_home(self, group: str) -> bool:
-        """Tell whether another proxy is known that serves a group as its home proxy."""
+        """Tell whether another home proxy of a group is known."""
         return bool(self._candidates_of(group))
 
     async def choose(
         self, group: str, tried: set[str], tenant: str = "", need: HomeNeed = ANY_NEED
     ) -> HomeLink | None:
-        """Return a link to a home proxy not tried yet, the nearest first; or None.
+        """Return a link to a home proxy not tried yet, the nearest first, or None.
 
-        :param tenant: whose connections are wanted: all proxies of a region choose the same home
-            proxy for it, so that few connections serve many tenants; empty for any
-        :param need: what the unit would wait for: a part goes elsewhere while much is told to wait
+        :param tenant: the unit's tenant; empty for any. All proxies of a region prefer the same
+            home proxy for a tenant, so that few connections serve many tenants
+        :param need: the unit's requirements; while its expected wait at the preferred home proxy is
+            long, a share of the units goes elsewhere
 
-        An open link goes before a nearer home proxy that has yet to be dialled: that one may
-        be frozen, and is dialled in the background.  A link whose other end owes a sign of life
-        or takes no new work, or where much waits, is taken only when no other is left.
+        An open link is preferred to a nearer home proxy without one, which may be frozen and is
+        dialled in the background. A link that is silent, draining or crowded is returned only when
+        there is no other.
         """
         ordered = self._ordered_for(group, tenant)
         records = [record for record in ordered if record.name not in tried]
@@ -151,10 +153,10 @@
         return doubtful
 
     async def tenants_home(self, group: str, tenant: str, need: HomeNeed) -> HomeLink | None:
-        """Return a link to the home proxy at which a tenant's connections of this region are.
+        """Return a link to the home proxy that is assigned to a tenant in this region.
 
-        For a proxy that is a home proxy itself; None when the tenant's are here, or when that one
-        is not reached, or much waits there: then they are opened here.
+        Used by proxies that are home proxies themselves. Returns None when the tenant is assigned
+        to this proxy, or the assigned one is unreachable or crowded; the unit then runs here.
         """
         name = self._tenants_home_of(group, tenant)
         if not name:
@@ -172,7 +174,7 @@
         return link if is_free else None
 
     def _tenants_home_of(self, group: str, tenant: str) -> str:
-        """Return the home proxy of a tenant in this region; empty when it is this one."""
+        """Return the home proxy assigned to a tenant in this region; empty for this proxy."""
         known = self._tenants_homes.get((group, tenant))
         if known is not None or self._view is None:
             return known or ""
@@ -189,7 +191,7 @@
     def _spread(
         self, usual: HomeLink, records: list[ProxyRecord], group: str, need: HomeNeed
     ) -> HomeLink:
-        """Return the usual home proxy, or another one while much is told to wait at it."""
+        """Return the preferred link, or another one while the reported wait there is long."""
         now = time.monotonic()
         wait_s = self.loads.wait_s(usual.home, group, need.priority, need.writes, now)
         if wait_s <= LEAST_GAIN_S:
@@ -210,10 +212,10 @@
         return links[choose_home(candidates, self._generator).name]
 
     def _silent_zones(self) -> set[str]:
-        """Return the zones with a home proxy that owes a sign of life.
+        """Return the zones with a silent home proxy.
 
-        A cut or a loss of power often hits all of a zone: the others there are asked last, so
-        that not each of them has to fall silent under work of its own.
+        A network partition or power failure often affects a whole zone, so its other home proxies
+        are tried last. Otherwise each of them would have to fail a unit before it is avoided.
         """
         return {link.zone for link in self._links.values() if link.is_silent}
 
@@ -222,9 +224,10 @@
         return link if link is not None and not link.closed else None
 
     def _candidates_of(self, group: str) -> tuple[ProxyRecord, ...]:
-        """Return the other home proxies of a group that serve, the nearest first.
+        """Return the other serving home proxies of a group, the nearest first.
 
-        Those equally near are ordered by a hash with this proxy's name, which spreads the work.
+        Home proxies at the same distance are ordered by a hash that includes this proxy's name, to
+        spread the load.
         """
         found = self._candidates.get(group)
         if found is not None:
@@ -244,7 +247,7 @@
         return found
 
     def _ordered_for(self, group: str, tenant: str) -> tuple[ProxyRecord, ...]:
-        """Return the other home proxies of a group in the order in which a tenant's are asked."""
+        """Return the other home proxies of a group in order of preference for a tenant."""
         candidates = self._candidates_of(group)
         if not tenant:
             return candidates
@@ -267,7 +270,7 @@
         )
 
     async def _start_dial(self, record: ProxyRecord) -> None:
-        """Dial in a task of its own, so that cancelling one caller doesn't disturb others."""
+        """Dial in a separate task, so that cancelling one caller doesn't affect others."""
         backoff = self._backoffs.setdefault(
             record.name, Backoff(DIAL_BACKOFF_BASE_S, DIAL_BACKOFF_LIMIT_S)
         )
@@ -299,12 +302,12 @@
             await event.set()
 
     async def _make_room(self) -> None:
-        """Close what is idle too long ago, so that one more link keeps to the limit."""
+        """Close the least recently used idle links, so that one more link keeps to the limit."""
         for link in surplus_links(self._links.values(), self._settings.maximum_home_links - 1):
             await link.close_if_idle()
 
     async def _dial(self, record: ProxyRecord) -> Result[Link, Failure]:
-        """Connect and prove both identities, within one limit for all of it."""
+        """Connect and authenticate, with one timeout for both."""
         try:
             async with curio.timeout_after(DIAL_TIMEOUT_S):
                 return await dial(
@@ -320,11 +323,11 @@
         _log.info("link-closed", home=link.home)
 
     def _key_of(self, role: PeerRole, name: str) -> bytes | None:
-        """Return the cluster key for proxies; others don't belong on these links."""
+        """Return the cluster key for proxies; other roles are not accepted on these links."""
         del name
         return self._identity.key if role is PeerRole.PROXY else None
 
 
 def _weight(tenant: str, home: ProxyRecord) -> bytes:
-    """Return what orders home proxies for a tenant, the same at all proxies."""
+    """Return the sort key of a home proxy for a tenant, the same on all proxies."""
     return blake2b(f"{tenant} {home.name}".encode(), digest_size=8).digest()
