--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -1,4 +1,4 @@
-"""The sending side of one forwarding link: streams, credit and a sign of life."""
+"""The sending side of a forwarding link: streams, flow control and liveness probes."""
 
 from __future__ import annotations
 
@@ -25,17 +25,18 @@
 from limedyke.transport.link import Link, LinkClosedError
 
 SILENCE_BEFORE_PROBE_S = 0.15
-"""Longer than most units take, so that calm links are rarely probed."""
+"""Silence, in seconds, after which a busy link is probed. It is longer than most units take, so
+that healthy links are rarely probed."""
 SILENCE_LIMIT_S = 1.5
+"""Silence, in seconds, after which a busy link is closed."""
 LOOK_INTERVAL_S = 0.05
 LOADED_MACHINE_S = 0.15
-"""How much later than usual a link may tell something when a machine at either end is short of
-processor time."""
+"""Allowed delay, in seconds, when a machine at either end is short of processor time."""
 HEARD_LATELY_S = 0.1
-"""A link that told something so lately isn't asked for a sign of life."""
+"""A link that received something within this time, in seconds, needs no probe before a unit."""
 RECENT_USE_S = 1.0
-"""A link used this lately stays open above the limit of links too: its caller may not have got
-to use it yet, and closing it would only have it dialled again."""
+"""A link used within this time, in seconds, stays open even above the limit of links: its caller
+may not have used it yet, and would have to dial it again."""
 
 
 NEVER = float("inf")
@@ -44,7 +45,7 @@
 
 
 class NotSent(enum.Enum):
-    """What a unit's end is when no byte of it went to the home proxy: it surely did not run."""
+    """Returned for a unit of which no byte was sent, so that it certainly did not run."""
 
     NOT_SENT = "not-sent"
 
@@ -53,11 +54,11 @@
 
 
 async def no_relay(chunk: AnswerChunk) -> None:
-    """Take no part of an answer: a statement's answer comes whole in its end."""
+    """Ignore parts of an answer; the answer to a statement is contained in its end message."""
 
 
 class _Stream:
-    """A unit under way at the other end."""
+    """A unit that runs at the other end."""
 
     def __init__(self) -> None:
         self.received: deque[AnswerChunk | ForwardedEnd] = deque()
@@ -65,22 +66,22 @@
 
 
 CROWDED_S = 0.3
-"""A home proxy that left a unit to others is asked last for so long: about the time in which the
-requests that wait there are served."""
+"""Seconds for which a home proxy that refused a unit as crowded is chosen last: about the time in
+which it serves its waiting requests."""
 
 
 class HomeLink:
     """A link to a home proxy, shared by many units.
 
-    Only this end closes a link for being idle: at the other end a unit may be on its way.
+    Only this end closes an idle link. The other end can't tell whether a unit is in flight.
 
-    :param idle_limit_s: the link closes when nothing was on it for so long
-    :param travel_s: how long a message and its answer travel, as its opening took
+    :param idle_limit_s: the link is closed after this idle time
+    :param travel_s: network round trip time, measured while the link was opened
     :param zone: of the home proxy
-    :ivar transactions: open transactions that are on the home proxy, by this proxy's numbers
-    :ivar used_at: when a unit or transaction was last on it (``time.monotonic()`` seconds)
-    :ivar is_draining: the home proxy has said that it takes no new work
-    :ivar crowded_until: the home proxy has said that much waits there; others are asked first
+    :ivar transactions: numbers of this proxy's transactions that are open at the home proxy
+    :ivar used_at: when a unit or transaction last used it (``time.monotonic()`` seconds)
+    :ivar is_draining: the home proxy reported that it accepts no new work
+    :ivar crowded_until: until when the home proxy counts as crowded; others are preferred
     """
 
     def __init__(
@@ -113,46 +114,47 @@
 
     @property
     def takes_work(self) -> bool:
-        """Whether new work belongs here: the other end neither drains nor owes a sign of life."""
+        """Whether new work may be sent here: the other end is neither draining nor silent."""
         return not (self.is_silent or self.is_draining)
 
     @property
     def is_silent(self) -> bool:
-        """Whether the other end owes a sign of life: what is sent there may never be answered."""
+        """Whether the other end has been silent for too long and may be dead."""
         if not self._streams or self._owes_sign:
             return self._owes_sign
         return time.monotonic() - self._heard_at > self.longest_silence_s
 
     @property
     def is_crowded(self) -> bool:
-        """Whether the home proxy has said lately that much waits there."""
+        """Whether the home proxy recently refused a unit as crowded."""
         return time.monotonic() < self.crowded_until
 
     def was_crowded(self) -> None:
-        """Note that the home proxy left a unit to another one."""
+        """Record that the home proxy refused a unit as crowded."""
         self.crowded_until = time.monotonic() + CROWDED_S
 
     @property
     def is_busy(self) -> bool:
-        """Whether a unit or an open transaction is on the link, or one was given up unheard."""
+        """Whether a unit or open transaction uses the link, or it is marked silent and probed."""
         return bool(self._streams or self.transactions or self._owes_sign)
 
     @property
     def longest_silence_s(self) -> float:
-        """For how long a link with work on it may tell nothing while both ends work.
+        """The longest silence, in seconds, of a busy link while both ends work.
 
-        It is asked for a sign of life after a silence, which takes one more look and its travel.
+        It is the time until the probe, one check interval, the round trip of the probe, and the
+        delay of a loaded machine.
         """
         return SILENCE_BEFORE_PROBE_S + LOOK_INTERVAL_S + self.travel_s + LOADED_MACHINE_S
 
     async def close_if_idle(self) -> None:
-        """Close the link unless something is on it; no unit starts on it from now on."""
+        """Close the link unless it is busy; no further unit can start on it."""
         if not self.is_busy:
             self.closed = True
             await self._work_began.set()
 
     async def run(self) -> None:
-        """Serve the link until it closes, falls silent, or was idle for its limit."""
+        """Serve the link until it closes, falls silent or reaches its idle limit."""
         try:
             async with curio.TaskGroup(wait=any) as tasks:
                 await tasks.spawn(self._receive)
@@ -189,7 +191,7 @@
     async def _watch(self) -> None:
         """Return when the link is to be closed.
 
-        An idle link costs no look: there may be hundreds.
+        Idle links are not polled, as there may be hundreds.
         """
         while not self.closed:
             if self.is_busy and await self._fell_silent():
@@ -203,7 +205,10 @@
                 await curio.ignore_after(idle_left_s, self._work_began.wait)
 
     async def _fell_silent(self) -> bool:
-        """Tell whether the other end gave no sign of life before all work on it had ended."""
+        """Watch a busy link; tell whether it fell silent before its work had ended.
+
+        Probes are sent during a silence, and pauses of this process don't count as silence.
+        """
         sequence = 0
         looked_at = self._heard_at = time.monotonic()
         while self.is_busy:
@@ -227,10 +232,10 @@
             return
 
     async def gives_sign(self) -> bool:
-        """Ask for a sign of life, unless one came lately; tell whether it came in time.
+        """Probe the other end unless it was heard recently; tell whether it answered in time.
 
-        It takes a journey there and back, which is well spent before a unit that must not be sent
-        twice, while there is reason to think that others have been cut off or lost power too.
+        The round trip is worth its cost before a unit that must not be sent twice, while other home
+        proxies seem to have failed.
         """
         if time.monotonic() - self._received_at < HEARD_LATELY_S:
             return True
@@ -244,7 +249,7 @@
         return False
 
     async def _note_no_sign(self) -> None:
-        """Have the link asked on until it tells something, or closes; nothing new is sent there."""
+        """Mark the link as silent: it is probed until it receives data or closes, and not used."""
         self._owes_sign = True
         if not self._work_began.is_set():
             await self._work_began.set()
@@ -258,10 +263,10 @@
     ) -> ForwardedEnd | NotSent | None:
         """Run a unit at the home proxy.
 
-        :param patience_s: how long the link may tell nothing at all before the unit is given up
-        :param limit_s: how long it is waited for at most
-        :returns: None when the link closed before its end, or fell silent: it may have run.
-            ``NOT_SENT`` when no byte of it was sent, nor will be
+        :param patience_s: longest silence of the link before the unit is abandoned
+        :param limit_s: timeout in seconds
+        :returns: the end of its answer. None when there was none in time, so that the unit may have
+            run; ``NOT_SENT`` when no byte of it was or will be sent
         """
         number = next(self._numbers)
         stream = _Stream()
@@ -297,7 +302,7 @@
                 await self._put_quietly(AbandonWork(number, unit.transaction, False))
 
     async def _queue(self, unit: ForwardedUnit) -> bool:
-        """Queue a unit to be sent; False when the link has closed, so that it never will be."""
+        """Queue a unit to be sent; return False when the link has closed, so that it never is."""
         try:
             await self._outbox.put(unit)
         except LinkClosedError:
@@ -338,7 +343,7 @@
         return work.stream in self._number_of or work.transaction in self.transactions
 
     async def abandon(self, work: AbandonWork) -> None:
-        """Pass an abandon or cancel request on."""
+        """Forward a request to abandon or cancel work."""
         number = self._number_of.get(work.stream, 0)
         await self._put_quietly(AbandonWork(number, work.transaction, work.cancel_only))
 
@@ -346,7 +351,7 @@
 def surplus_links(links: Iterable[HomeLink], limit: int) -> list[HomeLink]:
     """Return the links to close so that at most ``limit`` stay, the least recently used first.
 
-    Links with work on them, or used a moment ago, stay even when that leaves more than the limit.
+    Busy and recently used links stay open even above the limit.
     """
     opened = [link for link in links if not link.closed]
     recent = time.monotonic() - RECENT_USE_S
