--- a/limedyke/proxy/statements/homes/forwarded_attempt.py
+++ b/limedyke/proxy/statements/homes/forwarded_attempt.py
@@ -23,7 +23,7 @@
 LEASE_WAIT_SHARE = 0.7
 """Share of a statement's time that it may wait for a home proxy or a lease. The rest suffices for a
 statement across two regions (0.27 s of 1 s at 45 ms one way)."""
-UNREACHED_TRIES = 3
+UNREACHABLE_PRIMARY_TRIES = 3
 """Number of home proxies without access to the primary after which a statement waits for a new
 primary."""
 _UNREACHED = ResultCode.PRIMARY_UNREACHED.value.number
--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -15,7 +15,10 @@
 from limedyke.proxy.forwarding.link import NEVER, NOT_SENT, HomeLink, NotSent
 from limedyke.proxy.statements.attempt import MS_PER_S
 from limedyke.proxy.statements.group import StatementGroup
-from limedyke.proxy.statements.homes.forwarded_attempt import UNREACHED_TRIES, ForwardedAttempt
+from limedyke.proxy.statements.homes.forwarded_attempt import (
+    UNREACHABLE_PRIMARY_TRIES,
+    ForwardedAttempt,
+)
 from limedyke.proxy.statements.settlement import settle_unanswered
 from limedyke.proxy.statements.statement_metrics import StatementMetrics
 from limedyke.proxy.statements.statement_outcome import ForwardedTransaction, StatementOutcome
@@ -109,7 +112,9 @@
         group = attempt.group
         while group.limit == 0 or attempt.unanswered:
             link = await self._choose(attempt)
-            if attempt.unreached and (link is None or attempt.unreached >= UNREACHED_TRIES):
+            if attempt.unreached and (
+                link is None or attempt.unreached >= UNREACHABLE_PRIMARY_TRIES
+            ):
                 if not await attempt.wait_for_primary():
                     return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
             elif link is None:
