--- a/limedyke/proxy/statements/homes/forwarded_attempt.py
+++ b/limedyke/proxy/statements/homes/forwarded_attempt.py
@@ -26,7 +26,7 @@
 UNREACHABLE_PRIMARY_TRIES = 3
 """Number of home proxies without access to the primary after which a statement waits for a new
 primary."""
-_UNREACHED = ResultCode.PRIMARY_UNREACHED.value.number
+_PRIMARY_UNREACHED_CODE = ResultCode.PRIMARY_UNREACHED.value.number
 
 
 @dataclass(slots=True)
@@ -97,7 +97,7 @@
 
     def refused(self, answer: StatementAnswer, home: str) -> None:
         """Record a refusal after which another home proxy may be tried."""
-        self.unreached += answer.code == _UNREACHED
+        self.unreached += answer.code == _PRIMARY_UNREACHED_CODE
         self.last = f"{home}: {answer.detail}"
 
     async def wait_for_primary(self) -> bool:
