--- a/limedyke/proxy/statements/homes/forwarded_attempt.py
+++ b/limedyke/proxy/statements/homes/forwarded_attempt.py
@@ -36,7 +36,7 @@
     All times are seconds of the monotonic clock.
 
     :param deadline: when the statement's time ends
-    :param home_until: end of the wait for a home proxy or a lease
+    :param home_wait_until: end of the wait for a home proxy or a lease
     :param hold_until: end of the wait for a primary that home proxies can reach
     :param tried: names of home proxies that did not run it
     :param unanswered: number of tries without an answer, in which it may have run
@@ -48,7 +48,7 @@
     run: RunOnMember
     group: StatementGroup
     deadline: float
-    home_until: float
+    home_wait_until: float
     hold_until: float
     tried: set[str] = field(default_factory=set)
     unanswered: int = 0
@@ -69,7 +69,7 @@
             run,
             group,
             deadline=now + whole_s,
-            home_until=now + LEASE_WAIT_SHARE * whole_s,
+            home_wait_until=now + LEASE_WAIT_SHARE * whole_s,
             hold_until=now + HOLD_SHARE_OF_TARGET * target_s,
         )
 
@@ -114,7 +114,7 @@
     async def wait_for_home(self) -> bool:
         """Wait briefly for a lease or a home proxy; False after the allowed time."""
         self.tried.clear()
-        if time.monotonic() >= self.home_until:
+        if time.monotonic() >= self.home_wait_until:
             return False
         await curio.ignore_after(RETRY_PAUSE_S, self.group.leased.wait)
         return True
