--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -29,7 +29,7 @@
 HOME_SHARE_OF_TIME = 0.95
 """Largest share of a statement's time that is given to the home proxy. The rest is for reading and
 passing on its answer, which takes processor time (40 ms of 800 ms, at half a core)."""
-LEAST_HOME_SHARE_OF_TIME = 0.5
+MINIMUM_HOME_SHARE_OF_TIME = 0.5
 """Smallest share given to the home proxy: its distance is estimated from one opening of its link,
 which may have been slow."""
 _TRY_ANOTHER = frozenset(
@@ -275,4 +275,4 @@
     :param travel_s: network round trip time
     """
     most_s = min(limit_s * HOME_SHARE_OF_TIME, limit_s - travel_s)
-    return max(most_s, limit_s * LEAST_HOME_SHARE_OF_TIME)
+    return max(most_s, limit_s * MINIMUM_HOME_SHARE_OF_TIME)
