--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -26,7 +26,7 @@
 
 OWN_LEASE_WAIT_S = 0.1
 """Seconds that a home proxy without a lease waits for its own before it asks another one."""
-HOME_SHARE_OF_TIME = 0.95
+MAXIMUM_HOME_SHARE_OF_TIME = 0.95
 """Largest share of a statement's time that is given to the home proxy. The rest is for reading and
 passing on its answer, which takes processor time (40 ms of 800 ms, at half a core)."""
 MINIMUM_HOME_SHARE_OF_TIME = 0.5
@@ -274,5 +274,5 @@
     :param limit_s: time left for the whole answer
     :param travel_s: network round trip time
     """
-    most_s = min(limit_s * HOME_SHARE_OF_TIME, limit_s - travel_s)
+    most_s = min(limit_s * MAXIMUM_HOME_SHARE_OF_TIME, limit_s - travel_s)
     return max(most_s, limit_s * MINIMUM_HOME_SHARE_OF_TIME)
