--- a/limedyke/proxy/forwarding/executor.py
+++ b/limedyke/proxy/forwarding/executor.py
@@ -22,7 +22,7 @@
 REFUSED_WAIT_S = 1.0
 """Seconds for which a unit is retried after home proxies refused it. All of them may lack
 connections for the tenant for a moment while leases move."""
-_TRY_ANOTHER = frozenset({ResultCode.DRAINING.value.number, ResultCode.NO_MEMBER.value.number})
+_RETRYABLE_CODES = frozenset({ResultCode.DRAINING.value.number, ResultCode.NO_MEMBER.value.number})
 
 
 class _WatchedRelay:
@@ -94,7 +94,7 @@
                 continue
             if answer is None:
                 lost = True
-            elif answer.code not in _TRY_ANOTHER or watched.used:
+            elif answer.code not in _RETRYABLE_CODES or watched.used:
                 return answer
             else:
                 end = answer
--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -32,7 +32,7 @@
 MINIMUM_HOME_SHARE_OF_TIME = 0.5
 """Smallest share given to the home proxy: its distance is estimated from one opening of its link,
 which may have been slow."""
-_TRY_ANOTHER = frozenset(
+_RETRYABLE_CODES = frozenset(
     code.value.number
     for code in (
         ResultCode.DRAINING,
@@ -156,7 +156,7 @@
             return settle_unanswered(attempt.session, attempt.run, attempt.last)
         if did_not_run(end.answer.code):
             attempt.session.tries_under_way -= 1
-        if end.answer.code in _TRY_ANOTHER:
+        if end.answer.code in _RETRYABLE_CODES:
             _note_refusal(link, end.answer)
             if unit.may_decline and end.answer.code in _ASKED_LAST:
                 attempt.tried.discard(link.home)
