--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -45,7 +45,7 @@
 
 _DRAINING = ResultCode.DRAINING.value.number
 _CROWDED = ResultCode.HOME_CROWDED.value.number
-_ASKED_LAST = frozenset({_DRAINING, _CROWDED})
+_LAST_CHOICE_CODES = frozenset({_DRAINING, _CROWDED})
 """A home proxy that refused with one of these codes still runs the unit if no other proxy can."""
 
 
@@ -158,7 +158,7 @@
             attempt.session.tries_under_way -= 1
         if end.answer.code in _RETRYABLE_CODES:
             _note_refusal(link, end.answer)
-            if unit.may_decline and end.answer.code in _ASKED_LAST:
+            if unit.may_decline and end.answer.code in _LAST_CHOICE_CODES:
                 attempt.tried.discard(link.home)
             attempt.refused(end.answer, link.home)
             return None
