--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -44,8 +44,8 @@
 
 
 _DRAINING = ResultCode.DRAINING.value.number
-_CROWDED = ResultCode.HOME_CROWDED.value.number
-_LAST_CHOICE_CODES = frozenset({_DRAINING, _CROWDED})
+_CROWDED_CODE = ResultCode.HOME_CROWDED.value.number
+_LAST_CHOICE_CODES = frozenset({_DRAINING, _CROWDED_CODE})
 """A home proxy that refused with one of these codes still runs the unit if no other proxy can."""
 
 
@@ -264,7 +264,7 @@
     """Mark the link of a home proxy that refused work, so that it is chosen last."""
     if answer.code == _DRAINING:
         link.is_draining = True
-    if answer.code == _CROWDED:
+    if answer.code == _CROWDED_CODE:
         link.was_crowded()
 
 
