--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -43,9 +43,9 @@
 )
 
 
-_DRAINING = ResultCode.DRAINING.value.number
+_DRAINING_CODE = ResultCode.DRAINING.value.number
 _CROWDED_CODE = ResultCode.HOME_CROWDED.value.number
-_LAST_CHOICE_CODES = frozenset({_DRAINING, _CROWDED_CODE})
+_LAST_CHOICE_CODES = frozenset({_DRAINING_CODE, _CROWDED_CODE})
 """A home proxy that refused with one of these codes still runs the unit if no other proxy can."""
 
 
@@ -262,7 +262,7 @@
 
 def _note_refusal(link: HomeLink, answer: StatementAnswer) -> None:
     """Mark the link of a home proxy that refused work, so that it is chosen last."""
-    if answer.code == _DRAINING:
+    if answer.code == _DRAINING_CODE:
         link.is_draining = True
     if answer.code == _CROWDED_CODE:
         link.was_crowded()
