--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -49,7 +49,7 @@
 """A home proxy that refused with one of these codes still runs the unit if no other proxy can."""
 
 
-NO_SIGN = "no-sign-of-life"
+PROBE_UNANSWERED_LABEL = "no-sign-of-life"
 NO_ANSWER = "no-answer"
 AT_TENANTS_HOME = "at-tenants-home"
 
@@ -132,7 +132,7 @@
         """Try one home proxy; return None when another one should be tried."""
         attempt.tried.add(link.home)
         if (attempt.unanswered or self.links.is_any_silent) and not await link.gives_sign():
-            self._metrics.home_tries.labels(NO_SIGN).inc()
+            self._metrics.home_tries.labels(PROBE_UNANSWERED_LABEL).inc()
             attempt.last = f"no sign of life of home proxy {link.home}"
             return None
         is_last_choice = link.is_crowded or link.is_draining
