--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -50,7 +50,7 @@
 
 
 PROBE_UNANSWERED_LABEL = "no-sign-of-life"
-NO_ANSWER = "no-answer"
+NO_ANSWER_LABEL = "no-answer"
 AT_TENANTS_HOME = "at-tenants-home"
 
 
@@ -149,7 +149,7 @@
         if end is None:
             may_be_sent_again = attempt.may_be_sent_again()
             attempt.unanswered += 1
-            self._metrics.home_tries.labels(NO_ANSWER).inc()
+            self._metrics.home_tries.labels(NO_ANSWER_LABEL).inc()
             attempt.last = f"no answer of home proxy {link.home}"
             if may_be_sent_again:
                 return None
