--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -51,7 +51,7 @@
 
 PROBE_UNANSWERED_LABEL = "no-sign-of-life"
 NO_ANSWER_LABEL = "no-answer"
-AT_TENANTS_HOME = "at-tenants-home"
+TENANT_HOME_LABEL = "at-tenants-home"
 
 
 class StatementForwarding:
@@ -94,7 +94,7 @@
         link = await self.links.tenants_home(group.name, session.tenant, need)
         if link is None:
             return None
-        self._metrics.home_tries.labels(AT_TENANTS_HOME).inc()
+        self._metrics.home_tries.labels(TENANT_HOME_LABEL).inc()
         attempt = ForwardedAttempt.begin(session, run, group)
         unit = self._unit(session, run, 0)
         placed = await self._try_at(link, unit, attempt)
