--- a/limedyke/proxy/statements/executor.py
+++ b/limedyke/proxy/statements/executor.py
@@ -88,7 +88,7 @@
         if group.limit == 0:
             return await self._forwarding.run(session, run, group)
         if session.tenant:
-            return await self._forwarding.run_at_tenants_home(session, run, group)
+            return await self._forwarding.run_at_tenant_home(session, run, group)
         return None
 
     async def roll_back(self, place: TransactionLocation) -> None:
--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -79,7 +79,7 @@
             await curio.ignore_after(OWN_LEASE_WAIT_S, group.leased.wait)
         return await self._run_at_any(attempt, unit)
 
-    async def run_at_tenants_home(
+    async def run_at_tenant_home(
         self, session: StatementSession, run: RunOnMember, group: StatementGroup
     ) -> StatementOutcome | None:
         """Run a statement outside an open transaction at the home proxy assigned to its tenant.
