--- a/limedyke/proxy/forwarding/home_links.py
+++ b/limedyke/proxy/forwarding/home_links.py
@@ -152,7 +152,7 @@
                 return link
         return doubtful
 
-    async def tenants_home(self, group: str, tenant: str, need: HomeNeed) -> HomeLink | None:
+    async def tenant_home_link(self, group: str, tenant: str, need: HomeNeed) -> HomeLink | None:
         """Return a link to the home proxy that is assigned to a tenant in this region.
 
         Used by proxies that are home proxies themselves. Returns None when the tenant is assigned
--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -91,7 +91,7 @@
             proxy itself, or the statement certainly did not run there
         """
         need = _need_of(session, run)
-        link = await self.links.tenants_home(group.name, session.tenant, need)
+        link = await self.links.tenant_home_link(group.name, session.tenant, need)
         if link is None:
             return None
         self._metrics.home_tries.labels(TENANT_HOME_LABEL).inc()
