--- a/limedyke/proxy/forwarding/home_links.py
+++ b/limedyke/proxy/forwarding/home_links.py
@@ -158,7 +158,7 @@
         Used by proxies that are home proxies themselves. Returns None when the tenant is assigned
         to this proxy, or the assigned one is unreachable or crowded; the unit then runs here.
         """
-        name = self._tenants_home_of(group, tenant)
+        name = self._tenant_home_name(group, tenant)
         if not name:
             return None
         link = self._open_link(name)
@@ -173,7 +173,7 @@
         is_free = link.takes_work and not link.is_crowded and wait_s <= LEAST_GAIN_S
         return link if is_free else None
 
-    def _tenants_home_of(self, group: str, tenant: str) -> str:
+    def _tenant_home_name(self, group: str, tenant: str) -> str:
         """Return the home proxy assigned to a tenant in this region; empty for this proxy."""
         known = self._tenants_homes.get((group, tenant))
         if known is not None or self._view is None:
