--- a/limedyke/proxy/forwarding/home_links.py
+++ b/limedyke/proxy/forwarding/home_links.py
@@ -81,7 +81,7 @@
         self._view: ControlView | None = None
         self._candidates: dict[str, tuple[ProxyRecord, ...]] = {}
         self._ordered: dict[tuple[str, str], tuple[ProxyRecord, ...]] = {}
-        self._tenants_homes: dict[tuple[str, str], str] = {}
+        self._tenant_homes: dict[tuple[str, str], str] = {}
         self._links: dict[str, HomeLink] = {}
         self._dialing: dict[str, curio.Event] = {}
         self._backoffs: dict[str, Backoff] = {}
@@ -94,7 +94,7 @@
         self._view = view
         self._candidates.clear()
         self._ordered.clear()
-        self._tenants_homes.clear()
+        self._tenant_homes.clear()
 
     def get(self, home: str) -> HomeLink | None:
         """Return the open or closing link to a home proxy, or None."""
@@ -175,7 +175,7 @@
 
     def _tenant_home_name(self, group: str, tenant: str) -> str:
         """Return the home proxy assigned to a tenant in this region; empty for this proxy."""
-        known = self._tenants_homes.get((group, tenant))
+        known = self._tenant_homes.get((group, tenant))
         if known is not None or self._view is None:
             return known or ""
         own = self._view.proxies.get(self._settings.name)
@@ -185,7 +185,7 @@
             near.append(own)
         first = min(near, key=lambda home: _weight(tenant, home), default=own)
         is_elsewhere = first is not None and own is not None and first is not own
-        name = self._tenants_homes[group, tenant] = first.name if is_elsewhere else ""
+        name = self._tenant_homes[group, tenant] = first.name if is_elsewhere else ""
         return name
 
     def _spread(
