--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -90,7 +90,7 @@
         :returns: None when this proxy, which holds a lease, is to run it: it is the tenant's home
             proxy itself, or the statement certainly did not run there
         """
-        need = _need_of(session, run)
+        need = _requirements_of(session, run)
         link = await self.links.tenant_home_link(group.name, session.tenant, need)
         if link is None:
             return None
@@ -256,7 +256,7 @@
         return StatementOutcome(end.answer, ForwardedTransaction(link, transaction))
 
 
-def _need_of(session: StatementSession, run: RunOnMember) -> HomeNeed:
+def _requirements_of(session: StatementSession, run: RunOnMember) -> HomeNeed:
     return HomeNeed(session.database.priority, session.needs_primary(run))
 
 
