--- a/limedyke/proxy/forwarding/home_links.py
+++ b/limedyke/proxy/forwarding/home_links.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HomeNeed:
+class UnitRequirements:
     """What a unit needs from a home proxy, used to estimate its wait there.
 
     :param priority: 0 is the most urgent
@@ -48,7 +48,7 @@
     writes: bool = False
 
 
-ANY_NEED = HomeNeed()
+ANY_NEED = UnitRequirements()
 
 
 class HomeLinkSettings(Protocol):
@@ -113,7 +113,7 @@
         return bool(self._candidates_of(group))
 
     async def choose(
-        self, group: str, tried: set[str], tenant: str = "", need: HomeNeed = ANY_NEED
+        self, group: str, tried: set[str], tenant: str = "", need: UnitRequirements = ANY_NEED
     ) -> HomeLink | None:
         """Return a link to a home proxy not tried yet, the nearest first, or None.
 
@@ -152,7 +152,9 @@
                 return link
         return doubtful
 
-    async def tenant_home_link(self, group: str, tenant: str, need: HomeNeed) -> HomeLink | None:
+    async def tenant_home_link(
+        self, group: str, tenant: str, need: UnitRequirements
+    ) -> HomeLink | None:
         """Return a link to the home proxy that is assigned to a tenant in this region.
 
         Used by proxies that are home proxies themselves. Returns None when the tenant is assigned
@@ -189,7 +191,7 @@
         return name
 
     def _spread(
-        self, usual: HomeLink, records: list[ProxyRecord], group: str, need: HomeNeed
+        self, usual: HomeLink, records: list[ProxyRecord], group: str, need: UnitRequirements
     ) -> HomeLink:
         """Return the preferred link, or another one while the reported wait there is long."""
         now = time.monotonic()
--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -11,7 +11,7 @@
 from limedyke.core.statements.session import RunOnMember, StatementSession
 from limedyke.messages.statements import StatementAnswer, StatementUnit, StatementUnitEnd
 from limedyke.messages.work import AbandonWork, SessionSetting, TransactionStatus
-from limedyke.proxy.forwarding.home_links import HomeLinks, HomeNeed
+from limedyke.proxy.forwarding.home_links import HomeLinks, UnitRequirements
 from limedyke.proxy.forwarding.link import NEVER, NOT_SENT, HomeLink, NotSent
 from limedyke.proxy.statements.attempt import MS_PER_S
 from limedyke.proxy.statements.group import StatementGroup
@@ -190,7 +190,7 @@
     async def _choose(self, attempt: ForwardedAttempt) -> HomeLink | None:
         async with curio.ignore_after(attempt.time_left()):
             session = attempt.session
-            need = HomeNeed(session.database.priority, session.needs_primary(attempt.run))
+            need = UnitRequirements(session.database.priority, session.needs_primary(attempt.run))
             return await self.links.choose(attempt.group.name, attempt.tried, session.tenant, need)
         return None
 
@@ -256,8 +256,8 @@
         return StatementOutcome(end.answer, ForwardedTransaction(link, transaction))
 
 
-def _requirements_of(session: StatementSession, run: RunOnMember) -> HomeNeed:
-    return HomeNeed(session.database.priority, session.needs_primary(run))
+def _requirements_of(session: StatementSession, run: RunOnMember) -> UnitRequirements:
+    return UnitRequirements(session.database.priority, session.needs_primary(run))
 
 
 def _note_refusal(link: HomeLink, answer: StatementAnswer) -> None:
