--- a/limedyke/proxy/forwarding/home_links.py
+++ b/limedyke/proxy/forwarding/home_links.py
@@ -48,7 +48,7 @@
     writes: bool = False
 
 
-ANY_NEED = UnitRequirements()
+NO_REQUIREMENTS = UnitRequirements()
 
 
 class HomeLinkSettings(Protocol):
@@ -113,7 +113,11 @@
         return bool(self._candidates_of(group))
 
     async def choose(
-        self, group: str, tried: set[str], tenant: str = "", need: UnitRequirements = ANY_NEED
+        self,
+        group: str,
+        tried: set[str],
+        tenant: str = "",
+        need: UnitRequirements = NO_REQUIREMENTS,
     ) -> HomeLink | None:
         """Return a link to a home proxy not tried yet, the nearest first, or None.
 
