--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -140,7 +140,7 @@
             unit, may_decline=not is_last_choice, transaction=self._transaction_for(attempt)
         )
         attempt.session.tries_under_way += 1
-        end = await self._run_at(link, unit, attempt.time_left(), attempt.patience_s(link))
+        end = await self._send_to(link, unit, attempt.time_left(), attempt.patience_s(link))
         if end is NOT_SENT:
             attempt.session.tries_under_way -= 1
             self._metrics.home_tries.labels(NOT_SENT.value).inc()
@@ -172,7 +172,7 @@
         unit = self._unit(session, run, place.number)
         limit_s = session.statement_time_s(time.monotonic())
         session.tries_under_way += 1
-        end = await self._run_at(place.link, unit, limit_s)
+        end = await self._send_to(place.link, unit, limit_s)
         if end is NOT_SENT:
             session.tries_under_way -= 1
             place.link.transactions.discard(place.number)
@@ -210,7 +210,7 @@
             tenant=session.tenant,
         )
 
-    async def _run_at(
+    async def _send_to(
         self, link: HomeLink, unit: StatementUnit, limit_s: float, patience_s: float = NEVER
     ) -> StatementUnitEnd | NotSent | None:
         """Run a unit at a home proxy; None when it gives no answer in time.
