--- a/limedyke/proxy/statements/homes/home_loads.py
+++ b/limedyke/proxy/statements/homes/home_loads.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Counted:
+class _CachedLoad:
     load: HomeLoad | None
     at: float
 
@@ -26,7 +26,7 @@
     """The expected waits at the members of each group, cached briefly."""
 
     def __init__(self) -> None:
-        self._counted: dict[str, _Counted] = {}
+        self._counted: dict[str, _CachedLoad] = {}
 
     def load_of(self, group: StatementGroup, tenant: str, now: float) -> HomeLoad | None:
         """Return how long units wait here; None while there is no wait.
@@ -36,7 +36,7 @@
         """
         counted = self._counted.get(group.name)
         if counted is None or now - counted.at >= COUNTED_FOR_S:
-            counted = self._counted[group.name] = _Counted(_count(group, tenant), now)
+            counted = self._counted[group.name] = _CachedLoad(_count(group, tenant), now)
         return counted.load
 
 
