--- a/limedyke/proxy/statements/homes/home_loads.py
+++ b/limedyke/proxy/statements/homes/home_loads.py
@@ -11,7 +11,7 @@
 MS_PER_S = 1_000.0
 PRIORITIES = 3
 """Number of priorities reported; the last one stands for all less urgent ones."""
-COUNTED_FOR_S = 0.02
+CACHE_TTL_S = 0.02
 """Seconds for which computed waits are reused: computing them visits all waiting requests, too much
 work for each answer."""
 
@@ -35,7 +35,7 @@
             turn and wait about equally long
         """
         counted = self._counted.get(group.name)
-        if counted is None or now - counted.at >= COUNTED_FOR_S:
+        if counted is None or now - counted.at >= CACHE_TTL_S:
             counted = self._counted[group.name] = _CachedLoad(_count(group, tenant), now)
         return counted.load
 
