--- a/limedyke/proxy/statements/homes/home_loads.py
+++ b/limedyke/proxy/statements/homes/home_loads.py
@@ -26,7 +26,7 @@
     """The expected waits at the members of each group, cached briefly."""
 
     def __init__(self) -> None:
-        self._counted: dict[str, _CachedLoad] = {}
+        self._cached: dict[str, _CachedLoad] = {}
 
     def load_of(self, group: StatementGroup, tenant: str, now: float) -> HomeLoad | None:
         """Return how long units wait here; None while there is no wait.
@@ -34,9 +34,9 @@
         :param tenant: whose unit was answered; it stands for all tenants, as they are served in
             turn and wait about equally long
         """
-        counted = self._counted.get(group.name)
+        counted = self._cached.get(group.name)
         if counted is None or now - counted.at >= CACHE_TTL_S:
-            counted = self._counted[group.name] = _CachedLoad(_count(group, tenant), now)
+            counted = self._cached[group.name] = _CachedLoad(_count(group, tenant), now)
         return counted.load
 
 
