--- a/limedyke/proxy/statements/homes/home_loads.py
+++ b/limedyke/proxy/statements/homes/home_loads.py
@@ -36,11 +36,11 @@
         """
         counted = self._cached.get(group.name)
         if counted is None or now - counted.at >= CACHE_TTL_S:
-            counted = self._cached[group.name] = _CachedLoad(_count(group, tenant), now)
+            counted = self._cached[group.name] = _CachedLoad(_compute_load(group, tenant), now)
         return counted.load
 
 
-def _count(group: StatementGroup, tenant: str) -> HomeLoad | None:
+def _compute_load(group: StatementGroup, tenant: str) -> HomeLoad | None:
     primary = group.primary_pool()
     writes_ms = _waits_ms(primary, tenant) if primary is not None else ()
     ready = [pool for pool in group.pools.values() if pool.observed.is_ready]
