--- a/limedyke/proxy/statements/homes/home_service.py
+++ b/limedyke/proxy/statements/homes/home_service.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class _HeldTransaction:
+class _OpenForwardedTransaction:
     """An open transaction of another proxy's client, between two of its statements."""
 
     session: StatementSession
@@ -73,7 +73,7 @@
         self._runner = runner
         self._log = log
         self._metrics = metrics
-        self._held: dict[WorkKey, _HeldTransaction] = {}
+        self._held: dict[WorkKey, _OpenForwardedTransaction] = {}
         self._running: dict[WorkKey, curio.Task] = {}
         self._loads = HomeLoads()
 
@@ -137,7 +137,7 @@
                 await held.pinned.abandon()
             raise
         if placed.place is not None:
-            self._held[key] = _HeldTransaction(session, placed.place)
+            self._held[key] = _OpenForwardedTransaction(session, placed.place)
         return StatementUnitEnd(unit.stream, placed.answer, session.status, session.written)
 
     def _is_leaving(self) -> bool:
