--- a/limedyke/proxy/statements/homes/home_service.py
+++ b/limedyke/proxy/statements/homes/home_service.py
@@ -73,14 +73,14 @@
         self._runner = runner
         self._log = log
         self._metrics = metrics
-        self._held: dict[WorkKey, _OpenForwardedTransaction] = {}
+        self._open_transactions: dict[WorkKey, _OpenForwardedTransaction] = {}
         self._running: dict[WorkKey, curio.Task] = {}
         self._loads = HomeLoads()
 
     @property
     def has_work(self) -> bool:
         """Whether a unit runs or a transaction is open here."""
-        return bool(self._held or self._running)
+        return bool(self._open_transactions or self._running)
 
     @property
     def under_way(self) -> int:
@@ -89,11 +89,11 @@
 
     def has_transaction(self, key: WorkKey) -> bool:
         """Tell whether a transaction is open here."""
-        return key in self._held
+        return key in self._open_transactions
 
     def has_transactions_of(self, origin: str) -> bool:
         """Tell whether a transaction that came over a link is open here."""
-        return any(key.origin == origin for key in self._held)
+        return any(key.origin == origin for key in self._open_transactions)
 
     async def run(self, unit: StatementUnit, relay: Relay, origin: str) -> StatementUnitEnd:
         """Run a unit; return the end of its answer."""
@@ -114,7 +114,7 @@
 
     async def _run(self, unit: StatementUnit, key: WorkKey) -> StatementUnitEnd:
         group = self._groups.groups.get(unit.database.group)
-        held = self._held.pop(key, None)
+        held = self._open_transactions.pop(key, None)
         if held is None and unit.transaction and unit.begin is None:
             return refuse_unit(unit, ResultCode.TRANSACTION_LOST, "it is not open here")
         if held is None and (group is None or group.limit == 0):
@@ -137,7 +137,7 @@
                 await held.pinned.abandon()
             raise
         if placed.place is not None:
-            self._held[key] = _OpenForwardedTransaction(session, placed.place)
+            self._open_transactions[key] = _OpenForwardedTransaction(session, placed.place)
         return StatementUnitEnd(unit.stream, placed.answer, session.status, session.written)
 
     def _is_leaving(self) -> bool:
@@ -149,14 +149,14 @@
         task = self._running.get(WorkKey(origin, work.stream))
         if task is not None:
             await task.cancel(blocking=False)
-        held = self._held.pop(WorkKey(origin, work.transaction), None)
+        held = self._open_transactions.pop(WorkKey(origin, work.transaction), None)
         if held is not None:
             await held.pinned.roll_back()
 
     async def abandon_origin(self, origin: str) -> None:
         """Roll back all transactions that came over a closed link."""
-        for key in [key for key in self._held if key.origin == origin]:
-            held = self._held.pop(key, None)
+        for key in [key for key in self._open_transactions if key.origin == origin]:
+            held = self._open_transactions.pop(key, None)
             if held is not None:
                 await held.pinned.roll_back()
 
