--- a/limedyke/proxy/statements/homes/home_service.py
+++ b/limedyke/proxy/statements/homes/home_service.py
@@ -119,7 +119,7 @@
             return refuse_unit(unit, ResultCode.TRANSACTION_LOST, "it is not open here")
         if held is None and (group is None or group.limit == 0):
             return refuse_unit(unit, ResultCode.NO_LEASE)
-        if held is None and unit.may_decline and self._is_leaving():
+        if held is None and unit.may_decline and self._refuses_units():
             return refuse_unit(unit, ResultCode.DRAINING)
         if held is None and _is_for_another_home(unit, group):
             return refuse_unit(unit, ResultCode.PRIMARY_UNREACHED, group.primary)
@@ -140,7 +140,7 @@
             self._open_transactions[key] = _OpenForwardedTransaction(session, placed.place)
         return StatementUnitEnd(unit.stream, placed.answer, session.status, session.written)
 
-    def _is_leaving(self) -> bool:
+    def _refuses_units(self) -> bool:
         """Tell whether the planned stop has reached the phase that refuses forwarded units."""
         return time.monotonic() >= self._stop.schedule.transactions_until
 
