--- a/limedyke/proxy/statements/homes/home_service.py
+++ b/limedyke/proxy/statements/homes/home_service.py
@@ -126,7 +126,7 @@
         if held is None and unit.may_decline and _waits_long_here(unit, group):
             return refuse_unit(unit, ResultCode.HOME_CROWDED, group.primary)
         session = held.session if held is not None else _new_session(unit)
-        _renew(session, unit)
+        _update_session(session, unit)
         session.begin_statement(self._stop.schedule.answers_until)
         run = RunOnMember(unit.statement, unit.begin, unit.writes, unit.prepared)
         pinned = held.pinned if held is not None else None
@@ -171,7 +171,7 @@
     return session
 
 
-def _renew(session: StatementSession, unit: StatementUnit) -> None:
+def _update_session(session: StatementSession, unit: StatementUnit) -> None:
     """Update the session from a unit; the unit's remaining time becomes the statement timeout."""
     session.database = dataclasses.replace(unit.database, statement_timeout_ms=unit.deadline_ms)
     session.settings = {setting.name: setting.value for setting in unit.settings}
