--- a/limedyke/proxy/statements/homes/home_service.py
+++ b/limedyke/proxy/statements/homes/home_service.py
@@ -121,7 +121,7 @@
             return refuse_unit(unit, ResultCode.NO_LEASE)
         if held is None and unit.may_decline and self._refuses_units():
             return refuse_unit(unit, ResultCode.DRAINING)
-        if held is None and _is_for_another_home(unit, group):
+        if held is None and _lacks_reachable_primary(unit, group):
             return refuse_unit(unit, ResultCode.PRIMARY_UNREACHED, group.primary)
         if held is None and unit.may_decline and _waits_long_here(unit, group):
             return refuse_unit(unit, ResultCode.HOME_CROWDED, group.primary)
@@ -195,7 +195,7 @@
     return unit.writes or begins_to_write or not group.is_surely_primary(group.primary)
 
 
-def _is_for_another_home(unit: StatementUnit, group: StatementGroup) -> bool:
+def _lacks_reachable_primary(unit: StatementUnit, group: StatementGroup) -> bool:
     """Tell whether to return a unit because it needs the primary, which can't be reached here."""
     if not group.has_unreachable_primary():
         return False
