--- a/features/steps/statement_forwarding_steps.py
+++ b/features/steps/statement_forwarding_steps.py
@@ -275,7 +275,7 @@
 @given("statement homes: {name:w} leaves nothing to others")
 def step_leaves_nothing(context, name):
     del name
-    context.patched = mock.patch.object(home_service, "_waits_long_here", lambda *_: False)
+    context.patched = mock.patch.object(home_service, "_would_wait_long", lambda *_: False)
     context.patched.start()
     context.add_cleanup(context.patched.stop)
 
--- a/limedyke/proxy/statements/homes/home_service.py
+++ b/limedyke/proxy/statements/homes/home_service.py
@@ -123,7 +123,7 @@
             return refuse_unit(unit, ResultCode.DRAINING)
         if held is None and _lacks_reachable_primary(unit, group):
             return refuse_unit(unit, ResultCode.PRIMARY_UNREACHED, group.primary)
-        if held is None and unit.may_decline and _waits_long_here(unit, group):
+        if held is None and unit.may_decline and _would_wait_long(unit, group):
             return refuse_unit(unit, ResultCode.HOME_CROWDED, group.primary)
         session = held.session if held is not None else _new_session(unit)
         _update_session(session, unit)
@@ -177,7 +177,7 @@
     session.settings = {setting.name: setting.value for setting in unit.settings}
 
 
-def _waits_long_here(unit: StatementUnit, group: StatementGroup) -> bool:
+def _would_wait_long(unit: StatementUnit, group: StatementGroup) -> bool:
     """Tell whether a unit that needs the primary would wait long for a connection to it here.
 
     Home proxies hold equal shares of a group's connections, but not all are equally loaded.
