--- a/limedyke/proxy/statements/homes/home_service.py
+++ b/limedyke/proxy/statements/homes/home_service.py
@@ -199,10 +199,10 @@
     """Tell whether to return a unit because it needs the primary, which can't be reached here."""
     if not group.has_unreachable_primary():
         return False
-    return _needs_primary(unit, group) or not _may_run_at_replica(unit, group)
+    return _needs_primary(unit, group) or not _replica_ready_soon(unit, group)
 
 
-def _may_run_at_replica(unit: StatementUnit, group: StatementGroup) -> bool:
+def _replica_ready_soon(unit: StatementUnit, group: StatementGroup) -> bool:
     """Tell whether a replica here is expected to serve a read sooner than another home proxy."""
     database = unit.database
     if database.consistency is Consistency.PRIMARY:
