--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -30,7 +30,7 @@
 SILENCE_LIMIT_S = 1.5
 """Silence, in seconds, after which a busy link is closed."""
 LOOK_INTERVAL_S = 0.05
-LOADED_MACHINE_S = 0.15
+LOADED_MACHINE_DELAY_S = 0.15
 """Allowed delay, in seconds, when a machine at either end is short of processor time."""
 HEARD_LATELY_S = 0.1
 """A link that received something within this time, in seconds, needs no probe before a unit."""
@@ -145,7 +145,7 @@
         It is the time until the probe, one check interval, the round trip of the probe, and the
         delay of a loaded machine.
         """
-        return SILENCE_BEFORE_PROBE_S + LOOK_INTERVAL_S + self.travel_s + LOADED_MACHINE_S
+        return SILENCE_BEFORE_PROBE_S + LOOK_INTERVAL_S + self.travel_s + LOADED_MACHINE_DELAY_S
 
     async def close_if_idle(self) -> None:
         """Close the link unless it is busy; no further unit can start on it."""
@@ -242,7 +242,7 @@
         self._signed.clear()
         self.used_at = time.monotonic()
         await self._put_quietly(LinkProbe(0, False))
-        await curio.ignore_after(self.travel_s + LOADED_MACHINE_S, self._signed.wait)
+        await curio.ignore_after(self.travel_s + LOADED_MACHINE_DELAY_S, self._signed.wait)
         if self._signed.is_set() and not self.closed:
             return True
         await self._note_no_sign()
