--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -32,7 +32,7 @@
 LOOK_INTERVAL_S = 0.05
 LOADED_MACHINE_DELAY_S = 0.15
 """Allowed delay, in seconds, when a machine at either end is short of processor time."""
-HEARD_LATELY_S = 0.1
+RECENT_RECEIVE_S = 0.1
 """A link that received something within this time, in seconds, needs no probe before a unit."""
 RECENT_USE_S = 1.0
 """A link used within this time, in seconds, stays open even above the limit of links: its caller
@@ -237,7 +237,7 @@
         The round trip is worth its cost before a unit that must not be sent twice, while other home
         proxies seem to have failed.
         """
-        if time.monotonic() - self._received_at < HEARD_LATELY_S:
+        if time.monotonic() - self._received_at < RECENT_RECEIVE_S:
             return True
         self._signed.clear()
         self.used_at = time.monotonic()
