--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -65,7 +65,7 @@
         self.wake = curio.Event()
 
 
-CROWDED_S = 0.3
+CROWDED_FOR_S = 0.3
 """Seconds for which a home proxy that refused a unit as crowded is chosen last: about the time in
 which it serves its waiting requests."""
 
@@ -131,7 +131,7 @@
 
     def was_crowded(self) -> None:
         """Record that the home proxy refused a unit as crowded."""
-        self.crowded_until = time.monotonic() + CROWDED_S
+        self.crowded_until = time.monotonic() + CROWDED_FOR_S
 
     @property
     def is_busy(self) -> bool:
