--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -231,7 +231,7 @@
         except LinkClosedError:
             return
 
-    async def gives_sign(self) -> bool:
+    async def answers_probe(self) -> bool:
         """Probe the other end unless it was heard recently; tell whether it answered in time.
 
         The round trip is worth its cost before a unit that must not be sent twice, while other home
--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -131,7 +131,7 @@
     ) -> StatementOutcome | None:
         """Try one home proxy; return None when another one should be tried."""
         attempt.tried.add(link.home)
-        if (attempt.unanswered or self.links.is_any_silent) and not await link.gives_sign():
+        if (attempt.unanswered or self.links.is_any_silent) and not await link.answers_probe():
             self._metrics.home_tries.labels(PROBE_UNANSWERED_LABEL).inc()
             attempt.last = f"no sign of life of home proxy {link.home}"
             return None
