--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -245,10 +245,10 @@
         await curio.ignore_after(self.travel_s + LOADED_MACHINE_DELAY_S, self._signed.wait)
         if self._signed.is_set() and not self.closed:
             return True
-        await self._note_no_sign()
+        await self._mark_silent()
         return False
 
-    async def _note_no_sign(self) -> None:
+    async def _mark_silent(self) -> None:
         """Mark the link as silent: it is probed until it receives data or closes, and not used."""
         self._owes_sign = True
         if not self._work_began.is_set():
