--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -110,7 +110,7 @@
         self._heard_at = time.monotonic()
         self._received_at = float("-inf")
         self._signed = curio.Event()
-        self._owes_sign = False
+        self._is_marked_silent = False
 
     @property
     def takes_work(self) -> bool:
@@ -120,8 +120,8 @@
     @property
     def is_silent(self) -> bool:
         """Whether the other end has been silent for too long and may be dead."""
-        if not self._streams or self._owes_sign:
-            return self._owes_sign
+        if not self._streams or self._is_marked_silent:
+            return self._is_marked_silent
         return time.monotonic() - self._heard_at > self.longest_silence_s
 
     @property
@@ -136,7 +136,7 @@
     @property
     def is_busy(self) -> bool:
         """Whether a unit or open transaction uses the link, or it is marked silent and probed."""
-        return bool(self._streams or self.transactions or self._owes_sign)
+        return bool(self._streams or self.transactions or self._is_marked_silent)
 
     @property
     def longest_silence_s(self) -> float:
@@ -173,7 +173,7 @@
             while True:
                 message = await self._link.receive()
                 self._heard_at = self._received_at = time.monotonic()
-                self._owes_sign = False
+                self._is_marked_silent = False
                 if not self._signed.is_set():
                     await self._signed.set()
                 await self._take(message)
@@ -250,7 +250,7 @@
 
     async def _mark_silent(self) -> None:
         """Mark the link as silent: it is probed until it receives data or closes, and not used."""
-        self._owes_sign = True
+        self._is_marked_silent = True
         if not self._work_began.is_set():
             await self._work_began.set()
 
@@ -298,7 +298,7 @@
             del self._number_of[unit.stream]
             self.used_at = time.monotonic()
             if not ended:
-                self._owes_sign = self._received_at <= began_at
+                self._is_marked_silent = self._received_at <= began_at
                 await self._put_quietly(AbandonWork(number, unit.transaction, False))
 
     async def _queue(self, unit: ForwardedUnit) -> bool:
