--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -129,7 +129,7 @@
         """Whether the home proxy recently refused a unit as crowded."""
         return time.monotonic() < self.crowded_until
 
-    def was_crowded(self) -> None:
+    def mark_crowded(self) -> None:
         """Record that the home proxy refused a unit as crowded."""
         self.crowded_until = time.monotonic() + CROWDED_FOR_S
 
--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -265,7 +265,7 @@
     if answer.code == _DRAINING_CODE:
         link.is_draining = True
     if answer.code == _CROWDED_CODE:
-        link.was_crowded()
+        link.mark_crowded()
 
 
 def home_time_s(limit_s: float, travel_s: float) -> float:
