--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -222,10 +222,10 @@
                 return self.is_busy
             if silence > SILENCE_BEFORE_PROBE_S:
                 sequence += 1
-                await self._put_quietly(LinkProbe(sequence, False))
+                await self._put_if_open(LinkProbe(sequence, False))
         return False
 
-    async def _put_quietly(self, message: object) -> None:
+    async def _put_if_open(self, message: object) -> None:
         try:
             await self._outbox.put(message)
         except LinkClosedError:
@@ -241,7 +241,7 @@
             return True
         self._signed.clear()
         self.used_at = time.monotonic()
-        await self._put_quietly(LinkProbe(0, False))
+        await self._put_if_open(LinkProbe(0, False))
         await curio.ignore_after(self.travel_s + LOADED_MACHINE_DELAY_S, self._signed.wait)
         if self._signed.is_set() and not self.closed:
             return True
@@ -299,7 +299,7 @@
             self.used_at = time.monotonic()
             if not ended:
                 self._is_marked_silent = self._received_at <= began_at
-                await self._put_quietly(AbandonWork(number, unit.transaction, False))
+                await self._put_if_open(AbandonWork(number, unit.transaction, False))
 
     async def _queue(self, unit: ForwardedUnit) -> bool:
         """Queue a unit to be sent; return False when the link has closed, so that it never is."""
@@ -345,7 +345,7 @@
     async def abandon(self, work: AbandonWork) -> None:
         """Forward a request to abandon or cancel work."""
         number = self._number_of.get(work.stream, 0)
-        await self._put_quietly(AbandonWork(number, work.transaction, work.cancel_only))
+        await self._put_if_open(AbandonWork(number, work.transaction, work.cancel_only))
 
 
 def surplus_links(links: Iterable[HomeLink], limit: int) -> list[HomeLink]:
