--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -107,7 +107,7 @@
         self._streams: dict[int, _Stream] = {}
         self._number_of: dict[int, int] = {}
         self._numbers = itertools.count(1)
-        self._heard_at = time.monotonic()
+        self._last_heard_at = time.monotonic()
         self._received_at = float("-inf")
         self._signed = curio.Event()
         self._is_marked_silent = False
@@ -122,7 +122,7 @@
         """Whether the other end has been silent for too long and may be dead."""
         if not self._streams or self._is_marked_silent:
             return self._is_marked_silent
-        return time.monotonic() - self._heard_at > self.longest_silence_s
+        return time.monotonic() - self._last_heard_at > self.longest_silence_s
 
     @property
     def is_crowded(self) -> bool:
@@ -172,7 +172,7 @@
         try:
             while True:
                 message = await self._link.receive()
-                self._heard_at = self._received_at = time.monotonic()
+                self._last_heard_at = self._received_at = time.monotonic()
                 self._is_marked_silent = False
                 if not self._signed.is_set():
                     await self._signed.set()
@@ -210,14 +210,14 @@
         Probes are sent during a silence, and pauses of this process don't count as silence.
         """
         sequence = 0
-        looked_at = self._heard_at = time.monotonic()
+        looked_at = self._last_heard_at = time.monotonic()
         while self.is_busy:
             await curio.sleep(LOOK_INTERVAL_S)
             now = time.monotonic()
             own_pause = max(0.0, now - looked_at - 2 * LOOK_INTERVAL_S)
             looked_at = now
-            self._heard_at += own_pause
-            silence = now - self._heard_at
+            self._last_heard_at += own_pause
+            silence = now - self._last_heard_at
             if silence > SILENCE_LIMIT_S:
                 return self.is_busy
             if silence > SILENCE_BEFORE_PROBE_S:
@@ -272,7 +272,7 @@
         stream = _Stream()
         began_at = time.monotonic()
         if not self.is_busy:
-            self._heard_at = began_at
+            self._last_heard_at = began_at
         self._streams[number] = stream
         self._number_of[unit.stream] = number
         self.used_at = time.monotonic()
@@ -329,7 +329,7 @@
             if self.closed:
                 return None
             stream.wake.clear()
-            heard_at = max(heard_at, self._heard_at)
+            heard_at = max(heard_at, self._last_heard_at)
             left_s = min(heard_at + patience_s, until) - time.monotonic()
             if left_s <= 0.0:
                 return None
--- a/limedyke/proxy/forwarding/server.py
+++ b/limedyke/proxy/forwarding/server.py
@@ -125,7 +125,7 @@
         self._outbox = Outbox(link)
         self._streams: dict[int, _Stream] = {}
         self._tasks: set[curio.Task] = set()
-        self._heard_at = time.monotonic()
+        self._last_heard_at = time.monotonic()
         self._work_began = curio.Event()
 
     async def run(self) -> None:
@@ -145,7 +145,7 @@
         try:
             while True:
                 message = await self._link.receive()
-                self._heard_at = time.monotonic()
+                self._last_heard_at = time.monotonic()
                 await self._take(message)
         except LinkClosedError:
             return
@@ -168,14 +168,14 @@
 
     async def _fell_silent(self) -> bool:
         """Tell whether the other end fell silent before all its work here had ended."""
-        looked_at = self._heard_at = time.monotonic()
+        looked_at = self._last_heard_at = time.monotonic()
         while self._is_busy:
             await curio.sleep(LOOK_INTERVAL_S)
             now = time.monotonic()
             own_pause_s = max(0.0, now - looked_at - 2 * LOOK_INTERVAL_S)
             looked_at = now
-            self._heard_at += own_pause_s
-            if self._is_busy and now - self._heard_at > SERVED_SILENCE_LIMIT_S:
+            self._last_heard_at += own_pause_s
+            if self._is_busy and now - self._last_heard_at > SERVED_SILENCE_LIMIT_S:
                 _log.warning("link-silent", origin=self._origin)
                 return True
         return False
