--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -108,7 +108,7 @@
         self._number_of: dict[int, int] = {}
         self._numbers = itertools.count(1)
         self._last_heard_at = time.monotonic()
-        self._received_at = float("-inf")
+        self._last_received_at = float("-inf")
         self._signed = curio.Event()
         self._is_marked_silent = False
 
@@ -172,7 +172,7 @@
         try:
             while True:
                 message = await self._link.receive()
-                self._last_heard_at = self._received_at = time.monotonic()
+                self._last_heard_at = self._last_received_at = time.monotonic()
                 self._is_marked_silent = False
                 if not self._signed.is_set():
                     await self._signed.set()
@@ -237,7 +237,7 @@
         The round trip is worth its cost before a unit that must not be sent twice, while other home
         proxies seem to have failed.
         """
-        if time.monotonic() - self._received_at < RECENT_RECEIVE_S:
+        if time.monotonic() - self._last_received_at < RECENT_RECEIVE_S:
             return True
         self._signed.clear()
         self.used_at = time.monotonic()
@@ -298,7 +298,7 @@
             del self._number_of[unit.stream]
             self.used_at = time.monotonic()
             if not ended:
-                self._is_marked_silent = self._received_at <= began_at
+                self._is_marked_silent = self._last_received_at <= began_at
                 await self._put_if_open(AbandonWork(number, unit.transaction, False))
 
     async def _queue(self, unit: ForwardedUnit) -> bool:
