--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -105,7 +105,7 @@
         self._link = link
         self._outbox = Outbox(link)
         self._streams: dict[int, _Stream] = {}
-        self._number_of: dict[int, int] = {}
+        self._stream_by_unit: dict[int, int] = {}
         self._numbers = itertools.count(1)
         self._last_heard_at = time.monotonic()
         self._last_received_at = float("-inf")
@@ -274,7 +274,7 @@
         if not self.is_busy:
             self._last_heard_at = began_at
         self._streams[number] = stream
-        self._number_of[unit.stream] = number
+        self._stream_by_unit[unit.stream] = number
         self.used_at = time.monotonic()
         sent = dataclasses.replace(unit, stream=number)
         ended = False
@@ -295,7 +295,7 @@
             return None
         finally:
             del self._streams[number]
-            del self._number_of[unit.stream]
+            del self._stream_by_unit[unit.stream]
             self.used_at = time.monotonic()
             if not ended:
                 self._is_marked_silent = self._last_received_at <= began_at
@@ -340,11 +340,11 @@
 
     def carries(self, work: AbandonWork) -> bool:
         """Tell whether a unit or its transaction is at this home proxy."""
-        return work.stream in self._number_of or work.transaction in self.transactions
+        return work.stream in self._stream_by_unit or work.transaction in self.transactions
 
     async def abandon(self, work: AbandonWork) -> None:
         """Forward a request to abandon or cancel work."""
-        number = self._number_of.get(work.stream, 0)
+        number = self._stream_by_unit.get(work.stream, 0)
         await self._put_if_open(AbandonWork(number, work.transaction, work.cancel_only))
 
 
