--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -284,7 +284,7 @@
             if not await self._queue(sent):
                 ended = True
                 return NOT_SENT
-            end = await self._follow(number, stream, unit, relay, patience_s, began_at + limit_s)
+            end = await self._await_end(number, stream, unit, relay, patience_s, began_at + limit_s)
             ended = end is not None or self.closed
             if end is None and self._outbox.withdraw(sent):
                 ended = True
@@ -309,7 +309,7 @@
             return False
         return True
 
-    async def _follow(
+    async def _await_end(
         self,
         number: int,
         stream: _Stream,
