--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -318,7 +318,7 @@
         patience_s: float,
         until: float,
     ) -> ForwardedEnd | None:
-        heard_at = time.monotonic()
+        last_heard_at = time.monotonic()
         while True:
             while stream.received:
                 message = stream.received.popleft()
@@ -329,8 +329,8 @@
             if self.closed:
                 return None
             stream.wake.clear()
-            heard_at = max(heard_at, self._last_heard_at)
-            left_s = min(heard_at + patience_s, until) - time.monotonic()
+            last_heard_at = max(last_heard_at, self._last_heard_at)
+            left_s = min(last_heard_at + patience_s, until) - time.monotonic()
             if left_s <= 0.0:
                 return None
             if left_s == NEVER:
