--- a/limedyke/proxy/forwarding/executor.py
+++ b/limedyke/proxy/forwarding/executor.py
@@ -25,7 +25,7 @@
 _RETRYABLE_CODES = frozenset({ResultCode.DRAINING.value.number, ResultCode.NO_MEMBER.value.number})
 
 
-class _WatchedRelay:
+class _TrackingRelay:
     """Relays an answer and records whether any of it was relayed."""
 
     def __init__(self, relay: Relay) -> None:
@@ -69,7 +69,7 @@
     async def run(self, unit: WorkUnit, relay: Relay) -> AnswerEnd:
         """Run a unit at a home proxy and return the end of its answer; see ``Executor``."""
         link = self._transactions.get(unit.transaction)
-        watched = _WatchedRelay(relay)
+        watched = _TrackingRelay(relay)
         if link is not None:
             return await self._run_in_transaction(link, unit, watched)
         started_at = time.monotonic()
@@ -107,7 +107,7 @@
         return True
 
     async def _run_at(
-        self, link: HomeLink, unit: WorkUnit, relay: _WatchedRelay
+        self, link: HomeLink, unit: WorkUnit, relay: _TrackingRelay
     ) -> AnswerEnd | NotSent | None:
         """Run a unit at a home proxy; None when the proxy was lost and the unit may be retried."""
         end = await link.run_unit(unit, relay)
@@ -118,7 +118,7 @@
         self._note_transaction(link, unit, end)
         return end
 
-    def _lost(self, unit: WorkUnit, relay: _WatchedRelay) -> AnswerEnd | None:
+    def _lost(self, unit: WorkUnit, relay: _TrackingRelay) -> AnswerEnd | None:
         """Return the outcome of a unit whose home proxy was lost; None for a repeatable read.
 
         A write may have run, so its outcome is unknown. A read may be repeated unless part of its
@@ -133,7 +133,7 @@
         return None
 
     async def _run_in_transaction(
-        self, link: HomeLink, unit: WorkUnit, relay: _WatchedRelay
+        self, link: HomeLink, unit: WorkUnit, relay: _TrackingRelay
     ) -> AnswerEnd:
         end = await link.run_unit(unit, relay)
         if end is None or end is NOT_SENT:
