--- a/limedyke/proxy/forwarding/executor.py
+++ b/limedyke/proxy/forwarding/executor.py
@@ -17,7 +17,7 @@
 from limedyke.transport.traffic import NO_METER, TrafficMeter
 
 MS_PER_S = 1_000.0
-NO_HOME_RETRY_MS = 500
+NO_HOME_RETRY_AFTER_MS = 500
 PAUSE_S = 0.05
 REFUSED_WAIT_S = 1.0
 """Seconds for which a unit is retried after home proxies refused it. All of them may lack
@@ -77,7 +77,7 @@
         tried: set[str] = set()
         lost = False
         end = refusal(
-            unit, ResultCode.NO_MEMBER, "no home proxy is reached", jittered(NO_HOME_RETRY_MS)
+            unit, ResultCode.NO_MEMBER, "no home proxy is reached", jittered(NO_HOME_RETRY_AFTER_MS)
         )
         while True:
             link = await self.links.choose(unit.group, tried)
