--- a/limedyke/proxy/forwarding/executor.py
+++ b/limedyke/proxy/forwarding/executor.py
@@ -112,13 +112,13 @@
         """Run a unit at a home proxy; None when the proxy was lost and the unit may be retried."""
         end = await link.run_unit(unit, relay)
         if end is None:
-            return self._lost(unit, relay)
+            return self._handle_lost_home(unit, relay)
         if end is NOT_SENT:
             return end
         self._note_transaction(link, unit, end)
         return end
 
-    def _lost(self, unit: WorkUnit, relay: _TrackingRelay) -> AnswerEnd | None:
+    def _handle_lost_home(self, unit: WorkUnit, relay: _TrackingRelay) -> AnswerEnd | None:
         """Return the outcome of a unit whose home proxy was lost; None for a repeatable read.
 
         A write may have run, so its outcome is unknown. A read may be repeated unless part of its
