--- a/limedyke/proxy/forwarding/home_links.py
+++ b/limedyke/proxy/forwarding/home_links.py
@@ -189,7 +189,7 @@
         near = [home for home in self._candidates_of(group) if home.region == region]
         if own is not None:
             near.append(own)
-        first = min(near, key=lambda home: _weight(tenant, home), default=own)
+        first = min(near, key=lambda home: _tenant_weight(tenant, home), default=own)
         is_elsewhere = first is not None and own is not None and first is not own
         name = self._tenant_homes[group, tenant] = first.name if is_elsewhere else ""
         return name
@@ -261,7 +261,10 @@
         if ordered is None:
             region = self._settings.region
             ordered = tuple(
-                sorted(candidates, key=lambda home: (home.region != region, _weight(tenant, home)))
+                sorted(
+                    candidates,
+                    key=lambda home: (home.region != region, _tenant_weight(tenant, home)),
+                )
             )
             self._ordered[group, tenant] = ordered
         return ordered
@@ -334,6 +337,6 @@
         return self._identity.key if role is PeerRole.PROXY else None
 
 
-def _weight(tenant: str, home: ProxyRecord) -> bytes:
+def _tenant_weight(tenant: str, home: ProxyRecord) -> bytes:
     """Return the sort key of a home proxy for a tenant, the same on all proxies."""
     return blake2b(f"{tenant} {home.name}".encode(), digest_size=8).digest()
