--- a/limedyke/proxy/forwarding/home_links.py
+++ b/limedyke/proxy/forwarding/home_links.py
@@ -138,12 +138,12 @@
         if silent_zones:
             records.sort(key=lambda record: record.zone in silent_zones)
         dialling = 0
-        doubtful = None
+        last_resort = None
         for record in records:
             link = self._open_link(record.name)
             if link is not None and link.takes_work and not link.is_crowded:
                 return self._spread(link, records, group, need)
-            doubtful = doubtful or link
+            last_resort = last_resort or link
             if link is None and dialling < DIALS_AT_ONCE:
                 await self._start_dial(record)
                 dialling += record.name in self._dialing
@@ -154,7 +154,7 @@
             link = self._open_link(record.name)
             if link is not None and link.takes_work and not link.is_crowded:
                 return link
-        return doubtful
+        return last_resort
 
     async def tenant_home_link(
         self, group: str, tenant: str, need: UnitRequirements
