--- a/limedyke/proxy/forwarding/home_links.py
+++ b/limedyke/proxy/forwarding/home_links.py
@@ -142,7 +142,7 @@
         for record in records:
             link = self._open_link(record.name)
             if link is not None and link.takes_work and not link.is_crowded:
-                return self._spread(link, records, group, need)
+                return self._balance(link, records, group, need)
             last_resort = last_resort or link
             if link is None and dialling < DIALS_AT_ONCE:
                 await self._start_dial(record)
@@ -194,7 +194,7 @@
         name = self._tenant_homes[group, tenant] = first.name if is_elsewhere else ""
         return name
 
-    def _spread(
+    def _balance(
         self, usual: HomeLink, records: list[ProxyRecord], group: str, need: UnitRequirements
     ) -> HomeLink:
         """Return the preferred link, or another one while the reported wait there is long."""
