--- a/limedyke/proxy/statements/homes/forwarded_attempt.py
+++ b/limedyke/proxy/statements/homes/forwarded_attempt.py
@@ -39,7 +39,7 @@
     :param home_wait_until: end of the wait for a home proxy or a lease
     :param hold_until: end of the wait for a primary that home proxies can reach
     :param tried: names of home proxies that did not run it
-    :param unanswered: number of tries without an answer, in which it may have run
+    :param unanswered_count: number of tries without an answer, in which it may have run
     :param unreached: number of home proxies since the last wait that could not reach the primary
     :param last: why the last try failed, for the refusal
     """
@@ -51,7 +51,7 @@
     home_wait_until: float
     hold_until: float
     tried: set[str] = field(default_factory=set)
-    unanswered: int = 0
+    unanswered_count: int = 0
     unreached: int = 0
     last: str = "no home proxy is reached"
 
@@ -85,7 +85,7 @@
         home proxy that gave no answer are never committed.
         """
         may_be_kept = self.run.writes and self.session.transaction is None
-        return may_be_kept or self.unanswered + 1 >= self.session.database.maximum_attempts
+        return may_be_kept or self.unanswered_count + 1 >= self.session.database.maximum_attempts
 
     def patience_s(self, link: HomeLink) -> float:
         """Return how long a link may be silent before another home proxy is tried."""
@@ -123,7 +123,7 @@
         """Return the final refusal of the statement, which had no lasting effect."""
         priority = self.session.database.priority
         retry_after_ms = self.group.retry_after_ms(priority, True, DEFAULT_READY_S)
-        return give_up(self.session, code, self.last, self.unanswered > 0, retry_after_ms)
+        return give_up(self.session, code, self.last, self.unanswered_count > 0, retry_after_ms)
 
     def outcome_of(self, answer: StatementAnswer) -> StatementAnswer:
         """Return the answer for the client, given the tries before it.
@@ -131,6 +131,6 @@
         A refusal says only that this home proxy did not run the statement; an unanswered try may
         have run it.
         """
-        if did_not_run(answer.code) and self.unanswered:
+        if did_not_run(answer.code) and self.unanswered_count:
             return give_up(self.session, ResultCode.READ_UNANSWERED, answer.detail, True)
         return answer
--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -98,7 +98,7 @@
         attempt = ForwardedAttempt.begin(session, run, group)
         unit = self._unit(session, run, 0)
         placed = await self._try_at(link, unit, attempt)
-        if placed is not None or not attempt.unanswered:
+        if placed is not None or not attempt.unanswered_count:
             return placed
         return await self._run_at_any(attempt, unit)
 
@@ -110,7 +110,7 @@
         :returns: None when this proxy holds a lease and no other proxy can have run it
         """
         group = attempt.group
-        while group.limit == 0 or attempt.unanswered:
+        while group.limit == 0 or attempt.unanswered_count:
             link = await self._choose(attempt)
             if attempt.unreached and (
                 link is None or attempt.unreached >= UNREACHABLE_PRIMARY_TRIES
@@ -131,7 +131,9 @@
     ) -> StatementOutcome | None:
         """Try one home proxy; return None when another one should be tried."""
         attempt.tried.add(link.home)
-        if (attempt.unanswered or self.links.is_any_silent) and not await link.answers_probe():
+        if (
+            attempt.unanswered_count or self.links.is_any_silent
+        ) and not await link.answers_probe():
             self._metrics.home_tries.labels(PROBE_UNANSWERED_LABEL).inc()
             attempt.last = f"no sign of life of home proxy {link.home}"
             return None
@@ -148,7 +150,7 @@
             return None
         if end is None:
             may_be_sent_again = attempt.may_be_sent_again()
-            attempt.unanswered += 1
+            attempt.unanswered_count += 1
             self._metrics.home_tries.labels(NO_ANSWER_LABEL).inc()
             attempt.last = f"no answer of home proxy {link.home}"
             if may_be_sent_again:
