--- a/limedyke/proxy/statements/homes/forwarded_attempt.py
+++ b/limedyke/proxy/statements/homes/forwarded_attempt.py
@@ -40,7 +40,7 @@
     :param hold_until: end of the wait for a primary that home proxies can reach
     :param tried: names of home proxies that did not run it
     :param unanswered_count: number of tries without an answer, in which it may have run
-    :param unreached: number of home proxies since the last wait that could not reach the primary
+    :param unreachable_count: home proxies since the last wait that could not reach the primary
     :param last: why the last try failed, for the refusal
     """
 
@@ -52,7 +52,7 @@
     hold_until: float
     tried: set[str] = field(default_factory=set)
     unanswered_count: int = 0
-    unreached: int = 0
+    unreachable_count: int = 0
     last: str = "no home proxy is reached"
 
     @classmethod
@@ -97,7 +97,7 @@
 
     def refused(self, answer: StatementAnswer, home: str) -> None:
         """Record a refusal after which another home proxy may be tried."""
-        self.unreached += answer.code == _PRIMARY_UNREACHED_CODE
+        self.unreachable_count += answer.code == _PRIMARY_UNREACHED_CODE
         self.last = f"{home}: {answer.detail}"
 
     async def wait_for_primary(self) -> bool:
@@ -108,7 +108,7 @@
         if not await self.group.wait_for_primary(min(until, self.deadline - MINIMUM_ATTEMPT_S)):
             return False
         self.tried.clear()
-        self.unreached = 0
+        self.unreachable_count = 0
         return True
 
     async def wait_for_home(self) -> bool:
--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -112,8 +112,8 @@
         group = attempt.group
         while group.limit == 0 or attempt.unanswered_count:
             link = await self._choose(attempt)
-            if attempt.unreached and (
-                link is None or attempt.unreached >= UNREACHABLE_PRIMARY_TRIES
+            if attempt.unreachable_count and (
+                link is None or attempt.unreachable_count >= UNREACHABLE_PRIMARY_TRIES
             ):
                 if not await attempt.wait_for_primary():
                     return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
