--- a/limedyke/proxy/statements/homes/home_loads.py
+++ b/limedyke/proxy/statements/homes/home_loads.py
@@ -34,10 +34,10 @@
         :param tenant: whose unit was answered; it stands for all tenants, as they are served in
             turn and wait about equally long
         """
-        counted = self._cached.get(group.name)
-        if counted is None or now - counted.at >= CACHE_TTL_S:
-            counted = self._cached[group.name] = _CachedLoad(_compute_load(group, tenant), now)
-        return counted.load
+        cached = self._cached.get(group.name)
+        if cached is None or now - cached.at >= CACHE_TTL_S:
+            cached = self._cached[group.name] = _CachedLoad(_compute_load(group, tenant), now)
+        return cached.load
 
 
 def _compute_load(group: StatementGroup, tenant: str) -> HomeLoad | None:
@@ -52,7 +52,7 @@
 def _waits_ms(pool: MemberPool, tenant: str) -> tuple[int, ...]:
     """Return the expected queueing time by priority; empty while the pool has room.
 
-    The time to open a connection is not counted: it is short, and another home proxy needs it too.
+    The time to open a connection is not cached: it is short, and another home proxy needs it too.
     """
     if pool.has_room:
         return ()
