--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -29,7 +29,7 @@
 that healthy links are rarely probed."""
 SILENCE_LIMIT_S = 1.5
 """Silence, in seconds, after which a busy link is closed."""
-LOOK_INTERVAL_S = 0.05
+CHECK_INTERVAL_S = 0.05
 LOADED_MACHINE_DELAY_S = 0.15
 """Allowed delay, in seconds, when a machine at either end is short of processor time."""
 RECENT_RECEIVE_S = 0.1
@@ -145,7 +145,7 @@
         It is the time until the probe, one check interval, the round trip of the probe, and the
         delay of a loaded machine.
         """
-        return SILENCE_BEFORE_PROBE_S + LOOK_INTERVAL_S + self.travel_s + LOADED_MACHINE_DELAY_S
+        return SILENCE_BEFORE_PROBE_S + CHECK_INTERVAL_S + self.travel_s + LOADED_MACHINE_DELAY_S
 
     async def close_if_idle(self) -> None:
         """Close the link unless it is busy; no further unit can start on it."""
@@ -212,9 +212,9 @@
         sequence = 0
         looked_at = self._last_heard_at = time.monotonic()
         while self.is_busy:
-            await curio.sleep(LOOK_INTERVAL_S)
+            await curio.sleep(CHECK_INTERVAL_S)
             now = time.monotonic()
-            own_pause = max(0.0, now - looked_at - 2 * LOOK_INTERVAL_S)
+            own_pause = max(0.0, now - looked_at - 2 * CHECK_INTERVAL_S)
             looked_at = now
             self._last_heard_at += own_pause
             silence = now - self._last_heard_at
--- a/limedyke/proxy/forwarding/server.py
+++ b/limedyke/proxy/forwarding/server.py
@@ -28,7 +28,7 @@
 SERVED_SILENCE_LIMIT_S = 3.0
 """Silence, in seconds, after which a busy link is closed. It is longer than the sender's own limit,
 so that the sender has abandoned the link by then."""
-LOOK_INTERVAL_S = 0.1
+CHECK_INTERVAL_S = 0.1
 
 _log = EventLog("forwarding")
 
@@ -170,9 +170,9 @@
         """Tell whether the other end fell silent before all its work here had ended."""
         looked_at = self._last_heard_at = time.monotonic()
         while self._is_busy:
-            await curio.sleep(LOOK_INTERVAL_S)
+            await curio.sleep(CHECK_INTERVAL_S)
             now = time.monotonic()
-            own_pause_s = max(0.0, now - looked_at - 2 * LOOK_INTERVAL_S)
+            own_pause_s = max(0.0, now - looked_at - 2 * CHECK_INTERVAL_S)
             looked_at = now
             self._last_heard_at += own_pause_s
             if self._is_busy and now - self._last_heard_at > SERVED_SILENCE_LIMIT_S:
--- a/limedyke/proxy/statements/planned_stop.py
+++ b/limedyke/proxy/statements/planned_stop.py
@@ -13,7 +13,7 @@
 from limedyke.proxy.forwarding.server import ForwardingServer
 from limedyke.proxy.statements.clients.client import StatementClient
 
-LOOK_INTERVAL_S = 0.05
+CHECK_INTERVAL_S = 0.05
 MS_PER_S = 1_000
 EVENTS = EventLog("proxy")
 
@@ -92,7 +92,7 @@
                 return
             for client in list(self._clients):
                 await client.end_if_due()
-            await curio.sleep(LOOK_INTERVAL_S)
+            await curio.sleep(CHECK_INTERVAL_S)
 
     async def _answer_the_rest(self, schedule: StopSchedule) -> int:
         """Answer each running statement with its known outcome; return how many there were."""
@@ -103,5 +103,5 @@
         while self._clients and time.monotonic() < schedule.ends_at:
             for client in list(self._clients):
                 await client.end_if_due()
-            await curio.sleep(LOOK_INTERVAL_S)
+            await curio.sleep(CHECK_INTERVAL_S)
         return interrupted
