--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -109,7 +109,7 @@
         self._numbers = itertools.count(1)
         self._last_heard_at = time.monotonic()
         self._last_received_at = float("-inf")
-        self._signed = curio.Event()
+        self._heard = curio.Event()
         self._is_marked_silent = False
 
     @property
@@ -164,7 +164,7 @@
             self.closed = True
             self._outbox.closed = True
             await self._link.close()
-            await self._signed.set()
+            await self._heard.set()
             for stream in list(self._streams.values()):
                 await stream.wake.set()
 
@@ -174,8 +174,8 @@
                 message = await self._link.receive()
                 self._last_heard_at = self._last_received_at = time.monotonic()
                 self._is_marked_silent = False
-                if not self._signed.is_set():
-                    await self._signed.set()
+                if not self._heard.is_set():
+                    await self._heard.set()
                 await self._take(message)
         except LinkClosedError:
             return
@@ -239,11 +239,11 @@
         """
         if time.monotonic() - self._last_received_at < RECENT_RECEIVE_S:
             return True
-        self._signed.clear()
+        self._heard.clear()
         self.used_at = time.monotonic()
         await self._put_if_open(LinkProbe(0, False))
-        await curio.ignore_after(self.travel_s + LOADED_MACHINE_DELAY_S, self._signed.wait)
-        if self._signed.is_set() and not self.closed:
+        await curio.ignore_after(self.travel_s + LOADED_MACHINE_DELAY_S, self._heard.wait)
+        if self._heard.is_set() and not self.closed:
             return True
         await self._mark_silent()
         return False
