--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -258,12 +258,12 @@
         self,
         unit: ForwardedUnit,
         relay: Relay = no_relay,
-        patience_s: float = NEVER,
+        silence_limit_s: float = NEVER,
         limit_s: float = NEVER,
     ) -> ForwardedEnd | NotSent | None:
         """Run a unit at the home proxy.
 
-        :param patience_s: longest silence of the link before the unit is abandoned
+        :param silence_limit_s: longest silence of the link before the unit is abandoned
         :param limit_s: timeout in seconds
         :returns: the end of its answer. None when there was none in time, so that the unit may have
             run; ``NOT_SENT`` when no byte of it was or will be sent
@@ -284,7 +284,9 @@
             if not await self._queue(sent):
                 ended = True
                 return NOT_SENT
-            end = await self._await_end(number, stream, unit, relay, patience_s, began_at + limit_s)
+            end = await self._await_end(
+                number, stream, unit, relay, silence_limit_s, began_at + limit_s
+            )
             ended = end is not None or self.closed
             if end is None and self._outbox.withdraw(sent):
                 ended = True
@@ -315,7 +317,7 @@
         stream: _Stream,
         unit: ForwardedUnit,
         relay: Relay,
-        patience_s: float,
+        silence_limit_s: float,
         until: float,
     ) -> ForwardedEnd | None:
         last_heard_at = time.monotonic()
@@ -330,7 +332,7 @@
                 return None
             stream.wake.clear()
             last_heard_at = max(last_heard_at, self._last_heard_at)
-            left_s = min(last_heard_at + patience_s, until) - time.monotonic()
+            left_s = min(last_heard_at + silence_limit_s, until) - time.monotonic()
             if left_s <= 0.0:
                 return None
             if left_s == NEVER:
--- a/limedyke/proxy/statements/homes/forwarded_attempt.py
+++ b/limedyke/proxy/statements/homes/forwarded_attempt.py
@@ -87,7 +87,7 @@
         may_be_kept = self.run.writes and self.session.transaction is None
         return may_be_kept or self.unanswered_count + 1 >= self.session.database.maximum_attempts
 
-    def patience_s(self, link: HomeLink) -> float:
+    def silence_limit_s(self, link: HomeLink) -> float:
         """Return how long a link may be silent before another home proxy is tried."""
         return NEVER if self.is_last_try else link.longest_silence_s
 
--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -142,7 +142,7 @@
             unit, may_decline=not is_last_choice, transaction=self._transaction_for(attempt)
         )
         attempt.session.tries_under_way += 1
-        end = await self._send_to(link, unit, attempt.time_left(), attempt.patience_s(link))
+        end = await self._send_to(link, unit, attempt.time_left(), attempt.silence_limit_s(link))
         if end is NOT_SENT:
             attempt.session.tries_under_way -= 1
             self._metrics.home_tries.labels(NOT_SENT.value).inc()
@@ -213,16 +213,16 @@
         )
 
     async def _send_to(
-        self, link: HomeLink, unit: StatementUnit, limit_s: float, patience_s: float = NEVER
+        self, link: HomeLink, unit: StatementUnit, limit_s: float, silence_limit_s: float = NEVER
     ) -> StatementUnitEnd | NotSent | None:
         """Run a unit at a home proxy; None when it gives no answer in time.
 
-        :param patience_s: see ``HomeLink.run_unit``
+        :param silence_limit_s: see ``HomeLink.run_unit``
         """
         self._metrics.forwarded_out.inc()
         deadline_ms = max(1, int(home_time_s(limit_s, link.travel_s) * MS_PER_S))
         sent = dataclasses.replace(unit, stream=next(self._numbers), deadline_ms=deadline_ms)
-        end = await link.run_unit(sent, patience_s=patience_s, limit_s=limit_s)
+        end = await link.run_unit(sent, silence_limit_s=silence_limit_s, limit_s=limit_s)
         if isinstance(end, StatementUnitEnd):
             group = unit.database.group
             self.links.loads.told(link.home, group, end.load, time.monotonic())
