--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -176,11 +176,11 @@
                 self._is_marked_silent = False
                 if not self._heard.is_set():
                     await self._heard.set()
-                await self._take(message)
+                await self._handle(message)
         except LinkClosedError:
             return
 
-    async def _take(self, message: object) -> None:
+    async def _handle(self, message: object) -> None:
         if not isinstance(message, AnswerChunk | AnswerEnd | StatementUnitEnd):
             return
         stream = self._streams.get(message.stream)
--- a/limedyke/proxy/forwarding/server.py
+++ b/limedyke/proxy/forwarding/server.py
@@ -146,7 +146,7 @@
             while True:
                 message = await self._link.receive()
                 self._last_heard_at = time.monotonic()
-                await self._take(message)
+                await self._handle(message)
         except LinkClosedError:
             return
 
@@ -193,7 +193,7 @@
         finally:
             self._tasks.discard(await curio.current_task())
 
-    async def _take(self, message: object) -> None:
+    async def _handle(self, message: object) -> None:
         if isinstance(message, self._server.unit_kind):
             stream = _Stream(message.stream, self._outbox)
             self._streams[message.stream] = stream
