--- a/limedyke/proxy/statements/members/idle_connections.py
+++ b/limedyke/proxy/statements/members/idle_connections.py
@@ -41,7 +41,7 @@
         """Remove and return the longest idle connection, or None."""
         return self._connections.pop(0) if self._connections else None
 
-    def take_unheard(self, since: float) -> list[MemberConnection]:
+    def take_silent_since(self, since: float) -> list[MemberConnection]:
         """Remove and return all connections that received nothing since a moment."""
         unheard = [connection for connection in self._connections if connection.heard_at < since]
         self._connections = [kept for kept in self._connections if kept.heard_at >= since]
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -192,9 +192,9 @@
         connection.lent_at = time.monotonic()
         return connection
 
-    def take_unheard(self, since: float) -> list[MemberConnection]:
+    def take_silent_since(self, since: float) -> list[MemberConnection]:
         """Check out all idle connections that received nothing since a moment; they may be dead."""
-        unheard = self._idle.take_unheard(since)
+        unheard = self._idle.take_silent_since(since)
         self.observed.outstanding += len(unheard)
         return unheard
 
