--- a/limedyke/proxy/statements/members/idle_connections.py
+++ b/limedyke/proxy/statements/members/idle_connections.py
@@ -43,9 +43,11 @@
 
     def take_silent_since(self, since: float) -> list[MemberConnection]:
         """Remove and return all connections that received nothing since a moment."""
-        unheard = [connection for connection in self._connections if connection.heard_at < since]
+        silent_connections = [
+            connection for connection in self._connections if connection.heard_at < since
+        ]
         self._connections = [kept for kept in self._connections if kept.heard_at >= since]
-        return unheard
+        return silent_connections
 
     def take_idle_before(self, moment: float) -> MemberConnection | None:
         """Remove and return the longest idle connection if it became idle before a moment."""
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -194,9 +194,9 @@
 
     def take_silent_since(self, since: float) -> list[MemberConnection]:
         """Check out all idle connections that received nothing since a moment; they may be dead."""
-        unheard = self._idle.take_silent_since(since)
-        self.observed.outstanding += len(unheard)
-        return unheard
+        silent_connections = self._idle.take_silent_since(since)
+        self.observed.outstanding += len(silent_connections)
+        return silent_connections
 
     @property
     def has_room(self) -> bool:
--- a/limedyke/proxy/statements/members/member_queries.py
+++ b/limedyke/proxy/statements/members/member_queries.py
@@ -124,18 +124,18 @@
         await self._check_unheard(pool, pool.take_silent_since(silent_since), limit_s)
 
     async def _check_unheard(
-        self, pool: MemberPool, unheard: list[MemberConnection], limit_s: float
+        self, pool: MemberPool, silent_connections: list[MemberConnection], limit_s: float
     ) -> None:
         """Query idle connections one after the other, as each query takes a slot of the member.
 
         Once one doesn't answer, the others are closed too: they probably broke together.
         """
-        while unheard:
-            connection = unheard.pop()
+        while silent_connections:
+            connection = silent_connections.pop()
             await self._ask_on(pool, connection, limit_s)
             if connection.is_closed:
                 break
-        for connection in unheard:
+        for connection in silent_connections:
             await connection.close()
             await pool.putconn(connection)
 
