--- a/limedyke/proxy/statements/members/member_queries.py
+++ b/limedyke/proxy/statements/members/member_queries.py
@@ -121,9 +121,9 @@
         if connection.is_closed:
             pool.observed.answer_timed_out(asked_at, limit_s, time.monotonic())
             return
-        await self._check_unheard(pool, pool.take_silent_since(silent_since), limit_s)
+        await self._check_silent_connections(pool, pool.take_silent_since(silent_since), limit_s)
 
-    async def _check_unheard(
+    async def _check_silent_connections(
         self, pool: MemberPool, silent_connections: list[MemberConnection], limit_s: float
     ) -> None:
         """Query idle connections one after the other, as each query takes a slot of the member.
