--- a/limedyke/proxy/statements/members/idle_connections.py
+++ b/limedyke/proxy/statements/members/idle_connections.py
@@ -44,9 +44,9 @@
     def take_silent_since(self, since: float) -> list[MemberConnection]:
         """Remove and return all connections that received nothing since a moment."""
         silent_connections = [
-            connection for connection in self._connections if connection.heard_at < since
+            connection for connection in self._connections if connection.last_received_at < since
         ]
-        self._connections = [kept for kept in self._connections if kept.heard_at >= since]
+        self._connections = [kept for kept in self._connections if kept.last_received_at >= since]
         return silent_connections
 
     def take_idle_before(self, moment: float) -> MemberConnection | None:
--- a/limedyke/proxy/statements/members/member_connection.py
+++ b/limedyke/proxy/statements/members/member_connection.py
@@ -47,7 +47,7 @@
     :ivar values: session values set on the connection
     :ivar status: of the connection's transaction
     :ivar lent_at: when a request last checked it out
-    :ivar heard_at: when data last arrived on it
+    :ivar last_received_at: when data last arrived on it
     :ivar is_reserved: it is checked out by a request that has not sent anything yet
     :ivar connected_in_s: duration of the TCP connect, about one network round trip
     :ivar opened_in_s: duration of the whole opening, without pauses of this process
@@ -73,7 +73,7 @@
         self.is_closed = False
         self.idle_since = time.monotonic()
         self.lent_at = self.idle_since
-        self.heard_at = self.idle_since
+        self.last_received_at = self.idle_since
         self.is_reserved = False
         self.connected_in_s = 0.0
         self.opened_in_s = 0.0
@@ -250,7 +250,7 @@
             data = await self._socket.recv(RECEIVE_BYTES)
             if not data:
                 raise OSError("closed by the member")
-            self.heard_at = time.monotonic()
+            self.last_received_at = time.monotonic()
             self._traffic.received(self._purpose, len(data))
             self._answers.extend(self._codec.feed(data))
         return self._answers.popleft()
