--- a/features/support/burst_pool.py
+++ b/features/support/burst_pool.py
@@ -32,7 +32,7 @@
         self.is_reserved = False
         self.opened_in_s = opened_in_s
         self.connected_in_s = 0.0
-        self.lent_at = self.idle_since = self.last_received_at = time.monotonic()
+        self.checked_out_at = self.idle_since = self.last_received_at = time.monotonic()
 
     def is_alive(self) -> bool:
         """Tell whether it is open."""
--- a/limedyke/proxy/statements/members/checked_out_connections.py
+++ b/limedyke/proxy/statements/members/checked_out_connections.py
@@ -24,7 +24,7 @@
 
     def lend(self, connection: MemberConnection, request: QueuedRequest, now: float) -> None:
         """Record that a request checked out a connection."""
-        connection.lent_at = now
+        connection.checked_out_at = now
         self._requests[connection] = request
 
     def take_back(self, connection: MemberConnection) -> QueuedRequest | None:
@@ -34,7 +34,7 @@
     def held(self, usual_s: float, now: float) -> int:
         """Return how many are checked out for so long that their return can't be predicted."""
         limit_s = max(HELD_S, HELD_FACTOR * usual_s)
-        return sum(now - connection.lent_at > limit_s for connection in self._requests)
+        return sum(now - connection.checked_out_at > limit_s for connection in self._requests)
 
     def turned_over(self, changed: bool) -> None:
         """Record whether a turn needed a new connection."""
--- a/limedyke/proxy/statements/members/member_connection.py
+++ b/limedyke/proxy/statements/members/member_connection.py
@@ -46,7 +46,7 @@
     :ivar tenant: the only tenant whose statements it runs
     :ivar values: session values set on the connection
     :ivar status: of the connection's transaction
-    :ivar lent_at: when a request last checked it out
+    :ivar checked_out_at: when a request last checked it out
     :ivar last_received_at: when data last arrived on it
     :ivar is_reserved: it is checked out by a request that has not sent anything yet
     :ivar connected_in_s: duration of the TCP connect, about one network round trip
@@ -72,7 +72,7 @@
         self.status = TransactionStatus.IDLE
         self.is_closed = False
         self.idle_since = time.monotonic()
-        self.lent_at = self.idle_since
+        self.checked_out_at = self.idle_since
         self.last_received_at = self.idle_since
         self.is_reserved = False
         self.connected_in_s = 0.0
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -189,7 +189,7 @@
             raise opened.err_value
         connection = opened.ok_value
         self.observed.outstanding += 1
-        connection.lent_at = time.monotonic()
+        connection.checked_out_at = time.monotonic()
         return connection
 
     def take_silent_since(self, since: float) -> list[MemberConnection]:
@@ -303,7 +303,7 @@
         self.sent_on(connection)
         request = self._lent.take_back(connection)
         if request is not None:
-            self._queue.finished(request, time.monotonic() - connection.lent_at)
+            self._queue.finished(request, time.monotonic() - connection.checked_out_at)
         is_usable = not connection.is_closed and connection.status is TransactionStatus.IDLE
         if not is_usable or self.is_closed or self.opened > self.limit:
             await self._give_up(connection)
