--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -106,7 +106,7 @@
         self._opening: Counter[str] = Counter()
         self._idle = IdleConnections()
         self._queue = RequestQueue(FIRST_ANSWER_S)
-        self._lent = CheckedOutConnections()
+        self._checked_out = CheckedOutConnections()
         self._turns = TurnRate()
         self._returns = ReturnSchedule()
         self._recount_at = 0.0
@@ -156,7 +156,7 @@
     def _lend(self, connection: MemberConnection, request: ConnectionWaiter) -> MemberConnection:
         now = time.monotonic()
         self.observed.outstanding += 1
-        self._lent.lend(connection, request, now)
+        self._checked_out.lend(connection, request, now)
         if request.was_let_in:
             self._turns.had_turn(now)
         self._queue.started(request, waited=request.was_let_in)
@@ -275,9 +275,9 @@
         """Estimate the time between two turns, without connections held by idle transactions."""
         connections = self.opened if now < self._full_until else self.limit
         usual_s = self._queue.usual_cost_s
-        at_work = connections - self._lent.held(usual_s, now)
+        at_work = connections - self._checked_out.held(usual_s, now)
         serving = max(1, min(at_work, self.observed.concurrency.limit))
-        opening_s = self._lent.change_share * self.observed.opening.usual_s
+        opening_s = self._checked_out.change_share * self.observed.opening.usual_s
         return (usual_s + opening_s) / serving
 
     @property
@@ -301,7 +301,7 @@
         """Return a connection to the pool; one that is closed or in a transaction is discarded."""
         self.observed.outstanding -= 1
         self.sent_on(connection)
-        request = self._lent.take_back(connection)
+        request = self._checked_out.take_back(connection)
         if request is not None:
             self._queue.finished(request, time.monotonic() - connection.checked_out_at)
         is_usable = not connection.is_closed and connection.status is TransactionStatus.IDLE
@@ -345,7 +345,7 @@
             if connection is None:
                 await self._open_one(waiter.tenant, time.monotonic() - waiter.arrived_at)
             elif waiter.is_waiting:
-                self._lent.turned_over(changed=False)
+                self._checked_out.turned_over(changed=False)
                 self._queue.remove(waiter)
                 await waiter.give(connection)
             else:
@@ -365,13 +365,13 @@
             return
         for waiter in self._queue.in_order(now):
             if waiter.takes(connection.tenant):
-                self._lent.turned_over(changed=False)
+                self._checked_out.turned_over(changed=False)
                 self._queue.remove(waiter)
                 self._reserve(connection)
                 await waiter.give(connection)
                 return
             if self._must_wait(waiter):
-                self._lent.turned_over(changed=True)
+                self._checked_out.turned_over(changed=True)
                 await self._discard(connection)
                 await self._begin_opening(waiter.tenant)
                 return
