--- a/limedyke/proxy/statements/members/checked_out_connections.py
+++ b/limedyke/proxy/statements/members/checked_out_connections.py
@@ -22,7 +22,7 @@
         self.change_share = 0.0
         self._requests: dict[MemberConnection, QueuedRequest] = {}
 
-    def lend(self, connection: MemberConnection, request: QueuedRequest, now: float) -> None:
+    def check_out(self, connection: MemberConnection, request: QueuedRequest, now: float) -> None:
         """Record that a request checked out a connection."""
         connection.checked_out_at = now
         self._requests[connection] = request
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -156,7 +156,7 @@
     def _lend(self, connection: MemberConnection, request: ConnectionWaiter) -> MemberConnection:
         now = time.monotonic()
         self.observed.outstanding += 1
-        self._checked_out.lend(connection, request, now)
+        self._checked_out.check_out(connection, request, now)
         if request.was_let_in:
             self._turns.had_turn(now)
         self._queue.started(request, waited=request.was_let_in)
