--- a/limedyke/proxy/statements/members/checked_out_connections.py
+++ b/limedyke/proxy/statements/members/checked_out_connections.py
@@ -27,7 +27,7 @@
         connection.checked_out_at = now
         self._requests[connection] = request
 
-    def take_back(self, connection: MemberConnection) -> QueuedRequest | None:
+    def check_in(self, connection: MemberConnection) -> QueuedRequest | None:
         """Record a return; return the request that had the connection, None for a status query."""
         return self._requests.pop(connection, None)
 
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -301,7 +301,7 @@
         """Return a connection to the pool; one that is closed or in a transaction is discarded."""
         self.observed.outstanding -= 1
         self.sent_on(connection)
-        request = self._checked_out.take_back(connection)
+        request = self._checked_out.check_in(connection)
         if request is not None:
             self._queue.finished(request, time.monotonic() - connection.checked_out_at)
         is_usable = not connection.is_closed and connection.status is TransactionStatus.IDLE
