--- a/limedyke/proxy/statements/members/checked_out_connections.py
+++ b/limedyke/proxy/statements/members/checked_out_connections.py
@@ -36,6 +36,6 @@
         limit_s = max(HELD_S, HELD_FACTOR * usual_s)
         return sum(now - connection.checked_out_at > limit_s for connection in self._requests)
 
-    def turned_over(self, changed: bool) -> None:
+    def record_turn(self, changed: bool) -> None:
         """Record whether a turn needed a new connection."""
         self.change_share += CHANGE_SMOOTHING * (float(changed) - self.change_share)
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -345,7 +345,7 @@
             if connection is None:
                 await self._open_one(waiter.tenant, time.monotonic() - waiter.arrived_at)
             elif waiter.is_waiting:
-                self._checked_out.turned_over(changed=False)
+                self._checked_out.record_turn(changed=False)
                 self._queue.remove(waiter)
                 await waiter.give(connection)
             else:
@@ -365,13 +365,13 @@
             return
         for waiter in self._queue.in_order(now):
             if waiter.takes(connection.tenant):
-                self._checked_out.turned_over(changed=False)
+                self._checked_out.record_turn(changed=False)
                 self._queue.remove(waiter)
                 self._reserve(connection)
                 await waiter.give(connection)
                 return
             if self._must_wait(waiter):
-                self._checked_out.turned_over(changed=True)
+                self._checked_out.record_turn(changed=True)
                 await self._discard(connection)
                 await self._begin_opening(waiter.tenant)
                 return
