--- a/limedyke/proxy/statements/members/checked_out_connections.py
+++ b/limedyke/proxy/statements/members/checked_out_connections.py
@@ -15,11 +15,11 @@
 class CheckedOutConnections:
     """Tracks which request has which connection, and how often a turn needs a new connection.
 
-    :ivar change_share: smoothed share of turns that replaced a connection with another tenant's
+    :ivar reopen_share: smoothed share of turns that replaced a connection with another tenant's
     """
 
     def __init__(self) -> None:
-        self.change_share = 0.0
+        self.reopen_share = 0.0
         self._requests: dict[MemberConnection, QueuedRequest] = {}
 
     def check_out(self, connection: MemberConnection, request: QueuedRequest, now: float) -> None:
@@ -38,4 +38,4 @@
 
     def record_turn(self, changed: bool) -> None:
         """Record whether a turn needed a new connection."""
-        self.change_share += CHANGE_SMOOTHING * (float(changed) - self.change_share)
+        self.reopen_share += CHANGE_SMOOTHING * (float(changed) - self.reopen_share)
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -277,7 +277,7 @@
         usual_s = self._queue.usual_cost_s
         at_work = connections - self._checked_out.held(usual_s, now)
         serving = max(1, min(at_work, self.observed.concurrency.limit))
-        opening_s = self._checked_out.change_share * self.observed.opening.usual_s
+        opening_s = self._checked_out.reopen_share * self.observed.opening.usual_s
         return (usual_s + opening_s) / serving
 
     @property
