--- a/limedyke/proxy/statements/members/checked_out_connections.py
+++ b/limedyke/proxy/statements/members/checked_out_connections.py
@@ -9,7 +9,7 @@
 HELD_FACTOR = 8.0
 """A connection that is checked out for longer than both ``HELD_S`` seconds and ``HELD_FACTOR``
 times the usual time is taken to be held by an idle transaction; its return is not expected."""
-CHANGE_SMOOTHING = 0.2
+REOPEN_SHARE_SMOOTHING = 0.2
 
 
 class CheckedOutConnections:
@@ -38,4 +38,4 @@
 
     def record_turn(self, changed: bool) -> None:
         """Record whether a turn needed a new connection."""
-        self.reopen_share += CHANGE_SMOOTHING * (float(changed) - self.reopen_share)
+        self.reopen_share += REOPEN_SHARE_SMOOTHING * (float(changed) - self.reopen_share)
