--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -40,16 +40,16 @@
 """Idle time, in seconds, after which a connection is closed. Few idle connections are kept so that
 a member has room for proxies that restart: it holds the connections of a lost machine for some
 seconds."""
-USUAL_SHARE = 0.5
+SOFT_LIMIT_SHARE = 0.5
 """Share of the lease up to which connections are opened without a wait. The rest is left free
 because a member holds the connections of machines that lost power for some seconds, and restarted
 ones need room beside them."""
 GROWTH_WAIT_S = 0.03
-"""Seconds a request waits before a connection beyond ``USUAL_SHARE`` may be opened for it."""
+"""Seconds a request waits before a connection beyond ``SOFT_LIMIT_SHARE`` may be opened for it."""
 OPENING_SHARE = 0.25
 """Share of the time to open a connection that counts as a cost in the choice of a member."""
 SURPLUS_IDLE_CLOSE_S = 1.0
-"""Idle time, in seconds, after which a connection beyond ``USUAL_SHARE`` is closed."""
+"""Idle time, in seconds, after which a connection beyond ``SOFT_LIMIT_SHARE`` is closed."""
 NO_TENANT = ""
 """Tenant of the connections for status queries and public databases."""
 RECOUNT_INTERVAL_S = 0.02
@@ -206,7 +206,7 @@
 
     @property
     def has_usual_room(self) -> bool:
-        """Whether a connection is available at once without exceeding ``USUAL_SHARE``."""
+        """Whether a connection is available at once without exceeding ``SOFT_LIMIT_SHARE``."""
         has_room = self.observed.has_room(time.monotonic())
         return has_room and (bool(self._idle) or self._may_open(waited_s=0.0))
 
@@ -283,7 +283,7 @@
     @property
     def usual_limit(self) -> int:
         """Number of connections that are opened without a wait."""
-        return math.ceil(self.limit * USUAL_SHARE)
+        return math.ceil(self.limit * SOFT_LIMIT_SHARE)
 
     def _may_open(self, waited_s: float = GROWTH_WAIT_S) -> bool:
         """Tell whether the lease and the member allow one more connection.
@@ -447,7 +447,7 @@
         await self._wake_all()
 
     async def close_idle(self, now: float) -> None:
-        """Close connections that were idle for too long, sooner beyond ``USUAL_SHARE``."""
+        """Close connections that were idle for too long, sooner beyond ``SOFT_LIMIT_SHARE``."""
         while True:
             is_surplus = self.opened > self.usual_limit
             limit_s = SURPLUS_IDLE_CLOSE_S if is_surplus else IDLE_CLOSE_S
@@ -492,7 +492,7 @@
         await curio.spawn(self._open, opener, daemon=True)
 
     def _may_open_beside_idle(self) -> bool:
-        """Tell whether to exceed ``USUAL_SHARE`` rather than replace an idle connection.
+        """Tell whether to exceed ``SOFT_LIMIT_SHARE`` rather than replace an idle connection.
 
         This holds while all idle connections were used a moment ago: a closed one would have to be
         reopened for the next request of its tenant. Unused ones are closed soon anyway.
@@ -662,7 +662,7 @@
     ) -> MemberConnection | None:
         """Wait until a request is served, should try again, or gives up.
 
-        :param grows_at: when a connection beyond ``USUAL_SHARE`` may be opened for it
+        :param grows_at: when a connection beyond ``SOFT_LIMIT_SHARE`` may be opened for it
         """
         now = time.monotonic()
         until = min(grows_at, give_up_at) if now < grows_at else give_up_at
