--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -281,7 +281,7 @@
         return (usual_s + opening_s) / serving
 
     @property
-    def usual_limit(self) -> int:
+    def soft_limit(self) -> int:
         """Number of connections that are opened without a wait."""
         return math.ceil(self.limit * SOFT_LIMIT_SHARE)
 
@@ -294,7 +294,7 @@
         :param waited_s: how long the request has waited
         """
         is_full = self.opened > 0 and time.monotonic() < self._full_until
-        limit = self.limit if waited_s >= GROWTH_WAIT_S else self.usual_limit
+        limit = self.limit if waited_s >= GROWTH_WAIT_S else self.soft_limit
         return self.opened < limit and not is_full
 
     async def putconn(self, connection: MemberConnection) -> None:
@@ -449,7 +449,7 @@
     async def close_idle(self, now: float) -> None:
         """Close connections that were idle for too long, sooner beyond ``SOFT_LIMIT_SHARE``."""
         while True:
-            is_surplus = self.opened > self.usual_limit
+            is_surplus = self.opened > self.soft_limit
             limit_s = SURPLUS_IDLE_CLOSE_S if is_surplus else IDLE_CLOSE_S
             connection = self._idle.take_idle_before(now - limit_s)
             if connection is None:
