--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -205,7 +205,7 @@
         return has_room and (bool(self._idle) or self._may_open())
 
     @property
-    def has_usual_room(self) -> bool:
+    def has_room_below_soft_limit(self) -> bool:
         """Whether a connection is available at once without exceeding ``SOFT_LIMIT_SHARE``."""
         has_room = self.observed.has_room(time.monotonic())
         return has_room and (bool(self._idle) or self._may_open(waited_s=0.0))
--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -138,7 +138,7 @@
             identity = observed.record.identity
             pool = group.pools[identity]
             is_primary = group.is_surely_primary(identity)
-            if pool.has_usual_room and not observed.seems_silent(now):
+            if pool.has_room_below_soft_limit and not observed.seems_silent(now):
                 return HedgeTarget(pool, None if is_primary else required)
         return None
 
@@ -197,7 +197,7 @@
             if not group.is_surely_primary(group.primary):
                 return await self._questions.prove_position(group, attempt.time_left())
             pool = group.primary_pool()
-            if pool is None or pool.has_usual_room:
+            if pool is None or pool.has_room_below_soft_limit:
                 return None
             await self._questions.learn_position(group)
             if not await attempt.pause():
