--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -36,7 +36,7 @@
 from limedyke.proxy.statements.members.member_judgement import MemberJudgement
 from limedyke.proxy.statements.members.member_traffic import UNCOUNTED, MemberTraffic
 
-IDLE_CLOSE_S = 6.0
+IDLE_TIMEOUT_S = 6.0
 """Idle time, in seconds, after which a connection is closed. Few idle connections are kept so that
 a member has room for proxies that restart: it holds the connections of a lost machine for some
 seconds."""
@@ -450,7 +450,7 @@
         """Close connections that were idle for too long, sooner beyond ``SOFT_LIMIT_SHARE``."""
         while True:
             is_surplus = self.opened > self.soft_limit
-            limit_s = SURPLUS_IDLE_CLOSE_S if is_surplus else IDLE_CLOSE_S
+            limit_s = SURPLUS_IDLE_CLOSE_S if is_surplus else IDLE_TIMEOUT_S
             connection = self._idle.take_idle_before(now - limit_s)
             if connection is None:
                 return
