--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -48,7 +48,7 @@
 """Seconds a request waits before a connection beyond ``SOFT_LIMIT_SHARE`` may be opened for it."""
 OPENING_SHARE = 0.25
 """Share of the time to open a connection that counts as a cost in the choice of a member."""
-SURPLUS_IDLE_CLOSE_S = 1.0
+SURPLUS_IDLE_TIMEOUT_S = 1.0
 """Idle time, in seconds, after which a connection beyond ``SOFT_LIMIT_SHARE`` is closed."""
 NO_TENANT = ""
 """Tenant of the connections for status queries and public databases."""
@@ -450,7 +450,7 @@
         """Close connections that were idle for too long, sooner beyond ``SOFT_LIMIT_SHARE``."""
         while True:
             is_surplus = self.opened > self.soft_limit
-            limit_s = SURPLUS_IDLE_CLOSE_S if is_surplus else IDLE_TIMEOUT_S
+            limit_s = SURPLUS_IDLE_TIMEOUT_S if is_surplus else IDLE_TIMEOUT_S
             connection = self._idle.take_idle_before(now - limit_s)
             if connection is None:
                 return
@@ -498,7 +498,7 @@
         reopened for the next request of its tenant. Unused ones are closed soon anyway.
         """
         idle_s = self._idle.longest_idle_s(time.monotonic())
-        return 0.0 < idle_s < SURPLUS_IDLE_CLOSE_S and self._may_open()
+        return 0.0 < idle_s < SURPLUS_IDLE_TIMEOUT_S and self._may_open()
 
     async def _open(self, tenant: str) -> None:
         began_at = time.monotonic()
