--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -46,7 +46,7 @@
 ones need room beside them."""
 GROWTH_WAIT_S = 0.03
 """Seconds a request waits before a connection beyond ``SOFT_LIMIT_SHARE`` may be opened for it."""
-OPENING_SHARE = 0.25
+OPENING_COST_SHARE = 0.25
 """Share of the time to open a connection that counts as a cost in the choice of a member."""
 SURPLUS_IDLE_TIMEOUT_S = 1.0
 """Idle time, in seconds, after which a connection beyond ``SOFT_LIMIT_SHARE`` is closed."""
@@ -235,7 +235,7 @@
         )
         if can_open and not self._idle.has(tenant):
             opening = self.observed.opening
-            return OPENING_SHARE * opening.usual_s if opening.is_seen else 0.0
+            return OPENING_COST_SHARE * opening.usual_s if opening.is_seen else 0.0
         return self.expected_wait_s(tenant)
 
     def _has_place_for(self, request: QueuedRequest, now: float) -> bool:
