--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -310,7 +310,7 @@
         else:
             await self._hand_over(connection)
             await self.room_came()
-        await self.recount(time.monotonic())
+        await self.check_queue(time.monotonic())
 
     def _reserve(self, connection: MemberConnection) -> None:
         """Count a checked-out connection as load of the member until something is sent on it."""
@@ -605,9 +605,9 @@
         for displaced in answer.displaced:
             refused = Refused(RefusalReason.DISPLACED, 0.0, displaced.deadline_at - now, 0)
             await displaced.fail(TurnedAwayError(self.observed.record.identity, refused))
-        await self.recount(now)
+        await self.check_queue(now)
 
-    async def recount(self, now: float) -> None:
+    async def check_queue(self, now: float) -> None:
         """Refuse waiting requests whose turn can't come in time any more, at a limited rate."""
         if self._queue and now >= self._recount_at:
             await self._recount(now)
@@ -623,7 +623,7 @@
 
         Call it only after a possible pause of this process has been accounted for.
         """
-        await self.recount(now)
+        await self.check_queue(now)
         if self._queue and self.observed.seems_silent(now):
             await self._tell_of_silence(now)
         elif self._queue:
