--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -422,7 +422,7 @@
         elif limit == 0:
             await self._wake_all()
         elif self._queue:
-            await self._recount(time.monotonic())
+            await self._check_queue(time.monotonic())
 
     async def _open_for_waiting(self) -> None:
         """Open connections for waiting requests, in order, as far as the limits allow."""
@@ -610,9 +610,9 @@
     async def check_queue(self, now: float) -> None:
         """Refuse waiting requests whose turn can't come in time any more, at a limited rate."""
         if self._queue and now >= self._recount_at:
-            await self._recount(now)
+            await self._check_queue(now)
 
-    async def _recount(self, now: float) -> None:
+    async def _check_queue(self, now: float) -> None:
         self._recount_at = now + RECOUNT_INTERVAL_S
         identity = self.observed.record.identity
         for waiter, refused in self._queue.expire(now, self._drain()):
