--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -60,7 +60,7 @@
 limits the queue sooner."""
 LEAST_GAP_S = 0.0001
 MS_PER_S = 1_000
-LEAST_URGENT = 1_000
+LOWEST_PRIORITY = 1_000
 """A priority behind all others, so that every waiting request goes first."""
 FULL_PAUSE_S = 0.2
 """Seconds without further opening attempts after a member refused a connection for lack of room."""
@@ -210,7 +210,7 @@
         has_room = self.observed.has_room(time.monotonic())
         return has_room and (bool(self._idle) or self._may_open(waited_s=0.0))
 
-    def expected_wait_s(self, tenant: str, priority: int = LEAST_URGENT) -> float:
+    def expected_wait_s(self, tenant: str, priority: int = LOWEST_PRIORITY) -> float:
         """Return the expected wait, in seconds, of a request that arrives now.
 
         Only requests of the same or a more urgent priority count, as they go first.
