--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -62,7 +62,7 @@
 MS_PER_S = 1_000
 LOWEST_PRIORITY = 1_000
 """A priority behind all others, so that every waiting request goes first."""
-FULL_PAUSE_S = 0.2
+FULL_RETRY_DELAY_S = 0.2
 """Seconds without further opening attempts after a member refused a connection for lack of room."""
 
 
@@ -537,7 +537,7 @@
         has_others = self.opened > self._opening.total()
         if has_others and self._has_no_room(error):
             self.use.turned_away += 1
-            self._full_until = time.monotonic() + FULL_PAUSE_S
+            self._full_until = time.monotonic() + FULL_RETRY_DELAY_S
             if self._idle:
                 await self._wake_one()
             return
