--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -162,7 +162,7 @@
         self._queue.started(request, waited=request.was_let_in)
         return connection
 
-    async def getconn_new(self) -> MemberConnection | None:
+    async def open_new_connection(self) -> MemberConnection | None:
         """Open a new connection for a status query; None when the lease is used up.
 
         A failure on a new connection is a failure of the member, whereas an older connection may be
--- a/limedyke/proxy/statements/members/member_queries.py
+++ b/limedyke/proxy/statements/members/member_queries.py
@@ -110,7 +110,7 @@
         now = time.monotonic()
         silent_since = now - pool.observed.silent_s(now)
         try:
-            connection = await pool.getconn_new()
+            connection = await pool.open_new_connection()
         except (ConnectionLostError, ConnectionRefusedByMemberError, PoolClosedError):
             return
         if connection is None:
