--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -220,7 +220,7 @@
         if has_room and self._idle.has(tenant):
             return 0.0
         request = QueuedRequest(tenant, priority, now)
-        if has_room and self._has_place_for(request, now):
+        if has_room and self._has_connection_for(request, now):
             return self.observed.opening.usual_s
         return self._queue.expected_wait_s(request, now, self._drain())
 
@@ -238,7 +238,7 @@
             return OPENING_COST_SHARE * opening.usual_s if opening.is_seen else 0.0
         return self.expected_wait_s(tenant)
 
-    def _has_place_for(self, request: QueuedRequest, now: float) -> bool:
+    def _has_connection_for(self, request: QueuedRequest, now: float) -> bool:
         """Tell whether there is a connection left for a request after those ahead of it."""
         openable = self.limit - self.opened if self._may_open() else 0
         free = len(self._idle) + openable
@@ -591,7 +591,7 @@
         waiter.renew()
         if not self._queue:
             self._turns.began(now, self._assumed_gap_s(now))
-        if waiter.was_let_in or self._has_place_for(waiter, now):
+        if waiter.was_let_in or self._has_connection_for(waiter, now):
             self._queue.place(waiter, now)
         else:
             await self._push(waiter, now)
