--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -222,7 +222,7 @@
         request = QueuedRequest(tenant, priority, now)
         if has_room and self._has_connection_for(request, now):
             return self.observed.opening.usual_s
-        return self._queue.expected_wait_s(request, now, self._drain())
+        return self._queue.expected_wait_s(request, now, self._queue_drain())
 
     def connection_cost_s(self, tenant: str) -> float:
         """Return the cost, in seconds, of getting a connection, for choosing a member for a read.
@@ -247,7 +247,7 @@
         before = self._queue.ahead_of(request, now).count - self._opening.total()
         return max(0, before) < free
 
-    def _drain(self) -> QueueDrain:
+    def _queue_drain(self) -> QueueDrain:
         """Return how fast the queue is served, as observed while requests wait."""
         gap_s = max(self.turn_gap_s, LEAST_GAP_S)
         slots = min(float(self.limit), self._queue.usual_cost_s / gap_s)
@@ -599,7 +599,7 @@
         waiter.expects_silence = self.observed.seems_silent(now)
 
     async def _push(self, waiter: ConnectionWaiter, now: float) -> None:
-        answer = self._queue.push(waiter, now, self._drain())
+        answer = self._queue.push(waiter, now, self._queue_drain())
         if isinstance(answer, Refused):
             raise TurnedAwayError(self.observed.record.identity, answer)
         for displaced in answer.displaced:
@@ -615,7 +615,7 @@
     async def _check_queue(self, now: float) -> None:
         self._recount_at = now + RECOUNT_INTERVAL_S
         identity = self.observed.record.identity
-        for waiter, refused in self._queue.expire(now, self._drain()):
+        for waiter, refused in self._queue.expire(now, self._queue_drain()):
             await waiter.fail(TurnedAwayError(identity, refused))
 
     async def look_after_waiting(self, now: float) -> None:
