--- a/limedyke/proxy/statements/members/member_exchange.py
+++ b/limedyke/proxy/statements/members/member_exchange.py
@@ -100,7 +100,7 @@
         run = attempt.run
         started_at = time.monotonic()
         observed.sent(started_at)
-        pinned.pool.sent_on(pinned.connection)
+        pinned.pool.release_reservation(pinned.connection)
         attempt.session.tries_under_way += 1
         is_answered = True
         was_primary = attempt.group.is_surely_primary(pinned.identity)
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -300,7 +300,7 @@
     async def putconn(self, connection: MemberConnection) -> None:
         """Return a connection to the pool; one that is closed or in a transaction is discarded."""
         self.observed.outstanding -= 1
-        self.sent_on(connection)
+        self.release_reservation(connection)
         request = self._checked_out.check_in(connection)
         if request is not None:
             self._queue.finished(request, time.monotonic() - connection.checked_out_at)
@@ -317,7 +317,7 @@
         connection.is_reserved = True
         self.observed.reserved += 1
 
-    def sent_on(self, connection: MemberConnection) -> None:
+    def release_reservation(self, connection: MemberConnection) -> None:
         """End a reservation: the request has sent something, or returns the connection."""
         if connection.is_reserved:
             connection.is_reserved = False
@@ -349,7 +349,7 @@
                 self._queue.remove(waiter)
                 await waiter.give(connection)
             else:
-                self.sent_on(connection)
+                self.release_reservation(connection)
                 self._idle.add(connection, time.monotonic())
 
     async def _hand_over(self, connection: MemberConnection) -> None:
--- a/limedyke/proxy/statements/members/member_queries.py
+++ b/limedyke/proxy/statements/members/member_queries.py
@@ -146,7 +146,7 @@
         observed = pool.observed
         asked_at = time.monotonic()
         observed.sent(asked_at)
-        pool.sent_on(connection)
+        pool.release_reservation(connection)
         is_answered = True
         status = None
         try:
