--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -146,7 +146,7 @@
             if self.is_closed or self.limit == 0:
                 raise PoolClosedError(self.observed.record.identity)
             connection = None
-            if self._may_send_more():
+            if self._member_has_room():
                 connection = await self._take_idle(tenant, values)
             if connection is None:
                 connection = await self._wait(waiter, give_up_at)
@@ -323,7 +323,7 @@
             connection.is_reserved = False
             self.observed.reserved -= 1
 
-    def _may_send_more(self) -> bool:
+    def _member_has_room(self) -> bool:
         """Tell whether the member has room; remember if not, so that ``room_came`` serves later."""
         has_room = self.observed.has_room(time.monotonic())
         self._lacked_room = self._lacked_room or not has_room
@@ -339,7 +339,7 @@
             return
         self._lacked_room = False
         for waiter in list(self._queue.in_order(time.monotonic())):
-            if not self._may_send_more():
+            if not self._member_has_room():
                 return
             connection = await self._take_idle(waiter.tenant, {})
             if connection is None:
@@ -360,7 +360,7 @@
         connections.
         """
         now = time.monotonic()
-        if not self._may_send_more():
+        if not self._member_has_room():
             self._idle.add(connection, now)
             return
         for waiter in self._queue.in_order(now):
@@ -379,7 +379,7 @@
 
     async def _give_to_own_tenant(self, connection: MemberConnection) -> None:
         """Give a new connection to the next request of its tenant, if one still waits."""
-        waiter = self._take_first_for(connection.tenant) if self._may_send_more() else None
+        waiter = self._take_first_for(connection.tenant) if self._member_has_room() else None
         if waiter is not None:
             self._reserve(connection)
             await waiter.give(connection)
@@ -475,7 +475,7 @@
 
         :param waited_s: how long the request has waited
         """
-        if self._is_opening_for(tenant) or not self._may_send_more():
+        if self._is_opening_for(tenant) or not self._member_has_room():
             return
         if not self._may_open(waited_s) and not self._may_open_beside_idle():
             replaced = self._idle.take_longest_idle()
