--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -343,7 +343,7 @@
                 return
             connection = await self._take_idle(waiter.tenant, {})
             if connection is None:
-                await self._open_one(waiter.tenant, time.monotonic() - waiter.arrived_at)
+                await self._open_if_needed(waiter.tenant, time.monotonic() - waiter.arrived_at)
             elif waiter.is_waiting:
                 self._checked_out.record_turn(changed=False)
                 self._queue.remove(waiter)
@@ -429,7 +429,7 @@
         for waiter in list(self._queue.in_order(time.monotonic())):
             if not self._may_open():
                 return
-            await self._open_one(waiter.tenant, GROWTH_WAIT_S)
+            await self._open_if_needed(waiter.tenant, GROWTH_WAIT_S)
 
     async def _close_longest_idle(self) -> bool:
         """Close the longest idle connection; tell whether there was one."""
@@ -467,7 +467,7 @@
             await self._give_up(connection)
         return None
 
-    async def _open_one(self, tenant: str | None, waited_s: float) -> None:
+    async def _open_if_needed(self, tenant: str | None, waited_s: float) -> None:
         """Open a connection in the background, unless enough are being opened already.
 
         If the request gives up meanwhile, the connection goes to another one: opening takes several
@@ -649,7 +649,7 @@
         await self._let_in(waiter)
         self.observed.waiting += 1
         try:
-            await self._open_one(waiter.tenant, time.monotonic() - waiter.arrived_at)
+            await self._open_if_needed(waiter.tenant, time.monotonic() - waiter.arrived_at)
             return await self._wait_for(waiter, waiter.arrived_at + GROWTH_WAIT_S, give_up_at)
         except BaseException:
             self._queue.remove(waiter)
