--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -373,7 +373,7 @@
             if self._must_wait(waiter):
                 self._checked_out.record_turn(changed=True)
                 await self._discard(connection)
-                await self._begin_opening(waiter.tenant)
+                await self._start_opening(waiter.tenant)
                 return
         self._idle.add(connection, now)
 
@@ -482,9 +482,9 @@
             if replaced is None:
                 return
             await self._discard(replaced)
-        await self._begin_opening(tenant)
+        await self._start_opening(tenant)
 
-    async def _begin_opening(self, tenant: str | None) -> None:
+    async def _start_opening(self, tenant: str | None) -> None:
         """Open a connection in the background; the caller has checked that there is room."""
         opener = NO_TENANT if tenant is ANY_TENANT else tenant
         self._opening[opener] += 1
