--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -520,7 +520,7 @@
                 await self._give_to_own_tenant(connection)
             return
         self.opened -= 1
-        await self._not_opened(opened.err_value, tenant)
+        await self._handle_failed_opening(opened.err_value, tenant)
         await self.room_came()
 
     def _learn_opening(self, connection: MemberConnection) -> None:
@@ -532,7 +532,7 @@
         seconds = connection.opened_in_s - connection.connected_in_s
         observed.concurrency.answered(OPENING, seconds, observed.under_way(now) + 1, now)
 
-    async def _not_opened(self, error: Exception, tenant: str) -> None:
+    async def _handle_failed_opening(self, error: Exception, tenant: str) -> None:
         """Handle a failed opening: fail requests unless another connection can serve them."""
         has_others = self.opened > self._opening.total()
         if has_others and self._has_no_room(error):
