--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -306,7 +306,7 @@
             self._queue.finished(request, time.monotonic() - connection.checked_out_at)
         is_usable = not connection.is_closed and connection.status is TransactionStatus.IDLE
         if not is_usable or self.is_closed or self.opened > self.limit:
-            await self._give_up(connection)
+            await self._discard_and_wake(connection)
         else:
             await self._hand_over(connection)
             await self.room_came()
@@ -436,7 +436,7 @@
         connection = self._idle.take_longest_idle()
         if connection is None:
             return False
-        await self._give_up(connection)
+        await self._discard_and_wake(connection)
         return True
 
     async def drain(self) -> None:
@@ -454,7 +454,7 @@
             connection = self._idle.take_idle_before(now - limit_s)
             if connection is None:
                 return
-            await self._give_up(connection)
+            await self._discard_and_wake(connection)
 
     async def _take_idle(
         self, tenant: str | None, values: dict[str, str]
@@ -464,7 +464,7 @@
             if connection.is_alive():
                 self._reserve(connection)
                 return connection
-            await self._give_up(connection)
+            await self._discard_and_wake(connection)
         return None
 
     async def _open_if_needed(self, tenant: str | None, waited_s: float) -> None:
@@ -515,7 +515,7 @@
             connection = opened.ok_value
             self._learn_opening(connection)
             if self.is_closed or self.opened > self.limit:
-                await self._give_up(connection)
+                await self._discard_and_wake(connection)
             else:
                 await self._give_to_own_tenant(connection)
             return
@@ -567,7 +567,7 @@
             return error.answer.kind is AnswerKind.NO_CONNECTION
         return self.observed.answered_lately(time.monotonic())
 
-    async def _give_up(self, connection: MemberConnection) -> None:
+    async def _discard_and_wake(self, connection: MemberConnection) -> None:
         """Close a connection, and wake the next request, which may open another one."""
         await self._discard(connection)
         await self._wake_one()
