--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -582,7 +582,7 @@
         if waiter is not None:
             await waiter.look_again()
 
-    async def _let_in(self, waiter: ConnectionWaiter) -> None:
+    async def _enqueue(self, waiter: ConnectionWaiter) -> None:
         """Add a request to the queue; requests that it displaces are refused.
 
         :raises TurnedAwayError: when its turn can't come in time
@@ -646,7 +646,7 @@
         :raises ConnectionLostError: when none could be opened
         :raises ConnectionRefusedByMemberError: when the member refuses a connection
         """
-        await self._let_in(waiter)
+        await self._enqueue(waiter)
         self.observed.waiting += 1
         try:
             await self._open_if_needed(waiter.tenant, time.monotonic() - waiter.arrived_at)
