--- a/features/support/burst_pool.py
+++ b/features/support/burst_pool.py
@@ -117,5 +117,5 @@
         """Look after the queue, as the proxy does of all pools."""
         while True:
             await curio.sleep(0.1)
-            await self.pool.look_after_waiting(time.monotonic())
+            await self.pool.check_waiting(time.monotonic())
             await self.pool.room_came()
--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -180,7 +180,7 @@
     async def _watch_group(self, group: StatementGroup, now: float) -> None:
         for identity, pool in list(group.pools.items()):
             observed = pool.observed
-            await pool.look_after_waiting(now)
+            await pool.check_waiting(now)
             await pool.room_came()
             pool.judgement.look(group.name, observed, now)
             is_primary = identity == group.primary
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -618,7 +618,7 @@
         for waiter, refused in self._queue.expire(now, self._queue_drain()):
             await waiter.fail(TurnedAwayError(identity, refused))
 
-    async def look_after_waiting(self, now: float) -> None:
+    async def check_waiting(self, now: float) -> None:
         """Refuse requests whose turn won't come or whose member hangs; open connections for others.
 
         Call it only after a possible pause of this process has been accounted for.
