--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -625,11 +625,11 @@
         """
         await self.check_queue(now)
         if self._queue and self.observed.seems_silent(now):
-            await self._tell_of_silence(now)
+            await self._fail_unaware_of_silence(now)
         elif self._queue:
             await self._open_for_waiting()
 
-    async def _tell_of_silence(self, now: float) -> None:
+    async def _fail_unaware_of_silence(self, now: float) -> None:
         """Fail requests that began to wait while the member answered, so that they go elsewhere."""
         unaware = [waiter for waiter in self._queue.in_order(now) if not waiter.expects_silence]
         for waiter in unaware:
