--- a/limedyke/proxy/statements/members/member_connection.py
+++ b/limedyke/proxy/statements/members/member_connection.py
@@ -153,7 +153,7 @@
             ``LOST`` when the connection broke and the statement may have run
         """
         name = ""
-        preparations = self._bring_to(values)
+        preparations = self._requests_to_set(values)
         if prepared is not None:
             name = self._name_of(prepared, preparations)
         if preparations and not await self._prepare(preparations):
@@ -194,7 +194,7 @@
             raise ConnectionLostError("no answer to a status query")
         return self._codec.read_status(answer) if answer.kind is AnswerKind.DONE else None
 
-    def _bring_to(self, values: dict[str, str]) -> list[bytes]:
+    def _requests_to_set(self, values: dict[str, str]) -> list[bytes]:
         """Return the requests that give the connection exactly these values."""
         if values == self.values:
             return []
