--- a/limedyke/proxy/statements/members/member_connection.py
+++ b/limedyke/proxy/statements/members/member_connection.py
@@ -155,7 +155,7 @@
         name = ""
         preparations = self._requests_to_set(values)
         if prepared is not None:
-            name = self._name_of(prepared, preparations)
+            name = self._prepared_name(prepared, preparations)
         if preparations and not await self._prepare(preparations):
             return MemberAnswer(AnswerKind.NOT_SENT, detail="session values could not be set")
         if begin is not None:
@@ -210,7 +210,7 @@
         self.values = dict(values)
         return requests
 
-    def _name_of(self, prepared: PreparedShape, requests: list[bytes]) -> str:
+    def _prepared_name(self, prepared: PreparedShape, requests: list[bytes]) -> str:
         """Return the connection's name for a prepared statement; prepare it if necessary."""
         name = self._prepared.get(prepared)
         if name is None:
