--- a/limedyke/proxy/statements/members/member_exchange.py
+++ b/limedyke/proxy/statements/members/member_exchange.py
@@ -24,7 +24,7 @@
 from limedyke.proxy.statements.statement_log import NotSent
 from limedyke.proxy.statements.statement_metrics import StatementMetrics
 
-LEAST_MUTE_S = 0.1
+MINIMUM_UNANSWERED_S = 0.1
 """A statement without an answer counts as failed after this time, in seconds, or after the member's
 longest usual answer time if that is longer."""
 SILENCE_S = 0.35
@@ -189,7 +189,7 @@
     now = time.monotonic()
     waited_s = now - started_at
     is_answered = observed.contact_at >= started_at
-    if waited_s >= max(LEAST_MUTE_S, observed.answer.longest_s):
+    if waited_s >= max(MINIMUM_UNANSWERED_S, observed.answer.longest_s):
         observed.quality.bad(now, "mute")
     if is_answered:
         observed.answer_took_at_least(waited_s)
