--- a/limedyke/proxy/statements/members/member_exchange.py
+++ b/limedyke/proxy/statements/members/member_exchange.py
@@ -126,7 +126,7 @@
             attempt.session.tries_under_way -= 1
         self._learn(pinned, attempt, answer, started_at, was_primary)
         if not was_primary:
-            _learn_lag(observed, attempt, answer, after)
+            _record_lag(observed, attempt, answer, after)
         if pinned.connection.status is not TransactionStatus.IDLE:
             await pinned.pool.room_came()
         return answer
@@ -171,7 +171,7 @@
             observed.concurrency.turned_away(now - started_at, now)
 
 
-def _learn_lag(
+def _record_lag(
     observed: ObservedMember, attempt: Attempt, answer: MemberAnswer, after: LogPosition | None
 ) -> None:
     """Update a replica's lag estimate from its answer."""
