--- a/limedyke/proxy/statements/members/member_exchange.py
+++ b/limedyke/proxy/statements/members/member_exchange.py
@@ -112,12 +112,12 @@
                     run.statement, attempt.session.settings, run.begin, run.prepared, after
                 )
         except curio.TaskTimeout:
-            is_answered = _gave_up(observed, started_at)
+            is_answered = _record_timeout(observed, started_at)
             self._metrics.member_answered(AnswerKind.TIMED_OUT, False, limit_s)
             detail = f"no answer of {pinned.identity} in {limit_s:.3f} s"
             return MemberAnswer(AnswerKind.TIMED_OUT, detail=detail)
         except curio.CancelledError:
-            is_answered = _gave_up(observed, started_at)
+            is_answered = _record_timeout(observed, started_at)
             await pinned.abandon()
             raise
         finally:
@@ -184,7 +184,7 @@
         observed.lag.lacked(after, positions.held_since(after), now)
 
 
-def _gave_up(observed: ObservedMember, started_at: float) -> bool:
+def _record_timeout(observed: ObservedMember, started_at: float) -> bool:
     """Record an abandoned wait; tell whether the member sent any answer since it began."""
     now = time.monotonic()
     waited_s = now - started_at
