--- a/limedyke/proxy/statements/members/member_exchange.py
+++ b/limedyke/proxy/statements/members/member_exchange.py
@@ -157,7 +157,7 @@
             seconds = observed.awaited_s(started_at, now)
             observed.served(seconds, now)
             under_way = observed.under_way(now) + 1
-            observed.concurrency.answered(_kind_of(attempt), seconds, under_way, now)
+            observed.concurrency.answered(_work_kind(attempt), seconds, under_way, now)
             if not is_replica:
                 attempt.group.outage.ended()
             is_commit = attempt.run.writes and answer.status is TransactionStatus.IDLE
@@ -198,7 +198,7 @@
     return is_answered
 
 
-def _kind_of(attempt: Attempt) -> str:
+def _work_kind(attempt: Attempt) -> str:
     """Return the kind of work; statements that also begin a transaction take two round trips."""
     run = attempt.run
     kind = run.statement.kind.value
