--- a/limedyke/proxy/statements/members/member_queries.py
+++ b/limedyke/proxy/statements/members/member_queries.py
@@ -35,14 +35,14 @@
             return None
         asked_at = time.monotonic()
         if not pool.observed.takes_work(asked_at) or pool.observed.seems_silent(asked_at):
-            await self.look_for_primary(group)
+            await self.search_primary(group)
             return None
         status = await self.ask_status(pool, min(limit_s, 1.0))
         if status is None:
             return None
         await group.record_reported_role(pool.observed.record.identity, status.is_primary)
         if not status.is_primary:
-            await self.look_for_primary(group)
+            await self.search_primary(group)
             return None
         group.learn_position(pool.observed.record.identity, asked_at, status.position, proven=True)
         return status.position
@@ -65,7 +65,7 @@
             identity = pool.observed.record.identity
             group.learn_position(identity, asked_at, status.position, proven=True)
 
-    async def look_for_primary(self, group: StatementGroup) -> None:
+    async def search_primary(self, group: StatementGroup) -> None:
         """Query the members' roles in the background, at a limited rate."""
         now = time.monotonic()
         if now < group.next_primary_search_at:
--- a/limedyke/proxy/statements/runner.py
+++ b/limedyke/proxy/statements/runner.py
@@ -110,7 +110,7 @@
             pool = group.primary_pool()
             if pool is None or not _takes_writes(pool.observed, time.monotonic()):
                 attempt.failed(NotSent.NO_PRIMARY)
-                await self.questions.look_for_primary(group)
+                await self.questions.search_primary(group)
                 if not await attempt.wait_for_primary():
                     return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
                 continue
@@ -134,7 +134,7 @@
             await pinned.release()
             if answer.kind is AnswerKind.NOT_PRIMARY:
                 await group.record_reported_role(pinned.identity, is_primary=False)
-                await self.questions.look_for_primary(group)
+                await self.questions.search_primary(group)
             until = attempt.deadline if answer.kind is AnswerKind.BUSY else attempt.held_until()
             if not await attempt.pause(until):
                 return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
