--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -38,7 +38,7 @@
         self._zone = zone
         self._generator = random.Random()
         self._exchange = exchange
-        self._questions = questions
+        self._queries = questions
 
     async def run(self, attempt: Attempt) -> StatementOutcome:
         """Run a read; try one member after the other until one has run it."""
@@ -177,7 +177,7 @@
         if session.database.consistency is Consistency.PRIMARY:
             if group.is_surely_primary(group.primary):
                 return None
-            return await self._questions.prove_position(group, attempt.time_left())
+            return await self._queries.prove_position(group, attempt.time_left())
         position = await self._fresh_position(attempt)
         if position is None or session.database.consistency is Consistency.BOUNDED:
             return position
@@ -195,11 +195,11 @@
             if position is not None:
                 return position
             if not group.is_surely_primary(group.primary):
-                return await self._questions.prove_position(group, attempt.time_left())
+                return await self._queries.prove_position(group, attempt.time_left())
             pool = group.primary_pool()
             if pool is None or pool.has_room_below_soft_limit:
                 return None
-            await self._questions.learn_position(group)
+            await self._queries.learn_position(group)
             if not await attempt.pause():
                 return None
 
