--- a/limedyke/proxy/statements/members/member_queries.py
+++ b/limedyke/proxy/statements/members/member_queries.py
@@ -99,7 +99,7 @@
             return None
         except (ConnectionLostError, ConnectionRefusedByMemberError, PoolClosedError):
             return None
-        return await self._ask_on(pool, connection, limit_s)
+        return await self._query_on(pool, connection, limit_s)
 
     async def examine(self, pool: MemberPool, limit_s: float) -> None:
         """Find out whether a silent member hangs, or only connections to it are dead.
@@ -117,7 +117,7 @@
             await pool.connector.check_address(limit_s)
             return
         asked_at = time.monotonic()
-        await self._ask_on(pool, connection, limit_s)
+        await self._query_on(pool, connection, limit_s)
         if connection.is_closed:
             pool.observed.answer_timed_out(asked_at, limit_s, time.monotonic())
             return
@@ -132,14 +132,14 @@
         """
         while silent_connections:
             connection = silent_connections.pop()
-            await self._ask_on(pool, connection, limit_s)
+            await self._query_on(pool, connection, limit_s)
             if connection.is_closed:
                 break
         for connection in silent_connections:
             await connection.close()
             await pool.putconn(connection)
 
-    async def _ask_on(
+    async def _query_on(
         self, pool: MemberPool, connection: MemberConnection, limit_s: float
     ) -> MemberStatus | None:
         """Query on a connection and return it to the pool; it is closed if no answer comes."""
