--- a/limedyke/proxy/statements/members/member_queries.py
+++ b/limedyke/proxy/statements/members/member_queries.py
@@ -22,7 +22,7 @@
 )
 
 SEARCH_INTERVAL_S = 0.15
-SEARCH_TIMEOUT_S = 0.5
+STATUS_QUERY_TIMEOUT_S = 0.5
 
 
 class MemberQueries:
@@ -58,7 +58,7 @@
     async def _learn_position(self, group: StatementGroup, pool: MemberPool) -> None:
         asked_at = time.monotonic()
         try:
-            status = await self.ask_status(pool, SEARCH_TIMEOUT_S)
+            status = await self.ask_status(pool, STATUS_QUERY_TIMEOUT_S)
         finally:
             group.is_position_query_running = False
         if status is not None and status.is_primary:
@@ -77,7 +77,7 @@
 
     async def _ask_role(self, group: StatementGroup, pool: MemberPool) -> None:
         asked_at = time.monotonic()
-        status = await self.ask_status(pool, SEARCH_TIMEOUT_S)
+        status = await self.ask_status(pool, STATUS_QUERY_TIMEOUT_S)
         if status is None:
             return
         identity = pool.observed.record.identity
