--- a/limedyke/proxy/statements/members/present_time.py
+++ b/limedyke/proxy/statements/members/present_time.py
@@ -13,7 +13,7 @@
 
 import curio
 
-PART_S = 0.1
+SLICE_S = 0.1
 """Length of a part, in seconds, equal to the shortest pause that counts. Each pause uses up at most
 one part of the limit."""
 ResultType = TypeVar("ResultType")
@@ -31,7 +31,7 @@
     left_s = limit_s
     try:
         while left_s > 0.0 and not task.terminated:
-            part_s = min(PART_S, left_s)
+            part_s = min(SLICE_S, left_s)
             began_at = time.monotonic()
             await curio.ignore_after(part_s, task.wait)
             left_s -= min(time.monotonic() - began_at, part_s)
