--- a/limedyke/proxy/statements/members/present_time.py
+++ b/limedyke/proxy/statements/members/present_time.py
@@ -31,10 +31,10 @@
     left_s = limit_s
     try:
         while left_s > 0.0 and not task.terminated:
-            part_s = min(SLICE_S, left_s)
+            slice_s = min(SLICE_S, left_s)
             began_at = time.monotonic()
-            await curio.ignore_after(part_s, task.wait)
-            left_s -= min(time.monotonic() - began_at, part_s)
+            await curio.ignore_after(slice_s, task.wait)
+            left_s -= min(time.monotonic() - began_at, slice_s)
     finally:
         is_done = task.terminated
         await task.cancel()
