--- a/limedyke/proxy/statements/members/member_connector.py
+++ b/limedyke/proxy/statements/members/member_connector.py
@@ -62,7 +62,7 @@
             asked_at = time.monotonic()
             told = observed.told
             try:
-                connection = await present_time.within(limit_s, self._connect, tenant)
+                connection = await present_time.call_with_timeout(limit_s, self._connect, tenant)
                 connection.opened_in_s = observed.awaited_s(asked_at, time.monotonic())
                 return await self._check_log(connection, told)
             except curio.TaskTimeout:
--- a/limedyke/proxy/statements/members/present_time.py
+++ b/limedyke/proxy/statements/members/present_time.py
@@ -19,7 +19,7 @@
 ResultType = TypeVar("ResultType")
 
 
-async def within(
+async def call_with_timeout(
     limit_s: float, call: Callable[..., Awaitable[ResultType]], *arguments: object
 ) -> ResultType:
     """Return the result of an asynchronous call, or raise its exception.
