--- a/features/support/burst_pool.py
+++ b/features/support/burst_pool.py
@@ -31,7 +31,7 @@
         self.is_closed = False
         self.is_reserved = False
         self.opened_in_s = opened_in_s
-        self.connected_in_s = 0.0
+        self.connect_s = 0.0
         self.checked_out_at = self.idle_since = self.last_received_at = time.monotonic()
 
     def is_alive(self) -> bool:
--- a/limedyke/proxy/statements/members/member_connection.py
+++ b/limedyke/proxy/statements/members/member_connection.py
@@ -49,7 +49,7 @@
     :ivar checked_out_at: when a request last checked it out
     :ivar last_received_at: when data last arrived on it
     :ivar is_reserved: it is checked out by a request that has not sent anything yet
-    :ivar connected_in_s: duration of the TCP connect, about one network round trip
+    :ivar connect_s: duration of the TCP connect, about one network round trip
     :ivar opened_in_s: duration of the whole opening, without pauses of this process
     :ivar opened_at: the member's log position when it accepted the connection; None if not reported
     """
@@ -75,7 +75,7 @@
         self.checked_out_at = self.idle_since
         self.last_received_at = self.idle_since
         self.is_reserved = False
-        self.connected_in_s = 0.0
+        self.connect_s = 0.0
         self.opened_in_s = 0.0
         self.opened_at: LogPosition | None = None
 
@@ -105,7 +105,7 @@
                 sock.bind((source_ip, 0))
             began_at = time.monotonic()
             await sock.connect(split_address(address))
-            connection.connected_in_s = time.monotonic() - began_at
+            connection.connect_s = time.monotonic() - began_at
             await connection._send(codec.open(group, identity, tenant))
             answer = await connection._receive()
         except (OSError, ValueError) as error:
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -528,8 +528,8 @@
         now = time.monotonic()
         observed = self.observed
         observed.connected(now, connection.opened_in_s)
-        observed.concurrency.connected(connection.connected_in_s)
-        seconds = connection.opened_in_s - connection.connected_in_s
+        observed.concurrency.connected(connection.connect_s)
+        seconds = connection.opened_in_s - connection.connect_s
         observed.concurrency.answered(OPENING, seconds, observed.under_way(now) + 1, now)
 
     async def _handle_failed_opening(self, error: Exception, tenant: str) -> None:
