--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -12,7 +12,7 @@
 from limedyke.messages.statements import AnswerKind, StatementAnswer
 from limedyke.proxy.statements.group import StatementGroup
 from limedyke.proxy.statements.members.member_pool import MemberPool
-from limedyke.proxy.statements.statement_log import NotSent, StatementLog, Try
+from limedyke.proxy.statements.statement_log import FailedTry, NotSent, StatementLog
 from limedyke.proxy.statements.statement_refusal import DEFAULT_READY_S, give_up
 from limedyke.result_codes import ResultCode
 
@@ -179,7 +179,9 @@
         is_news = last != self.last
         self.last = last
         group = self.group
-        seen = Try(reason, member, group.primary, group.term, group.primary_lease_left_s(), is_news)
+        seen = FailedTry(
+            reason, member, group.primary, group.term, group.primary_lease_left_s(), is_news
+        )
         self.log.tried(self.run.statement, group.name, seen)
 
     def turned_away(self, refused: Refused, member: str) -> None:
--- a/limedyke/proxy/statements/statement_log.py
+++ b/limedyke/proxy/statements/statement_log.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Try:
+class FailedTry:
     """A failed try to run a statement, and the group state this proxy knew then.
 
     :param reason: the member's answer, or why nothing was sent
@@ -146,7 +146,7 @@
             held_ms=int((time.monotonic() - under_way.started_at) * MS_PER_S),
         )
 
-    def tried(self, statement: Statement, group: str, seen: Try) -> None:
+    def tried(self, statement: Statement, group: str, seen: FailedTry) -> None:
         """Record a failed try; a later one may still serve the statement."""
         self._metrics.try_failed(seen.reason)
         if not seen.is_news or not self._may_write(self._tries):
