--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -12,13 +12,13 @@
 from limedyke.messages.statements import AnswerKind, StatementAnswer
 from limedyke.proxy.statements.group import StatementGroup
 from limedyke.proxy.statements.members.member_pool import MemberPool
-from limedyke.proxy.statements.statement_log import FailedTry, NotSent, StatementLog
+from limedyke.proxy.statements.statement_log import FailedTry, NotSentReason, StatementLog
 from limedyke.proxy.statements.statement_refusal import DEFAULT_READY_S, give_up
 from limedyke.result_codes import ResultCode
 
 MS_PER_S = 1_000.0
 RETRY_PAUSE_S = 0.03
-LACKS_CONNECTION = frozenset({NotSent.NO_CONNECTION_FREE, AnswerKind.NO_CONNECTION})
+LACKS_CONNECTION = frozenset({NotSentReason.NO_CONNECTION_FREE, AnswerKind.NO_CONNECTION})
 MISROUTED = frozenset({AnswerKind.BEHIND, AnswerKind.NOT_PRIMARY, AnswerKind.WRONG_MEMBER})
 PAUSE_GROWTH = 1.5
 MAXIMUM_PAUSE_S = 0.1
@@ -165,14 +165,14 @@
         self.sends += 1
         return True
 
-    def failed(self, reason: AnswerKind | NotSent, member: str = "") -> None:
+    def failed(self, reason: AnswerKind | NotSentReason, member: str = "") -> None:
         """Record why a try failed, and log it if the reason differs from the last one.
 
         :param member: the member that was tried; empty for none
         """
         self._retry_ready_in_s = DEFAULT_READY_S
-        self._lacks_lease = reason is NotSent.NO_LEASE
-        self._is_queue_refused = reason is NotSent.TURNED_AWAY
+        self._lacks_lease = reason is NotSentReason.NO_LEASE
+        self._is_queue_refused = reason is NotSentReason.TURNED_AWAY
         self._lacks_connection = reason in LACKS_CONNECTION
         self._was_misrouted = reason in MISROUTED
         last = f"{reason} at {member}" if member else str(reason)
@@ -186,7 +186,7 @@
 
     def turned_away(self, refused: Refused, member: str) -> None:
         """Record and log that a member's queue refused the statement or dropped it."""
-        self.failed(NotSent.TURNED_AWAY, member)
+        self.failed(NotSentReason.TURNED_AWAY, member)
         self.last = f"{refused.reason} at {member}"
         self._retry_ready_in_s = refused.room_in_s
         self.log.turned_away(self.session.database, self.run.statement, member, refused)
--- a/limedyke/proxy/statements/members/member_exchange.py
+++ b/limedyke/proxy/statements/members/member_exchange.py
@@ -21,7 +21,7 @@
     TurnedAwayError,
 )
 from limedyke.proxy.statements.members.pinned_connection import PinnedConnection
-from limedyke.proxy.statements.statement_log import NotSent
+from limedyke.proxy.statements.statement_log import NotSentReason
 from limedyke.proxy.statements.statement_metrics import StatementMetrics
 
 MINIMUM_UNANSWERED_S = 0.1
@@ -66,16 +66,16 @@
             attempt.failed(error.answer.kind, identity)
             return None
         except ConnectionLostError:
-            attempt.failed(NotSent.NOT_CONNECTED, identity)
+            attempt.failed(NotSentReason.NOT_CONNECTED, identity)
             return None
         except TurnedAwayError as error:
             attempt.turned_away(error.refused, identity)
             return None
         except PoolTimeoutError:
-            attempt.failed(NotSent.NO_CONNECTION_FREE, identity)
+            attempt.failed(NotSentReason.NO_CONNECTION_FREE, identity)
             return None
         except PoolClosedError:
-            attempt.failed(NotSent.NO_LEASE, identity)
+            attempt.failed(NotSentReason.NO_LEASE, identity)
             return None
         finally:
             self._metrics.waited_for_connection(priority, time.monotonic() - began_at)
--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -17,7 +17,7 @@
 from limedyke.proxy.statements.members.member_pool import MemberPool
 from limedyke.proxy.statements.members.member_queries import MemberQueries
 from limedyke.proxy.statements.settlement import settle_first
-from limedyke.proxy.statements.statement_log import NotSent
+from limedyke.proxy.statements.statement_log import NotSentReason
 from limedyke.proxy.statements.statement_outcome import StatementOutcome
 from limedyke.result_codes import ResultCode
 
@@ -48,7 +48,7 @@
                 return StatementOutcome(attempt.give_up(ResultCode.NO_MEMBER))
             required = await self._required_position(attempt)
             if required is None and not group.is_surely_primary(group.primary):
-                attempt.failed(NotSent.POSITION_UNPROVEN)
+                attempt.failed(NotSentReason.POSITION_UNPROVEN)
                 if not await attempt.pause():
                     return StatementOutcome(attempt.give_up(ResultCode.FRESHNESS_UNPROVEN))
                 continue
--- a/limedyke/proxy/statements/runner.py
+++ b/limedyke/proxy/statements/runner.py
@@ -18,7 +18,7 @@
 from limedyke.proxy.statements.members.pinned_connection import PinnedConnection
 from limedyke.proxy.statements.read_runner import ReadRunner
 from limedyke.proxy.statements.settlement import settle_first, settle_in_transaction
-from limedyke.proxy.statements.statement_log import NotSent, StatementLog
+from limedyke.proxy.statements.statement_log import NotSentReason, StatementLog
 from limedyke.proxy.statements.statement_metrics import StatementMetrics
 from limedyke.proxy.statements.statement_outcome import StatementOutcome
 from limedyke.result_codes import ResultCode, did_not_run
@@ -109,7 +109,7 @@
         while True:
             pool = group.primary_pool()
             if pool is None or not _takes_writes(pool.observed, time.monotonic()):
-                attempt.failed(NotSent.NO_PRIMARY)
+                attempt.failed(NotSentReason.NO_PRIMARY)
                 await self.questions.search_primary(group)
                 if not await attempt.wait_for_primary():
                     return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
--- a/limedyke/proxy/statements/statement_log.py
+++ b/limedyke/proxy/statements/statement_log.py
@@ -37,7 +37,7 @@
 EVENTS = EventLog("statements")
 
 
-class NotSent(enum.StrEnum):
+class NotSentReason(enum.StrEnum):
     """Why a statement was not sent to any member."""
 
     NO_PRIMARY = "no-primary-that-answers"
@@ -60,7 +60,7 @@
     :param is_news: the reason differs from that of the statement's previous try
     """
 
-    reason: AnswerKind | NotSent
+    reason: AnswerKind | NotSentReason
     member: str
     primary: str
     term: int
