--- a/limedyke/proxy/statements/statement_log.py
+++ b/limedyke/proxy/statements/statement_log.py
@@ -20,7 +20,7 @@
 from limedyke.result_codes import CODE_BY_NUMBER, ResultCode
 
 DEFAULT_LINES_PER_SECOND = 50
-TRIES_SHARE = 0.5
+TRY_LINES_SHARE = 0.5
 """Rate limit for lines on failed tries, as a share of the limit for outcomes, which say more. Lines
 on queue refusals have a separate limit of the same size, so that they are not crowded out by failed
 tries."""
@@ -93,8 +93,8 @@
         self._metrics = metrics
         now = time.monotonic()
         self._outcomes = LogRateLimiter(lines_per_second, now)
-        self._tries = LogRateLimiter(int(lines_per_second * TRIES_SHARE), now)
-        self._turned_away = LogRateLimiter(int(lines_per_second * TRIES_SHARE), now)
+        self._tries = LogRateLimiter(int(lines_per_second * TRY_LINES_SHARE), now)
+        self._turned_away = LogRateLimiter(int(lines_per_second * TRY_LINES_SHARE), now)
         self._left_out = 0
         self._summed_at = now
         self._served = 0
