--- a/limedyke/proxy/statements/statement_log.py
+++ b/limedyke/proxy/statements/statement_log.py
@@ -26,7 +26,7 @@
 tries."""
 SUMMARY_INTERVAL_S = 10.0
 MS_PER_S = 1_000
-TRIED_ELSEWHERE = frozenset(
+RETRIED_ELSEWHERE_CODES = frozenset(
     {
         ResultCode.DRAINING,
         ResultCode.HOME_CROWDED,
@@ -194,7 +194,7 @@
         :param origin: the link that it came over
         """
         code = CODE_BY_NUMBER.get(answer.code)
-        if code is None or code in TRIED_ELSEWHERE or not self._may_write(self._outcomes):
+        if code is None or code in RETRIED_ELSEWHERE_CODES or not self._may_write(self._outcomes):
             return
         EVENTS.warning(
             "forwarded-not-served",
