--- a/limedyke/proxy/statements/statement_log.py
+++ b/limedyke/proxy/statements/statement_log.py
@@ -95,7 +95,7 @@
         self._outcomes = LogRateLimiter(lines_per_second, now)
         self._tries = LogRateLimiter(int(lines_per_second * TRY_LINES_SHARE), now)
         self._turned_away = LogRateLimiter(int(lines_per_second * TRY_LINES_SHARE), now)
-        self._left_out = 0
+        self._omitted = 0
         self._summed_at = now
         self._served = 0
 
@@ -217,7 +217,7 @@
     def _may_write(self, budget: LogRateLimiter) -> bool:
         if budget.take(time.monotonic()):
             return True
-        self._left_out += 1
+        self._omitted += 1
         self._metrics.lines_left_out.inc()
         return False
 
@@ -225,7 +225,7 @@
         now = time.monotonic()
         if now - self._summed_at < SUMMARY_INTERVAL_S:
             return
-        EVENTS.info("served", statements=self._served, lines_left_out=self._left_out)
+        EVENTS.info("served", statements=self._served, lines_left_out=self._omitted)
         self._summed_at = now
         self._served = 0
-        self._left_out = 0
+        self._omitted = 0
