--- a/limedyke/proxy/statements/statement_log.py
+++ b/limedyke/proxy/statements/statement_log.py
@@ -111,7 +111,7 @@
             self._served += 1
             self._sum_up()
             return
-        if not self._may_write(self._outcomes):
+        if not self._admit_line(self._outcomes):
             return
         EVENTS.warning(
             "not-served",
@@ -133,7 +133,7 @@
         :param was_sent: the statement was sent to a member or home proxy and may have run
         """
         self._metrics.unanswered.inc()
-        if not self._may_write(self._outcomes):
+        if not self._admit_line(self._outcomes):
             return
         EVENTS.warning(
             "unanswered",
@@ -149,7 +149,7 @@
     def tried(self, statement: Statement, group: str, seen: FailedTry) -> None:
         """Record a failed try; a later one may still serve the statement."""
         self._metrics.try_failed(seen.reason)
-        if not seen.is_news or not self._may_write(self._tries):
+        if not seen.is_news or not self._admit_line(self._tries):
             return
         EVENTS.info(
             "try-failed",
@@ -171,7 +171,7 @@
         Another member may still serve it.
         """
         self._metrics.turned_away(refused.reason, database.priority)
-        if not self._may_write(self._turned_away):
+        if not self._admit_line(self._turned_away):
             return
         EVENTS.info(
             "turned-away",
@@ -194,7 +194,7 @@
         :param origin: the link that it came over
         """
         code = CODE_BY_NUMBER.get(answer.code)
-        if code is None or code in RETRIED_ELSEWHERE_CODES or not self._may_write(self._outcomes):
+        if code is None or code in RETRIED_ELSEWHERE_CODES or not self._admit_line(self._outcomes):
             return
         EVENTS.warning(
             "forwarded-not-served",
@@ -211,10 +211,10 @@
         """Record a refused session."""
         label = CODE_BY_NUMBER[answer.code].label
         self._metrics.session_refused(label)
-        if self._may_write(self._outcomes):
+        if self._admit_line(self._outcomes):
             EVENTS.info("session-refused", database=database, code=label)
 
-    def _may_write(self, budget: LogRateLimiter) -> bool:
+    def _admit_line(self, budget: LogRateLimiter) -> bool:
         if budget.take(time.monotonic()):
             return True
         self._omitted += 1
