--- a/limedyke/proxy/statements/statement_log.py
+++ b/limedyke/proxy/statements/statement_log.py
@@ -109,7 +109,7 @@
         self._metrics.answered(statement.kind, label, held_s)
         if code is None:
             self._served += 1
-            self._sum_up()
+            self._log_summary()
             return
         if not self._admit_line(self._outcomes):
             return
@@ -221,7 +221,7 @@
         self._metrics.lines_left_out.inc()
         return False
 
-    def _sum_up(self) -> None:
+    def _log_summary(self) -> None:
         now = time.monotonic()
         if now - self._summed_at < SUMMARY_INTERVAL_S:
             return
