--- a/limedyke/proxy/statements/statement_log.py
+++ b/limedyke/proxy/statements/statement_log.py
@@ -97,7 +97,7 @@
         self._turned_away = LogRateLimiter(int(lines_per_second * TRY_LINES_SHARE), now)
         self._omitted = 0
         self._summed_at = now
-        self._served = 0
+        self._served_count = 0
 
     def answered(
         self, database: Database, statement: Statement, answer: StatementAnswer, started_at: float
@@ -108,7 +108,7 @@
         held_s = time.monotonic() - started_at
         self._metrics.answered(statement.kind, label, held_s)
         if code is None:
-            self._served += 1
+            self._served_count += 1
             self._log_summary()
             return
         if not self._admit_line(self._outcomes):
@@ -225,7 +225,7 @@
         now = time.monotonic()
         if now - self._summed_at < SUMMARY_INTERVAL_S:
             return
-        EVENTS.info("served", statements=self._served, lines_left_out=self._omitted)
+        EVENTS.info("served", statements=self._served_count, lines_left_out=self._omitted)
         self._summed_at = now
-        self._served = 0
+        self._served_count = 0
         self._omitted = 0
