--- a/features/steps/statement_log_steps.py
+++ b/features/steps/statement_log_steps.py
@@ -31,7 +31,7 @@
     step_keep(context)
     log: StatementLog = context.path.services.log
     context.began_at = time.monotonic()
-    log._outcomes = LogRateLimiter(limit, context.began_at)
+    log._outcome_lines = LogRateLimiter(limit, context.began_at)
     log._tries = LogRateLimiter(limit // 2, context.began_at)
 
 
--- a/limedyke/proxy/statements/statement_log.py
+++ b/limedyke/proxy/statements/statement_log.py
@@ -92,7 +92,7 @@
     ) -> None:
         self._metrics = metrics
         now = time.monotonic()
-        self._outcomes = LogRateLimiter(lines_per_second, now)
+        self._outcome_lines = LogRateLimiter(lines_per_second, now)
         self._tries = LogRateLimiter(int(lines_per_second * TRY_LINES_SHARE), now)
         self._turned_away = LogRateLimiter(int(lines_per_second * TRY_LINES_SHARE), now)
         self._omitted = 0
@@ -111,7 +111,7 @@
             self._served_count += 1
             self._log_summary()
             return
-        if not self._admit_line(self._outcomes):
+        if not self._admit_line(self._outcome_lines):
             return
         EVENTS.warning(
             "not-served",
@@ -133,7 +133,7 @@
         :param was_sent: the statement was sent to a member or home proxy and may have run
         """
         self._metrics.unanswered.inc()
-        if not self._admit_line(self._outcomes):
+        if not self._admit_line(self._outcome_lines):
             return
         EVENTS.warning(
             "unanswered",
@@ -194,7 +194,11 @@
         :param origin: the link that it came over
         """
         code = CODE_BY_NUMBER.get(answer.code)
-        if code is None or code in RETRIED_ELSEWHERE_CODES or not self._admit_line(self._outcomes):
+        if (
+            code is None
+            or code in RETRIED_ELSEWHERE_CODES
+            or not self._admit_line(self._outcome_lines)
+        ):
             return
         EVENTS.warning(
             "forwarded-not-served",
@@ -211,7 +215,7 @@
         """Record a refused session."""
         label = CODE_BY_NUMBER[answer.code].label
         self._metrics.session_refused(label)
-        if self._admit_line(self._outcomes):
+        if self._admit_line(self._outcome_lines):
             EVENTS.info("session-refused", database=database, code=label)
 
     def _admit_line(self, budget: LogRateLimiter) -> bool:
