--- a/features/steps/statement_log_steps.py
+++ b/features/steps/statement_log_steps.py
@@ -32,7 +32,7 @@
     log: StatementLog = context.path.services.log
     context.began_at = time.monotonic()
     log._outcome_lines = LogRateLimiter(limit, context.began_at)
-    log._tries = LogRateLimiter(limit // 2, context.began_at)
+    log._try_lines = LogRateLimiter(limit // 2, context.began_at)
 
 
 @when("statement log: {count:d} clients write at once")
--- a/limedyke/proxy/statements/statement_log.py
+++ b/limedyke/proxy/statements/statement_log.py
@@ -93,7 +93,7 @@
         self._metrics = metrics
         now = time.monotonic()
         self._outcome_lines = LogRateLimiter(lines_per_second, now)
-        self._tries = LogRateLimiter(int(lines_per_second * TRY_LINES_SHARE), now)
+        self._try_lines = LogRateLimiter(int(lines_per_second * TRY_LINES_SHARE), now)
         self._turned_away = LogRateLimiter(int(lines_per_second * TRY_LINES_SHARE), now)
         self._omitted = 0
         self._summed_at = now
@@ -149,7 +149,7 @@
     def tried(self, statement: Statement, group: str, seen: FailedTry) -> None:
         """Record a failed try; a later one may still serve the statement."""
         self._metrics.try_failed(seen.reason)
-        if not seen.is_news or not self._admit_line(self._tries):
+        if not seen.is_news or not self._admit_line(self._try_lines):
             return
         EVENTS.info(
             "try-failed",
