--- a/limedyke/proxy/statements/statement_log.py
+++ b/limedyke/proxy/statements/statement_log.py
@@ -94,7 +94,7 @@
         now = time.monotonic()
         self._outcome_lines = LogRateLimiter(lines_per_second, now)
         self._try_lines = LogRateLimiter(int(lines_per_second * TRY_LINES_SHARE), now)
-        self._turned_away = LogRateLimiter(int(lines_per_second * TRY_LINES_SHARE), now)
+        self._refusal_lines = LogRateLimiter(int(lines_per_second * TRY_LINES_SHARE), now)
         self._omitted = 0
         self._summed_at = now
         self._served_count = 0
@@ -171,7 +171,7 @@
         Another member may still serve it.
         """
         self._metrics.turned_away(refused.reason, database.priority)
-        if not self._admit_line(self._turned_away):
+        if not self._admit_line(self._refusal_lines):
             return
         EVENTS.info(
             "turned-away",
