--- a/limedyke/proxy/statements/settlement.py
+++ b/limedyke/proxy/statements/settlement.py
@@ -31,7 +31,7 @@
         return StatementOutcome(_failure(answer, run))
     if run.writes:
         session.wrote_up_to(answer.position)
-    return StatementOutcome(_done(answer))
+    return StatementOutcome(_success(answer))
 
 
 async def settle_in_transaction(
@@ -42,10 +42,10 @@
         return await _transaction_failed(session, run, pinned, answer)
     session.ran(run)
     if run.statement.kind is not StatementKind.COMMIT:
-        return StatementOutcome(_done(answer), pinned)
+        return StatementOutcome(_success(answer), pinned)
     session.wrote_up_to(answer.position if run.writes else None)
     await pinned.give_back()
-    return StatementOutcome(_done(answer))
+    return StatementOutcome(_success(answer))
 
 
 def settle_unanswered(session: StatementSession, run: RunOnMember, detail: str) -> StatementOutcome:
@@ -85,7 +85,7 @@
     return StatementOutcome(refusal(ResultCode.TRANSACTION_LOST, detail, retry_after_ms))
 
 
-def _done(answer: MemberAnswer) -> StatementAnswer:
+def _success(answer: MemberAnswer) -> StatementAnswer:
     return StatementAnswer(rows=answer.rows, signature=answer.signature)
 
 
