--- a/features/steps/forwarding_links_steps.py
+++ b/features/steps/forwarding_links_steps.py
@@ -211,13 +211,13 @@
     while not link.closed:
         if link.is_busy and await link._fell_silent():
             return
-        await curio.sleep(forwarding_link.LOOK_INTERVAL_S)
+        await curio.sleep(forwarding_link.CHECK_INTERVAL_S)
 
 
 async def _watch_served_all_the_time(link):
     """Look at a link at fixed intervals, idle or not, as the home proxy."""
     while not await link._fell_silent():
-        await curio.sleep(forwarding_server.LOOK_INTERVAL_S)
+        await curio.sleep(forwarding_server.CHECK_INTERVAL_S)
 
 
 _HOME_LINK = forwarding_link.HomeLink
@@ -330,7 +330,7 @@
     executor = _CountedExecutor()
     links.homes.server = forwarding_server.ForwardingServer(executor)
     assert links.end_of(links.ask("p1")).code == 0
-    links.kernel.run(curio.sleep, 3 * forwarding_link.LOOK_INTERVAL_S)
+    links.kernel.run(curio.sleep, 3 * forwarding_link.CHECK_INTERVAL_S)
     looked = []
     busy = forwarding_link.HomeLink.is_busy.fget
 
@@ -340,7 +340,7 @@
 
     executor.looks = 0
     with mock.patch.object(forwarding_link.HomeLink, "is_busy", property(count)):
-        links.kernel.run(curio.sleep, looks * forwarding_link.LOOK_INTERVAL_S)
+        links.kernel.run(curio.sleep, looks * forwarding_link.CHECK_INTERVAL_S)
     context.looks = {"the proxy": len(looked), "the home proxy": executor.looks}
 
 
--- a/features/support/burst_pool.py
+++ b/features/support/burst_pool.py
@@ -96,7 +96,7 @@
 
     async def _answer(self, connection: StandInConnection) -> None:
         sent_at = time.monotonic()
-        self.pool.sent_on(connection)
+        self.pool.release_reservation(connection)
         self.pool.observed.sent(sent_at)
         until = time.monotonic() + self.answer_s
         while time.monotonic() < until or self.is_silent:
