--- a/limedyke/proxy/statements/homes/home_loads.py
+++ b/limedyke/proxy/statements/homes/home_loads.py
@@ -52,7 +52,7 @@
 def _waits_ms(pool: MemberPool, tenant: str) -> tuple[int, ...]:
     """Return the expected queueing time by priority; empty while the pool has room.
 
-    The time to open a connection is not cached: it is short, and another home proxy needs it too.
+    The time to open a connection is not included: it is short, and another home proxy needs it too.
     """
     if pool.has_room:
         return ()
