--- a/limedyke/proxy/statements/members/checked_out_connections.py
+++ b/limedyke/proxy/statements/members/checked_out_connections.py
@@ -6,9 +6,9 @@
 from limedyke.proxy.statements.members.member_connection import MemberConnection
 
 LONG_HELD_S = 0.25
-HELD_FACTOR = 8.0
+LONG_HELD_FACTOR = 8.0
 """A connection that is checked out for longer than both ``LONG_HELD_S`` seconds and
-``HELD_FACTOR`` times the usual time is taken to be held by an idle transaction; its return is not
+``LONG_HELD_FACTOR`` times the usual time is taken to be held by an idle transaction; its return is not
 expected."""
 REOPEN_SHARE_SMOOTHING = 0.2
 
@@ -34,7 +34,7 @@
 
     def held(self, usual_s: float, now: float) -> int:
         """Return how many are checked out for so long that their return can't be predicted."""
-        limit_s = max(LONG_HELD_S, HELD_FACTOR * usual_s)
+        limit_s = max(LONG_HELD_S, LONG_HELD_FACTOR * usual_s)
         return sum(now - connection.checked_out_at > limit_s for connection in self._requests)
 
     def record_turn(self, changed: bool) -> None:
