--- a/limedyke/proxy/statements/members/checked_out_connections.py
+++ b/limedyke/proxy/statements/members/checked_out_connections.py
@@ -32,7 +32,7 @@
         """Record a return; return the request that had the connection, None for a status query."""
         return self._requests.pop(connection, None)
 
-    def held(self, usual_s: float, now: float) -> int:
+    def count_long_held(self, usual_s: float, now: float) -> int:
         """Return how many are checked out for so long that their return can't be predicted."""
         limit_s = max(LONG_HELD_S, LONG_HELD_FACTOR * usual_s)
         return sum(now - connection.checked_out_at > limit_s for connection in self._requests)
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -275,7 +275,7 @@
         """Estimate the time between two turns, without connections held by idle transactions."""
         connections = self.opened if now < self._full_until else self.limit
         usual_s = self._queue.usual_cost_s
-        at_work = connections - self._checked_out.held(usual_s, now)
+        at_work = connections - self._checked_out.count_long_held(usual_s, now)
         serving = max(1, min(at_work, self.observed.concurrency.limit))
         opening_s = self._checked_out.reopen_share * self.observed.opening.usual_s
         return (usual_s + opening_s) / serving
