--- a/limedyke/proxy/statements/members/checked_out_connections.py
+++ b/limedyke/proxy/statements/members/checked_out_connections.py
@@ -8,8 +8,8 @@
 LONG_HELD_S = 0.25
 LONG_HELD_FACTOR = 8.0
 """A connection that is checked out for longer than both ``LONG_HELD_S`` seconds and
-``LONG_HELD_FACTOR`` times the usual time is taken to be held by an idle transaction; its return is not
-expected."""
+``LONG_HELD_FACTOR`` times the usual time is taken to be held by an idle transaction; its return is
+not expected."""
 REOPEN_SHARE_SMOOTHING = 0.2
 
 
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -324,7 +324,7 @@
             self.observed.reserved -= 1
 
     def _member_has_room(self) -> bool:
-        """Tell whether the member has room; remember if not, so that ``room_came`` serves later."""
+        """Tell whether the member has room; if not, remember it for ``room_came``."""
         has_room = self.observed.has_room(time.monotonic())
         self._lacked_room = self._lacked_room or not has_room
         return has_room
