--- a/features/support/burst_pool.py
+++ b/features/support/burst_pool.py
@@ -118,4 +118,4 @@
         while True:
             await curio.sleep(0.1)
             await self.pool.check_waiting(time.monotonic())
-            await self.pool.room_came()
+            await self.pool.serve_waiting()
--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -181,7 +181,7 @@
         for identity, pool in list(group.pools.items()):
             observed = pool.observed
             await pool.check_waiting(now)
-            await pool.room_came()
+            await pool.serve_waiting()
             pool.judgement.look(group.name, observed, now)
             is_primary = identity == group.primary
             if self._should_probe(observed, is_primary, now):
--- a/limedyke/proxy/statements/members/member_exchange.py
+++ b/limedyke/proxy/statements/members/member_exchange.py
@@ -128,7 +128,7 @@
         if not was_primary:
             _record_lag(observed, attempt, answer, after)
         if pinned.connection.status is not TransactionStatus.IDLE:
-            await pinned.pool.room_came()
+            await pinned.pool.serve_waiting()
         return answer
 
     def _learn(
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -309,7 +309,7 @@
             await self._discard_and_wake(connection)
         else:
             await self._hand_over(connection)
-            await self.room_came()
+            await self.serve_waiting()
         await self.check_queue(time.monotonic())
 
     def _reserve(self, connection: MemberConnection) -> None:
@@ -324,12 +324,12 @@
             self.observed.reserved -= 1
 
     def _member_has_room(self) -> bool:
-        """Tell whether the member has room; if not, remember it for ``room_came``."""
+        """Tell whether the member has room; if not, remember it for ``serve_waiting``."""
         has_room = self.observed.has_room(time.monotonic())
         self._lacked_room = self._lacked_room or not has_room
         return has_room
 
-    async def room_came(self) -> None:
+    async def serve_waiting(self) -> None:
         """Serve waiting requests while the member has room.
 
         Each keeps its place until it has a connection; if it queued again, it could be refused
@@ -521,7 +521,7 @@
             return
         self.opened -= 1
         await self._handle_failed_opening(opened.err_value, tenant)
-        await self.room_came()
+        await self.serve_waiting()
 
     def _learn_opening(self, connection: MemberConnection) -> None:
         """Record how long the network and the member took for an opening."""
