--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -308,7 +308,7 @@
         if not is_usable or self.is_closed or self.opened > self.limit:
             await self._discard_and_wake(connection)
         else:
-            await self._hand_over(connection)
+            await self._give_to_next(connection)
             await self.serve_waiting()
         await self.check_queue(time.monotonic())
 
@@ -352,7 +352,7 @@
                 self.release_reservation(connection)
                 self._idle.add(connection, time.monotonic())
 
-    async def _hand_over(self, connection: MemberConnection) -> None:
+    async def _give_to_next(self, connection: MemberConnection) -> None:
         """Give a connection to the next request, or keep it idle.
 
         If the next request needs another tenant's connection and the lease is used up, this
@@ -384,7 +384,7 @@
             self._reserve(connection)
             await waiter.give(connection)
         else:
-            await self._hand_over(connection)
+            await self._give_to_next(connection)
 
     def _take_first(self) -> ConnectionWaiter | None:
         """Remove and return the next request, or None."""
