--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -52,7 +52,7 @@
 """Idle time, in seconds, after which a connection beyond ``SOFT_LIMIT_SHARE`` is closed."""
 NO_TENANT = ""
 """Tenant of the connections for status queries and public databases."""
-RECOUNT_INTERVAL_S = 0.02
+QUEUE_CHECK_INTERVAL_S = 0.02
 """Interval, in seconds, at which expected waits are recomputed; requests whose turn can't come in
 time are refused then."""
 WAITING_PER_CONNECTION = 128
@@ -613,7 +613,7 @@
             await self._check_queue(now)
 
     async def _check_queue(self, now: float) -> None:
-        self._recount_at = now + RECOUNT_INTERVAL_S
+        self._recount_at = now + QUEUE_CHECK_INTERVAL_S
         identity = self.observed.record.identity
         for waiter, refused in self._queue.expire(now, self._queue_drain()):
             await waiter.fail(TurnedAwayError(identity, refused))
