--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -109,7 +109,7 @@
         self._checked_out = CheckedOutConnections()
         self._turn_rate = TurnRate()
         self._returns = ReturnSchedule()
-        self._recount_at = 0.0
+        self._next_queue_check_at = 0.0
         self._lacked_room = False
 
     async def getconn(
@@ -609,11 +609,11 @@
 
     async def check_queue(self, now: float) -> None:
         """Refuse waiting requests whose turn can't come in time any more, at a limited rate."""
-        if self._queue and now >= self._recount_at:
+        if self._queue and now >= self._next_queue_check_at:
             await self._check_queue(now)
 
     async def _check_queue(self, now: float) -> None:
-        self._recount_at = now + QUEUE_CHECK_INTERVAL_S
+        self._next_queue_check_at = now + QUEUE_CHECK_INTERVAL_S
         identity = self.observed.record.identity
         for waiter, refused in self._queue.expire(now, self._queue_drain()):
             await waiter.fail(TurnedAwayError(identity, refused))
