--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -672,18 +672,18 @@
         except curio.TaskTimeout:
             if waiter.connection is not None:
                 return waiter.connection
-            await self._abandon(waiter)
+            await self._pass_on(waiter)
             if until < give_up_at:
                 return None
             raise PoolTimeoutError(self.observed.record.identity) from None
         except curio.CancelledError:
-            await self._abandon(waiter)
+            await self._pass_on(waiter)
             raise
         if waiter.error is not None:
             raise waiter.error
         return waiter.connection
 
-    async def _abandon(self, waiter: ConnectionWaiter) -> None:
+    async def _pass_on(self, waiter: ConnectionWaiter) -> None:
         """Pass on a connection or wake-up that a waiter got just when it gave up."""
         was_given = not self._queue.remove(waiter)
         if was_given and waiter.connection is not None:
