--- a/limedyke/proxy/statements/members/member_exchange.py
+++ b/limedyke/proxy/statements/members/member_exchange.py
@@ -124,14 +124,14 @@
             observed.ended(is_answered, started_at)
         if answer.kind in NOT_RUN:
             attempt.session.tries_under_way -= 1
-        self._learn(pinned, attempt, answer, started_at, was_primary)
+        self._record_answer(pinned, attempt, answer, started_at, was_primary)
         if not was_primary:
             _record_lag(observed, attempt, answer, after)
         if pinned.connection.status is not TransactionStatus.IDLE:
             await pinned.pool.serve_waiting()
         return answer
 
-    def _learn(
+    def _record_answer(
         self,
         pinned: PinnedConnection,
         attempt: Attempt,
