--- a/limedyke/proxy/statements/members/member_connection.py
+++ b/limedyke/proxy/statements/members/member_connection.py
@@ -50,7 +50,7 @@
     :ivar last_received_at: when data last arrived on it
     :ivar is_reserved: it is checked out by a request that has not sent anything yet
     :ivar connect_s: duration of the TCP connect, about one network round trip
-    :ivar opened_in_s: duration of the whole opening, without pauses of this process
+    :ivar open_s: duration of the whole opening, without pauses of this process
     :ivar opened_at: the member's log position when it accepted the connection; None if not reported
     """
 
@@ -76,7 +76,7 @@
         self.last_received_at = self.idle_since
         self.is_reserved = False
         self.connect_s = 0.0
-        self.opened_in_s = 0.0
+        self.open_s = 0.0
         self.opened_at: LogPosition | None = None
 
     @classmethod
--- a/limedyke/proxy/statements/members/member_connector.py
+++ b/limedyke/proxy/statements/members/member_connector.py
@@ -63,7 +63,7 @@
             told = observed.told
             try:
                 connection = await present_time.call_with_timeout(limit_s, self._connect, tenant)
-                connection.opened_in_s = observed.awaited_s(asked_at, time.monotonic())
+                connection.open_s = observed.awaited_s(asked_at, time.monotonic())
                 return await self._check_log(connection, told)
             except curio.TaskTimeout:
                 if observed.answer_timed_out(asked_at, limit_s, time.monotonic()):
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -527,9 +527,9 @@
         """Record how long the network and the member took for an opening."""
         now = time.monotonic()
         observed = self.observed
-        observed.connected(now, connection.opened_in_s)
+        observed.connected(now, connection.open_s)
         observed.concurrency.connected(connection.connect_s)
-        seconds = connection.opened_in_s - connection.connect_s
+        seconds = connection.open_s - connection.connect_s
         observed.concurrency.answered(OPENING, seconds, observed.under_way(now) + 1, now)
 
     async def _handle_failed_opening(self, error: Exception, tenant: str) -> None:
