--- a/limedyke/proxy/statements/settlement.py
+++ b/limedyke/proxy/statements/settlement.py
@@ -28,7 +28,7 @@
     else:
         await pinned.release()
     if answer.kind is not AnswerKind.DONE:
-        return StatementOutcome(_failure(answer, run))
+        return StatementOutcome(_refusal_of(answer, run))
     if run.writes:
         session.wrote_up_to(answer.position)
     return StatementOutcome(_success(answer))
@@ -89,7 +89,7 @@
     return StatementAnswer(rows=answer.rows, signature=answer.signature)
 
 
-def _failure(answer: MemberAnswer, run: RunOnMember) -> StatementAnswer:
+def _refusal_of(answer: MemberAnswer, run: RunOnMember) -> StatementAnswer:
     """Return the refusal for a failed statement outside a transaction."""
     match answer.kind:
         case AnswerKind.FAILED:
