--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -594,11 +594,11 @@
         if waiter.was_let_in or self._has_connection_for(waiter, now):
             self._queue.place(waiter, now)
         else:
-            await self._push(waiter, now)
+            await self._push_or_refuse(waiter, now)
         waiter.was_let_in = True
         waiter.expects_silence = self.observed.seems_silent(now)
 
-    async def _push(self, waiter: ConnectionWaiter, now: float) -> None:
+    async def _push_or_refuse(self, waiter: ConnectionWaiter, now: float) -> None:
         answer = self._queue.push(waiter, now, self._queue_drain())
         if isinstance(answer, Refused):
             raise TurnedAwayError(self.observed.record.identity, answer)
