--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -34,11 +34,11 @@
     :param zone: of this proxy
     """
 
-    def __init__(self, zone: str, exchange: MemberExchange, questions: MemberQueries) -> None:
+    def __init__(self, zone: str, exchange: MemberExchange, queries: MemberQueries) -> None:
         self._zone = zone
         self._generator = random.Random()
         self._exchange = exchange
-        self._queries = questions
+        self._queries = queries
 
     async def run(self, attempt: Attempt) -> StatementOutcome:
         """Run a read; try one member after the other until one has run it."""
--- a/limedyke/proxy/statements/runner.py
+++ b/limedyke/proxy/statements/runner.py
@@ -43,8 +43,8 @@
         self._limits = limits
         self._log = log
         self._exchange = MemberExchange(metrics)
-        self.questions = MemberQueries()
-        self._reads = ReadRunner(zone, self._exchange, self.questions)
+        self.queries = MemberQueries()
+        self._reads = ReadRunner(zone, self._exchange, self.queries)
 
     async def run(
         self,
@@ -110,7 +110,7 @@
             pool = group.primary_pool()
             if pool is None or not _takes_writes(pool.observed, time.monotonic()):
                 attempt.failed(NotSentReason.NO_PRIMARY)
-                await self.questions.search_primary(group)
+                await self.queries.search_primary(group)
                 if not await attempt.wait_for_primary():
                     return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
                 continue
@@ -134,7 +134,7 @@
             await pinned.release()
             if answer.kind is AnswerKind.NOT_PRIMARY:
                 await group.record_reported_role(pinned.identity, is_primary=False)
-                await self.questions.search_primary(group)
+                await self.queries.search_primary(group)
             until = attempt.deadline if answer.kind is AnswerKind.BUSY else attempt.held_until()
             if not await attempt.pause(until):
                 return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
