--- a/features/support/burst_pool.py
+++ b/features/support/burst_pool.py
@@ -24,13 +24,13 @@
 class StandInConnection:
     """A connection to a member that does what it is told."""
 
-    def __init__(self, tenant: str, opened_in_s: float) -> None:
+    def __init__(self, tenant: str, open_s: float) -> None:
         self.tenant = tenant
         self.values: dict[str, str] = {}
         self.status = TransactionStatus.IDLE
         self.is_closed = False
         self.is_reserved = False
-        self.opened_in_s = opened_in_s
+        self.open_s = open_s
         self.connect_s = 0.0
         self.checked_out_at = self.idle_since = self.last_received_at = time.monotonic()
 
--- a/limedyke/proxy/statements/executor.py
+++ b/limedyke/proxy/statements/executor.py
@@ -51,8 +51,9 @@
                 await self.roll_back(place)
             session.fail_transaction()
             detail = "the group is no longer declared"
-            refused = refusal(ResultCode.NO_MEMBER, detail, UNDECLARED_RETRY_AFTER_MS)
-            return StatementOutcome(refused)
+            return StatementOutcome(
+                refusal(ResultCode.NO_MEMBER, detail, UNDECLARED_RETRY_AFTER_MS)
+            )
         if place is None:
             forwarded = await self._forward(session, run, group)
             if forwarded is not None:
