--- a/features/home_silence.feature
+++ b/features/home_silence.feature
@@ -21,7 +21,7 @@
   Scenario: silence: the first statement of a transaction goes to another home proxy
     Given statement homes: a session database, home proxies h1 in z2, h2 in z3
     When statement path: the client asks "WRITE x 1" and is told "done I"
-    And statement homes: links to all are open
+    And statement homes: links to all home proxies are open
     And statement homes: h1 freezes
     And statement path: the client asks "BEGIN" and is told "done T"
     And statement path: the client asks "WRITE x 2" and is told "done T"
@@ -31,7 +31,7 @@
 
   Scenario: silence: links into a zone of which one went silent are asked after others
     Given statement homes: a session database, home proxies h1 in z4 of r1, h2 in z4 of r1, h3 in z5 of r2
-    When statement homes: links to all are open
+    When statement homes: links to all home proxies are open
     And statement homes: h1 freezes
     And statement homes: h2 freezes
     And silence: writes wait at h1 or h2 for 450 ms
@@ -42,7 +42,7 @@
   Scenario Outline: silence: once one home proxy is silent, others are asked for a sign of life before a unit is sent, "<asked>"
     Given statement homes: a session database, home proxies h1 in z3 of r1, h2 in z4 of r1, h3 in z5 of r2
     When statement path: the client asks "WRITE x 1" and is told "done I"
-    And statement homes: links to all are open
+    And statement homes: links to all home proxies are open
     And statement homes: h1 freezes
     And statement homes: h2 freezes
     And silence: writes wait at h1 or h2 for 450 ms
@@ -56,9 +56,9 @@
 
   Scenario: silence: a read that got no answer goes to a home proxy that gives a sign of life
     Given statement homes: a session database, home proxies h1 in z3 of r1, h2 in z4 of r1, h3 in z5 of r2
-    And statement path: statements may take 800 ms, aim at 400 ms and may be tried 2 times
+    And statement path: statements have a timeout of 800 ms, a target of 400 ms and 2 attempts
     When statement path: the client asks "WRITE x 1" and is told "done I"
-    And statement homes: links to all are open
+    And statement homes: links to all home proxies are open
     And statement homes: h1 freezes
     And statement homes: h2 freezes
     And statement path: the client asks "READ x" and is told "1 done I"
--- a/features/statement_forwarding.feature
+++ b/features/statement_forwarding.feature
@@ -53,7 +53,7 @@
 
   Scenario: statement homes: the nearest home proxy is taken
     Given statement homes: a session database, home proxies h1 in z5 of r2, h2 in z3 of r1, h3 in z2 of r1
-    When statement homes: links to all are open
+    When statement homes: links to all home proxies are open
     And statement path: the client asks "WRITE x 1" and is told "done I"
     Then statement homes: h3 took 1 statements
     When statement homes: h3 drains
@@ -63,7 +63,7 @@
   Scenario Outline: statement homes: a home proxy that was told to stop <since> s ago, beside one that <other>
     Given statement homes: a session database, home proxies h1 in z2, h2 in z3
     When statement path: the client asks "WRITE x 1" and is told "done I"
-    And statement homes: links to all are open
+    And statement homes: links to all home proxies are open
     And statement homes: h1 was told to stop <since> s ago, and has 6 s
     And statement homes: h2 <state>
     And statement path: the client asks "WRITE x 2" and is told "<told>"
@@ -81,7 +81,7 @@
   Scenario Outline: statement homes: <fault> for "<asked>"
     Given statement homes: a session database, home proxies h1 in z2, h2 in z3
     When statement path: the client asks "WRITE x 1" and is told "done I"
-    And statement homes: links to all are open
+    And statement homes: links to all home proxies are open
     And statement homes: <fault>
     And statement path: the client asks "<asked>" and is told "<told>"
     Then statement homes: "<asked>" ran at most <times> times
@@ -100,7 +100,7 @@
   Scenario Outline: statement homes: a home proxy that can't reach the primary, <consistency>, "<asked>"
     Given statement homes: a <consistency> database, home proxies h1 in z2, h2 in z3
     When statement path: the client asks "WRITE x 1" and is told "done I"
-    And statement homes: links to all are open
+    And statement homes: links to all home proxies are open
     And statement homes: h1 can't reach the primary
     And statement path: the lease has run out
     And statement path: the client asks "<asked>" and is told "<told>"
@@ -118,7 +118,7 @@
     Given statement homes: a session database, home proxies h1 in z2, h2 in z3
     And statement path: replicas lag by 5000 ms
     When statement path: the client asks "WRITE x 1" and is told "done I"
-    And statement homes: links to all are open
+    And statement homes: links to all home proxies are open
     And statement homes: h1 can't reach the primary
     And statement path: the client asks "READ x" and is told "1 done I"
     Then statement path: "READ x" ran at a
@@ -127,7 +127,7 @@
   Scenario: statement homes: no home proxy can reach the primary
     Given statement homes: a session database, home proxies h1 in z2, h2 in z3
     When statement path: the client asks "WRITE x 1" and is told "done I"
-    And statement homes: links to all are open
+    And statement homes: links to all home proxies are open
     And statement homes: h1 can't reach the primary
     And statement homes: h2 can't reach the primary
     And statement path: the outage has lasted longer than usual
@@ -137,9 +137,9 @@
 
   Scenario: statement homes: a home proxy holds a read for most of its time
     Given statement homes: a session database, home proxies h1 in z2
-    And statement path: statements may take 3200 ms
+    And statement path: statements have a timeout of 3200 ms
     When statement path: the client asks "WRITE x 1" and is told "done I"
-    And statement homes: links to all are open
+    And statement homes: links to all home proxies are open
     And statement path: no primary is recorded
     And statement path: the client asks "READ x", and after 2400 ms b leads, and the proxy knows
     Then statement path: it is told "1 done I" within 3200 ms
@@ -148,7 +148,7 @@
   Scenario: statement homes: a statement is held until a home proxy reaches the next primary
     Given statement homes: a session database, home proxies h1 in z2, h2 in z3
     When statement path: the client asks "WRITE x 1" and is told "done I"
-    And statement homes: links to all are open
+    And statement homes: links to all home proxies are open
     And statement homes: h1 can't reach the primary
     And statement homes: h2 can't reach the primary
     And statement path: the client asks "WRITE x 2", and after 400 ms b leads, and the proxy knows
@@ -160,8 +160,8 @@
     And statement homes: h1 is <away> ms away, one way
     And statement path: a is <away> ms away, one way
     And statement path: a takes 30 ms for a read
-    And statement path: statements may take 1000 ms, aim at 400 ms and may be tried 2 times
-    When statement homes: links to all are open
+    And statement path: statements have a timeout of 1000 ms, a target of 400 ms and 2 attempts
+    When statement homes: links to all home proxies are open
     And statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: the client asks "<asked>" and is told "<told>"
     And statement path: the client asks "<asked>" and is told "<told>"
@@ -174,7 +174,7 @@
       | 90   | WRITE y 1 | done I   |
 
   Scenario Outline: statement homes: the answer's way is left out of a home proxy's time: <limit> s, <travel> s
-    Then statement homes: of <limit> s with <travel> s on the way a home proxy gets <home> s
+    Then statement homes: of <limit> s with a round trip of <travel> s a home proxy gets <home> s
 
     Examples:
       | limit | travel | home  |
@@ -185,7 +185,7 @@
   Scenario Outline: statement homes: a home proxy that went silent is avoided, after <ms> ms
     Given statement homes: a session database, home proxies h1 in z2, h2 in z3
     When statement path: the client asks "WRITE x 1" and is told "done I"
-    And statement homes: links to all are open
+    And statement homes: links to all home proxies are open
     And statement homes: h1 freezes
     And statement homes: a client waits at h1 for <ms> ms
     And statement path: the client asks "WRITE x 2" and is told "done I"
@@ -225,7 +225,7 @@
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: a loses 0 answer
     And statement homes: the primary turns silent
-    And statement homes: a client writes and is cut off
+    And statement homes: a client writes and the links break
     And statement homes: the primary answers again
     And statement path: 700 ms pass
     And statement path: the client asks "WRITE x 3" and is told "done I"
@@ -256,16 +256,16 @@
 
   Scenario: statement homes: a home proxy tells how long its units wait, and a part of them goes elsewhere
     Given statement homes: a session database, home proxies h1 in z2 of r1, h2 in z3 of r1
-    And statement homes: links to all are open
+    And statement homes: links to all home proxies are open
     And statement homes: h1 has one connection, held by a transaction, and 3 requests wait for it
-    And statement homes: h1 leaves nothing to others
+    And statement homes: h1 refuses no unit as crowded
     When statement path: the client asks "WRITE x 1" and is told "BUSY I"
     And statement homes: 12 clients write one after the other, 10 ms apart
     Then statement homes: h2 took 4 of them or more, h1 one before
 
   Scenario Outline: statement homes: the proxy's own lease ends while "<asked>" waits for a connection
     Given statement homes: a session database, home proxies h1 in z2
-    And statement homes: links to all are open
+    And statement homes: links to all home proxies are open
     And statement homes: the proxy has a lease of 1 connection, which is held
     When statement path: the client asks "<before>" and is told "<ready>"
     And statement homes: the client asks "<asked>", and 100 ms later that lease ends
--- a/features/statement_path.feature
+++ b/features/statement_path.feature
@@ -28,7 +28,7 @@
 
   Scenario: statement path: bounded reads miss nothing older than the bound
     Given statement path: a bounded database on primary a and replicas b c, the proxy beside b
-    And statement path: the bound is 300 ms, and replicas lag by 900 ms
+    And statement path: the staleness bound is 300 ms, and replicas lag by 900 ms
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: 400 ms pass
     And statement path: another client asks "READ x" and is told "1 done I"
@@ -78,15 +78,15 @@
     When statement path: 8 clients read at once
     Then statement path: all are told "7 done I"
     And statement path: at least 5 of them were served by replicas
-    And statement path: a was asked for its position 1 times
+    And statement path: a was queried for its position 1 times
 
   Scenario: statement path: an answer that a member gave before it led is no word of the primary
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: 100 ms pass
     And statement path: the client asks "READ x" and is told "1 done I"
-    And statement path: all answered within 300 ms lately
-    And statement path: answers of b are 300 ms on their way
+    And statement path: all members recently answered within 300 ms
+    And statement path: answers of b are delayed by 300 ms
     And statement path: b begins to lead while another client's "READ y" runs there, and the proxy knows
     Then statement path: "READ y" ran at b
     And statement path: no position of the primary is known
@@ -97,11 +97,11 @@
     And statement path: 100 ms pass
     And statement path: b turns silent
     And statement path: the client asks "READ x" and is told "1 done I"
-    And statement path: the members are watched for 1300 ms
+    And statement path: the members are monitored for 1300 ms
     And statement path: the client asks "READ x" and is told "1 done I"
     Then statement path: that took less than 200 ms
     When statement path: b answers again
-    And statement path: the members are watched for 1000 ms
+    And statement path: the members are monitored for 1000 ms
     And statement path: the client asks "READ x" and is told "1 done I"
     Then statement path: "READ x" ran at b
 
@@ -109,13 +109,13 @@
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     And statement path: attempts to connect to a hang
     When statement path: the client asks "WRITE x 1" and is told "BUSY I"
-    And statement path: the members are watched for 1300 ms
-    Then statement path: a is thought unreachable
+    And statement path: the members are monitored for 1300 ms
+    Then statement path: a counts as unreachable
 
   Scenario: statement path: a connection that takes long to open is there for the next request
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     And statement path: attempts to connect to a take 550 ms, and may take 3000 ms
-    And statement path: statements may take 400 ms
+    And statement path: statements have a timeout of 400 ms
     When statement path: the client asks "WRITE x 1" and is told "BUSY I"
     And statement path: 300 ms pass
     And statement path: the client asks "WRITE x 2" and is told "done I"
@@ -138,7 +138,7 @@
     And statement path: the lease is for 2 connections
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: 100 ms pass
-    And statement path: 2 clients hold transactions that read open at b
+    And statement path: 2 clients hold read transactions open at b
     And statement path: the client asks "READ x" and is told "1 done I"
     Then statement path: that took less than 200 ms
 
@@ -146,7 +146,7 @@
     Given statement path: a primary database on primary a and replicas b c, the proxy beside b
     And statement path: a is <away> ms away, one way
     And statement path: a takes 30 ms for a read
-    And statement path: statements may take 1000 ms, aim at 400 ms and may be tried 2 times
+    And statement path: statements have a timeout of 1000 ms, a target of 400 ms and 2 attempts
     When statement path: the client asks "<first>" and is told "<told first>"
     And statement path: the client asks "<second>" and is told "<told second>"
     And statement path: the client asks "<third>" and is told "<told third>"
@@ -163,7 +163,7 @@
   Scenario Outline: statement path: a slow answer of a primary <away> ms away is waited for, <clients> clients at once
     Given statement path: a primary database on primary a and replicas b c, the proxy beside b
     And statement path: a is <away> ms away, one way
-    And statement path: statements may take 1000 ms, aim at 400 ms and may be tried 2 times
+    And statement path: statements have a timeout of 1000 ms, a target of 400 ms and 2 attempts
     When statement path: the client asks "READ x" and is told "- done I"
     And statement path: a takes <work> ms for a read
     And statement path: <clients> clients read at once
@@ -178,7 +178,7 @@
 
   Scenario: statement path: a read that is slow at one member is tried beside it at another
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
-    And statement path: statements may take 1000 ms, aim at 400 ms and may be tried 2 times
+    And statement path: statements have a timeout of 1000 ms, a target of 400 ms and 2 attempts
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: 100 ms pass
     And statement path: the client asks "READ x" and is told "1 done I"
@@ -190,7 +190,7 @@
 
   Scenario: statement path: a slow read is left alone where it may run only once
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
-    And statement path: statements may take 1000 ms, aim at 400 ms and may be tried 1 times
+    And statement path: statements have a timeout of 1000 ms, a target of 400 ms and 1 attempts
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: 100 ms pass
     And statement path: the client asks "READ x" and is told "1 done I"
@@ -200,7 +200,7 @@
 
   Scenario Outline: statement path: a statement with too little time left is refused rather than sent: <asked>
     Given statement path: a primary database on primary a and replicas b c, the proxy beside b
-    And statement path: a answered within 500 ms lately
+    And statement path: a recently answered within 500 ms
     And statement path: a is busy 999 times
     When statement path: the client asks "<asked>" and is told "BUSY I"
     Then statement path: that took less than 500 ms
@@ -217,7 +217,7 @@
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: a turns silent
     And statement path: the client asks "WRITE x 2" and is told "TIMEOUT I"
-    Then statement path: a is thought unreachable
+    Then statement path: a counts as unreachable
     When statement path: the outage has lasted longer than usual
     And statement path: the client asks "WRITE x 3" and is told "BUSY I"
     Then statement path: that took less than 350 ms
@@ -229,9 +229,9 @@
   0.4 s before its end: "BUSY LD3003 not-connected at a (try again in 1151 ms)".
     Given statement path: a primary database on primary a and replicas b c, the proxy beside b
     And statement path: a is 45 ms away, one way
-    And statement path: statements may take 1500 ms, aim at 400 ms and may be tried 2 times
-    And statement path: the members are watched from now on
-    When statement path: the process will stand still for <still> ms, in <after> ms
+    And statement path: statements have a timeout of 1500 ms, a target of 400 ms and 2 attempts
+    And statement path: the members are monitored from now on
+    When statement path: the process will pause for <still> ms, in <after> ms
     And statement path: the client asks "<asked>" and is told "<told>"
     Then statement path: "<asked>" ran 1 times
     And statement path: a was never reported unreachable
@@ -248,8 +248,8 @@
   time of the first opening passed, the member was taken for silent, and the read was told "BUSY I" with 0.9 s left.
     Given statement path: a primary database on primary a and replicas b c, the proxy beside b
     And statement path: a is 45 ms away, one way
-    And statement path: statements may take 1500 ms, aim at 400 ms and may be tried 2 times
-    When statement path: the process will stand still for <still> ms, in <after> ms
+    And statement path: statements have a timeout of 1500 ms, a target of 400 ms and 2 attempts
+    When statement path: the process will pause for <still> ms, in <after> ms
     And statement path: the client asks "READ x" and is told "- done I"
     Then statement path: "READ x" ran 1 times
 
@@ -267,7 +267,7 @@
   Scenario Outline: statement path: connections to a that went silent say nothing of its health, safeguard <safeguard>
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     And statement path: the safeguard "examined on a new connection" is <safeguard>
-    And statement path: the members are watched from now on
+    And statement path: the members are monitored from now on
     When statement path: 3 clients write at once
     And statement path: a has 2 connections
     And statement path: all open connections to a go silent
@@ -283,7 +283,7 @@
 
   Scenario Outline: statement path: what was under way on a connection that went silent: "<asked>"
     Given statement path: a primary database on primary a and replicas b c, the proxy beside b
-    And statement path: the members are watched from now on
+    And statement path: the members are monitored from now on
     When statement path: the client asks "<first>" and is told "<told first>"
     And statement path: all open connections to a go silent
     And statement path: the client asks "<asked>" and is told "<told>"
@@ -298,7 +298,7 @@
 
   Scenario Outline: statement path: a transaction whose connection went silent, then "<asked>"
     Given statement path: a primary database on primary a and replicas b c, the proxy beside b
-    And statement path: the members are watched from now on
+    And statement path: the members are monitored from now on
     When statement path: the client asks "BEGIN" and is told "done T"
     And statement path: the client asks "WRITE x 1" and is told "done T"
     And statement path: all open connections to a go silent
@@ -314,7 +314,7 @@
   Scenario: statement path: all idle connections that went silent are replaced after the first
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     And statement path: the lease is for 8 connections
-    And statement path: the members are watched from now on
+    And statement path: the members are monitored from now on
     When statement path: 4 clients hold transactions open, each with a write
     And statement path: those clients roll back
     And statement path: a has 4 connections
@@ -326,14 +326,14 @@
 
   Scenario: statement path: a read whose member's connections went silent is served beside it
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
-    And statement path: the members are watched from now on
+    And statement path: the members are monitored from now on
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: 100 ms pass
     And statement path: the client asks "READ x" and is told "1 done I"
     And statement path: all open connections to b go silent
     And statement path: the client asks "READ x" and is told "1 done I"
     Then statement path: that took less than 400 ms
-    And statement path: b is thought reachable
+    And statement path: b counts as reachable
 
   Scenario: statement path: a write is not sent to a primary that seems to hang
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
@@ -361,17 +361,17 @@
 
   Scenario: statement path: a refusal says when the next primary is expected
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
-    And statement path: changes of primary took 4000 ms lately
+    And statement path: recent changes of primary took 4000 ms
     And statement path: no primary is recorded
     When statement path: the client asks "WRITE x 2" and is told "BUSY I"
-    Then statement path: it is told to come back in 1500 to 4000 ms
+    Then statement path: it is told to retry in 1500 to 4000 ms
 
   Scenario Outline: statement path: a member that is full <way> serves those it has
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
-    And statement path: a takes 1 connection and <way>
+    And statement path: a accepts 1 connection and <way>
     When statement path: 6 clients write at once
     Then statement path: all are told "done I"
-    And statement path: a is thought reachable
+    And statement path: a counts as reachable
 
     Examples:
       | way               |
@@ -384,18 +384,18 @@
     And statement path: the client asks "WRITE y 1" and is told "done I"
     Then statement path: that took at least 30 ms, and a has 3 connections
     When statement path: 1100 ms pass
-    And statement path: pools are looked after
+    And statement path: pools close idle connections
     Then statement path: a has 2 connections
 
   Scenario: statement path: connections taken back while in use are given back afterwards
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     When statement path: the client asks "BEGIN" and is told "done T"
     And statement path: the client asks "READ x" and is told "- done T"
-    And statement path: all leases are taken back
-    Then statement path: nothing is given back yet
+    And statement path: all leases are revoked
+    Then statement path: no lease is returned yet
     When statement path: the client asks "COMMIT" and is told "done I"
-    And statement path: the members are watched for 600 ms
-    Then statement path: 0 connections of each are given back
+    And statement path: the members are monitored for 600 ms
+    Then statement path: leases of 0 connections are returned
 
   Scenario: statement path: without the lease, but with proof
     Given statement path: a primary database on primary a and replicas b c, the proxy beside b
@@ -495,13 +495,13 @@
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     When statement path: the client asks "BEGIN" and is told "done T"
     And statement path: the client asks "WRITE x 2" and is told "done T"
-    And statement path: the client leaves
+    And statement path: the client disconnects
     And statement path: 100 ms pass
     And statement path: another client asks "READ x" and is told "- done I"
 
   Scenario: statement path: a transaction that rests too long is ended
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
-    And statement path: transactions may rest for 200 ms
+    And statement path: transactions may be idle for 200 ms
     When statement path: the client asks "BEGIN" and is told "done T"
     And statement path: the client asks "WRITE x 2" and is told "done T"
     And statement path: 500 ms pass
@@ -529,7 +529,7 @@
     And statement path: the client asks "READ x" and is told "NODB I"
 
   Scenario: statement path: a proxy that knows nothing yet claims nothing
-    Given statement path: a proxy that no controller has told anything
+    Given statement path: a proxy without a control view
     Then statement path: a session at "db" is told "BUSY"
 
   Scenario: statement path: what is given up is refused at once
--- a/features/statement_stop.feature
+++ b/features/statement_stop.feature
@@ -46,7 +46,7 @@
 
   Scenario: statement stop: what waits for a connection is answered before the proxy ends
     Given statement stop: a session database on primary a, and statements of 20 s
-    And statement stop: a client that keeps the proxy from ending
+    And statement stop: a client with an open transaction, which delays the end
     When statement stop: all connections are in use, the client asks "WRITE x 1", and the proxy stops within 2 s
     Then statement stop: it is told "done I" before answers are due
     And statement stop: the proxy has left service within 2 s
@@ -54,7 +54,7 @@
   Scenario: statement stop: an idle session is told that it is over, and what crosses that did not run
     Given statement stop: a session database on primary a
     And statement stop: the proxy stops within 2 s
-    When statement stop: idle sessions are to end
+    When statement stop: idle sessions are due to end
     And statement path: 400 ms pass
     And statement stop: the client, which has not read anything yet, asks "WRITE x 1"
     Then statement stop: it is told "BUSY I" with LD3006
@@ -65,7 +65,7 @@
   crossed the end of its session, was refused, and the connection was closed after 0.5 s without a further word.
     Given statement stop: a session database on primary a
     And statement stop: the proxy stops within 4 s
-    When statement stop: idle sessions are to end
+    When statement stop: idle sessions are due to end
     And statement path: 400 ms pass
     And statement stop: the client, which has not read anything yet, asks "WRITE x 1"
     Then statement stop: it is told "BUSY I" with LD3006
@@ -77,14 +77,14 @@
   Scenario: statement stop: a session that goes on asking is served until statements are taken no more
     Given statement stop: a session database on primary a
     And statement stop: the proxy stops within 2 s
-    When statement stop: the client asks "READ x" again and again until it is told otherwise than "- done I"
-    Then statement stop: that was "BUSY I" with LD3006, when statements were taken no more
+    When statement stop: the client asks "READ x" repeatedly until the answer is not "- done I"
+    Then statement stop: that was "BUSY I" with LD3006, when statements were no longer accepted
     And statement stop: the proxy has left service within 2 s
 
   Scenario: statement stop: no transaction begins that could not end
     Given statement stop: a session database on primary a
     And statement stop: the proxy stops within 2 s
-    When statement stop: the client asks again and again until transactions begin no more
+    When statement stop: the client asks repeatedly until no transaction may begin
     And statement path: the client asks "BEGIN" and is told "BUSY I"
     And statement path: the client asks "READ x" and is told "- done I"
 
@@ -93,7 +93,7 @@
     When statement path: the client asks "BEGIN" and is told "done T"
     And statement path: the client asks "WRITE x 1" and is told "done T"
     And statement stop: the proxy stops within 2 s
-    And statement stop: statements are taken no more
+    And statement stop: statements are no longer accepted
     And statement path: 150 ms pass
     And statement path: the client asks "WRITE x 2" and is told "ABORTED E"
     And statement path: the client asks "READ x" and is told "MALFORMED E"
@@ -102,13 +102,13 @@
 
   Scenario: statement stop: no session opens when statements are taken no more
     Given statement stop: a session database on primary a
-    And statement stop: a client that keeps the proxy from ending
+    And statement stop: a client with an open transaction, which delays the end
     And statement stop: the proxy stops within 2 s
-    When statement stop: statements are taken no more
+    When statement stop: statements are no longer accepted
     Then statement stop: a further session is told "BUSY"
 
   Scenario: statement stop: a proxy without clients leaves when the platform has taken it out
     Given statement stop: a session database on primary a
-    When statement path: the client leaves
+    When statement path: the client disconnects
     And statement stop: the proxy stops within 2 s
     Then statement stop: it has left service after 800 to 1000 ms
--- a/features/steps/statement_forwarding_steps.py
+++ b/features/steps/statement_forwarding_steps.py
@@ -89,7 +89,9 @@
     observed.probe_timed_out(time.monotonic())
 
 
-@then("statement homes: of {limit:g} s with {travel:g} s on the way a home proxy gets {home:g} s")
+@then(
+    "statement homes: of {limit:g} s with a round trip of {travel:g} s a home proxy gets {home:g} s"
+)
 def step_home_time(context, limit, travel, home):
     assert abs(home_time_s(limit, travel) - home) < TIME_PRECISION_S
 
@@ -100,7 +102,7 @@
     assert not context.path.homes[name].service.has_work
 
 
-@step("statement homes: links to all are open")
+@step("statement homes: links to all home proxies are open")
 def step_links(context):
     async def dial_all():
         tried = set()
@@ -198,7 +200,7 @@
     context.all_told = run(context, ask_then_lease)
 
 
-@step("statement homes: a client writes and is cut off")
+@step("statement homes: a client writes and the links break")
 def step_cut_off(context):
     async def write_and_leave():
         client, _ = await context.path.connect()
@@ -272,7 +274,7 @@
     assert context.told == told, context.told
 
 
-@given("statement homes: {name:w} leaves nothing to others")
+@given("statement homes: {name:w} refuses no unit as crowded")
 def step_leaves_nothing(context, name):
     del name
     context.patched = mock.patch.object(home_service, "_would_wait_long", lambda *_: False)
--- a/features/steps/statement_log_steps.py
+++ b/features/steps/statement_log_steps.py
@@ -18,7 +18,7 @@
 """A statement has reached its member by then."""
 
 
-@given("statement log: lines are kept")
+@given("statement log: log lines are recorded")
 def step_keep(context):
     handler = logbook.TestHandler()
     handler.push_application()
@@ -26,7 +26,7 @@
     context.lines = handler
 
 
-@given("statement log: lines are kept, {limit:d} a second at most")
+@given("statement log: log lines are recorded, at most {limit:d} per second")
 def step_keep_few(context, limit):
     step_keep(context)
     log: StatementLog = context.path.services.log
@@ -56,14 +56,14 @@
     assert any(fields in line for line in lines), lines
 
 
-@then("statement log: the last request is told to come back in {least:d} to {most:d} ms")
+@then("statement log: the last request is told to retry in {least:d} to {most:d} ms")
 def step_come_back(context, least, most):
     lines = _lines_of_last(context, "not-served")
     found = re.search(r"retry_after_ms=(\d+)", lines[-1])
     assert least <= int(found[1]) <= most, lines
 
 
-@then("statement log: nothing says that the last request was not served")
+@then('statement log: the last request has no line "not-served"')
 def step_served(context):
     assert not _lines_of_last(context, "not-served"), _lines(context, "not-served")
 
@@ -74,19 +74,19 @@
     assert len(lines) == count, lines
 
 
-@then('statement log: {count:d} lines "{event}" were written, and {rate:d} a second more at most')
+@then('statement log: {count:d} lines "{event}" were written, and at most {rate:d} more per second')
 def step_lines(context, count, event, rate):
     lines = _lines(context, event)
     most = count + rate * (time.monotonic() - context.began_at)
     assert count <= len(lines) <= most, lines
 
 
-@given("statement log: a budget of {rate:d} lines a second")
+@given("statement log: a rate limit of {rate:d} lines per second")
 def step_budget(context, rate):
     context.budget = LogRateLimiter(rate, 0.0)
 
 
-@then("statement log: {asked:d} lines asked for at {seconds:f} s get {taken:d}")
+@then("statement log: of {asked:d} lines requested at {seconds:f} s {taken:d} are admitted")
 def step_taken(context, asked, seconds, taken):
     assert sum(context.budget.take(seconds) for _ in range(asked)) == taken
 
@@ -111,7 +111,7 @@
     assert _metric(context, "turned_away_total", labels) >= count
 
 
-@then("statement log: metrics count what was left out")
+@then("statement log: metrics count the omitted lines")
 def step_left_out(context):
     written = len(_lines(context, "not-served")) + len(_lines(context, "try-failed"))
     answers = sum(
--- a/features/steps/statement_member_steps.py
+++ b/features/steps/statement_member_steps.py
@@ -22,7 +22,7 @@
     context.path.group.lag_s = lag / 1_000
 
 
-@given("statement path: the bound is {bound:d} ms, and replicas lag by {lag:d} ms")
+@given("statement path: the staleness bound is {bound:d} ms, and replicas lag by {lag:d} ms")
 def step_bound(context, bound, lag):
     context.path.group.lag_s = lag / 1_000
     context.path.staleness_ms = bound
@@ -86,7 +86,7 @@
     assert sum(member != "a" for member in runs) >= count, runs
 
 
-@then("statement path: {name:w} was asked for its position {count:d} times")
+@then("statement path: {name:w} was queried for its position {count:d} times")
 def step_asked_position(context, name, count):
     asked = context.path.group.members[name].status_questions
     assert asked == count, asked
@@ -228,7 +228,7 @@
     run(context, context.path.tell_view)
 
 
-@step("statement path: answers of {name:w} are {milliseconds:d} ms on their way")
+@step("statement path: answers of {name:w} are delayed by {milliseconds:d} ms")
 def step_travel(context, name, milliseconds):
     context.path.group.members[name].faults.answers_travel_s = milliseconds / 1_000
 
--- a/features/steps/statement_path_steps.py
+++ b/features/steps/statement_path_steps.py
@@ -38,19 +38,19 @@
     context.other = None
 
 
-@given("statement path: a proxy that no controller has told anything")
+@given("statement path: a proxy without a control view")
 def step_blank(context):
     begin(context, StatementPath(Consistency.SESSION))
 
 
-@given("statement path: {name:w} answered within {milliseconds:d} ms lately")
+@given("statement path: {name:w} recently answered within {milliseconds:d} ms")
 def step_answered(context, name, milliseconds):
     context.path.groups.groups[GROUP].pools[name].observed.answer.learn(milliseconds / 1_000)
 
 
 @given(
-    "statement path: statements may take {limit:d} ms, aim at {target:d} ms and may be tried "
-    "{tries:d} times"
+    "statement path: statements have a timeout of {limit:d} ms, a target of "
+    "{target:d} ms and {tries:d} attempts"
 )
 def step_times(context, limit, target, tries):
     context.path.statement_timeout_ms = limit
@@ -59,7 +59,7 @@
     run(context, context.path.tell_view)
 
 
-@step("statement path: all answered within {milliseconds:d} ms lately")
+@step("statement path: all members recently answered within {milliseconds:d} ms")
 def step_all_answered(context, milliseconds):
     for pool in context.path.groups.groups[GROUP].pools.values():
         pool.observed.answer = TimeEstimate(milliseconds / 1_000, milliseconds / 2_000, True)
@@ -70,7 +70,7 @@
     _ask_at_once(context, count, "READ x")
 
 
-@given("statement path: transactions may rest for {rest:d} ms")
+@given("statement path: transactions may be idle for {rest:d} ms")
 def step_rest(context, rest):
     context.path.idle_in_transaction_ms = rest
     run(context, context.path.tell_view)
@@ -97,7 +97,7 @@
     run(context, curio.sleep, milliseconds / 1_000)
 
 
-@when("statement path: the process will stand still for {still:d} ms, in {after:d} ms")
+@when("statement path: the process will pause for {still:d} ms, in {after:d} ms")
 def step_stand_still(context, still, after):
     async def stand_still():
         await curio.sleep(after / 1_000)
@@ -131,13 +131,13 @@
         outage.noticed(now - seconds)
 
 
-@given("statement path: changes of primary took {milliseconds:d} ms lately")
+@given("statement path: recent changes of primary took {milliseconds:d} ms")
 def step_outage_times(context, milliseconds):
     for _ in range(10):
         context.path.groups._outage_times.learn(milliseconds / 1_000)
 
 
-@given("statement path: statements may take {milliseconds:d} ms")
+@given("statement path: statements have a timeout of {milliseconds:d} ms")
 def step_statement_timeout(context, milliseconds):
     context.path.statement_timeout_ms = milliseconds
     run(context, context.path.tell_view)
@@ -158,7 +158,7 @@
     assert context.took_ms < limit, context.took_ms
 
 
-@then("statement path: it is told to come back in {least:d} to {most:d} ms")
+@then("statement path: it is told to retry in {least:d} to {most:d} ms")
 def step_come_back(context, least, most):
     found = re.search(r"try again in (\d+) ms", " ".join(context.client.last_answer))
     assert found is not None, context.client.last_answer
@@ -188,7 +188,7 @@
     assert set(context.all_told) == {told}, context.all_told
 
 
-@when("statement path: the client leaves")
+@when("statement path: the client disconnects")
 def step_leaves(context):
     run(context, context.client.close)
 
--- a/features/steps/statement_pool_steps.py
+++ b/features/steps/statement_pool_steps.py
@@ -49,7 +49,7 @@
     assert MemberHealth.UNREACHABLE.value not in context.healths.seen, context.healths.seen
 
 
-@step("statement path: the members are watched from now on")
+@step("statement path: the members are monitored from now on")
 def step_watched_on(context):
     context.healths = context.path.groups.reporter = _Healths()
     run(context, curio.spawn, _watch_members, context.path.groups)
@@ -59,20 +59,20 @@
     await groups.watch()
 
 
-@given("statement path: {name:w} takes {count:d} connection and {way}")
+@given("statement path: {name:w} accepts {count:d} connection and {way}")
 def step_full(context, name, count, way):
     member = context.path.group.members[name]
     member.connection_limit = count
     member.faults.resets_when_full = way == "resets any others"
 
 
-@then("statement path: {name:w} is thought unreachable")
+@then("statement path: {name:w} counts as unreachable")
 def step_unreachable(context, name):
     observed = context.path.groups.groups[GROUP].pools[name].observed
     assert observed.health is MemberHealth.UNREACHABLE, observed
 
 
-@then("statement path: {name:w} is thought reachable")
+@then("statement path: {name:w} counts as reachable")
 def step_reachable(context, name):
     observed = context.path.groups.groups[GROUP].pools[name].observed
     assert observed.health is MemberHealth.REACHABLE, observed
@@ -97,7 +97,7 @@
         assert run(context, client.ask, "ROLLBACK") == "done I"
 
 
-@when("statement path: {count:d} clients hold transactions that read open at {name:w}")
+@when("statement path: {count:d} clients hold read transactions open at {name:w}")
 def step_hold_reads(context, count, name):
     async def hold():
         for _ in range(count):
@@ -141,7 +141,7 @@
     assert context.path.groups.groups[GROUP].pools["a"].opened == count
 
 
-@when("statement path: pools are looked after")
+@when("statement path: pools close idle connections")
 def step_look_after(context):
     for pool in context.path.groups.groups[GROUP].pools.values():
         run(context, pool.close_idle, time.monotonic())
@@ -178,18 +178,18 @@
         self.returned.extend(leases)
 
 
-@when("statement path: all leases are taken back")
+@when("statement path: all leases are revoked")
 def step_taken_back(context):
     context.reporter = context.path.groups.reporter = Reporter()
     run(context, context.path.groups.leases_changed, (), float("inf"))
 
 
-@then("statement path: nothing is given back yet")
+@then("statement path: no lease is returned yet")
 def step_nothing_back(context):
     assert not context.reporter.returned, context.reporter.returned
 
 
-@when("statement path: the members are watched for {milliseconds:d} ms")
+@when("statement path: the members are monitored for {milliseconds:d} ms")
 def step_watched(context, milliseconds):
     async def watch() -> None:
         await curio.ignore_after(milliseconds / 1_000, context.path.groups.watch)
@@ -197,7 +197,7 @@
     run(context, watch)
 
 
-@then("statement path: {count:d} connections of each are given back")
+@then("statement path: leases of {count:d} connections are returned")
 def step_given_back(context, count):
     assert context.reporter.returned == [ConnectionLease(GROUP, "shared", count)], (
         context.reporter.returned
--- a/features/steps/statement_stop_steps.py
+++ b/features/steps/statement_stop_steps.py
@@ -80,7 +80,7 @@
     assert run(context, context.client.ask, "WRITE x 1") == "done T"
 
 
-@given("statement stop: a client that keeps the proxy from ending")
+@given("statement stop: a client with an open transaction, which delays the end")
 def step_keeps(context):
     context.keeper, _ = run(context, context.path.connect)
     run(context, context.keeper.ask, "BEGIN")
@@ -138,12 +138,12 @@
     assert least <= took_ms <= most, took_ms
 
 
-@when("statement stop: idle sessions are to end")
+@when("statement stop: idle sessions are due to end")
 def step_idle_end(context):
     run(context, context.path.wait_until, "idle_sessions_until")
 
 
-@step("statement stop: statements are taken no more")
+@step("statement stop: statements are no longer accepted")
 def step_no_more(context):
     run(context, context.path.wait_until, "statements_until")
 
@@ -160,10 +160,7 @@
     assert code in context.client.last_answer[0], context.client.last_answer
 
 
-@when(
-    'statement stop: the client asks "{text}" again and again until it is told otherwise than '
-    '"{told}"'
-)
+@when('statement stop: the client asks "{text}" repeatedly until the answer is not "{told}"')
 def step_goes_on(context, text, told):
     run(context, _ask_until, context, text, told, float("inf"))
 
@@ -176,7 +173,7 @@
         context.told_at = time.monotonic()
 
 
-@then('statement stop: that was "{told}" with {code:w}, when statements were taken no more')
+@then('statement stop: that was "{told}" with {code:w}, when statements were no longer accepted')
 def step_refused_when_due(context, told, code):
     step_told_with(context, told, code)
     until = context.path.schedule.statements_until
@@ -184,7 +181,7 @@
     assert context.asked_at - until <= SLACK_S, (context.asked_at - until, "asked too late")
 
 
-@when("statement stop: the client asks again and again until transactions begin no more")
+@when("statement stop: the client asks repeatedly until no transaction may begin")
 def step_until_no_transactions(context):
     until = context.path.schedule.transactions_until
     run(context, _ask_until, context, "READ x", "- done I", until)
