--- a/features/connection_burst.feature
+++ b/features/connection_burst.feature
@@ -4,21 +4,21 @@
 
   Scenario: A burst of the least urgent kind of many tenants
     Given burst: a lease of 4 connections, which open in 12 ms and answer in 14 ms
-    When burst: within 1000 ms come 400 of priority 2 of 76 tenants, with 750 ms each
-    Then burst: 95 % of those that were not served were told within 50 ms
-    And burst: at least 50 were served, and at least 50 were not
+    When burst: within 1000 ms 400 requests of priority 2 of 76 tenants arrive, with 750 ms each
+    Then burst: 95 % of the requests that were not served were refused within 50 ms
+    And burst: at least 50 requests were served, and at least 50 were not
 
   Scenario: Urgent ones in a burst of less urgent ones
     Given burst: a lease of 4 connections, which open in 12 ms and answer in 14 ms
-    When burst: within 500 ms come 200 of priority 2 of 20 tenants, with 750 ms each
-    And burst: within 500 ms come 10 of priority 0 of 5 tenants, with 750 ms each
-    Then burst: all of priority 0 were served, 95 % of them within 250 ms
+    When burst: within 500 ms 200 requests of priority 2 of 20 tenants arrive, with 750 ms each
+    And burst: within 500 ms 10 requests of priority 0 of 5 tenants arrive, with 750 ms each
+    Then burst: all requests of priority 0 were served, 95 % of them within 250 ms
 
   Scenario Outline: 100 wait, and <event>
     Given burst: a lease of 4 connections, which open in 2 ms and answer in 10 ms
-    And burst: 100 of priority 1 of 1 tenants wait, with 600 ms each
+    And burst: 100 requests of priority 1 of 1 tenants wait, with 600 ms each
     When burst: <event>
-    Then burst: within 150 ms of it at least 20 were told, and <left> or fewer of the 100 were left
+    Then burst: within 150 ms of it at least 20 were refused, and <left> or fewer of the 100 were left
 
     Examples:
       | event                       | left |
@@ -30,8 +30,8 @@
 
   Scenario: A client that leaves while it waits leaves its place to others
     Given burst: a lease of 1 connections, which open in 2 ms and answer in 10 ms
-    And burst: one of tenant a has the connection, and one of a and one of b wait
-    When burst: the client of a that waits leaves
-    Then burst: nothing is kept of it
+    And burst: a request of tenant a has the connection, and one of a and one of b wait
+    When burst: the waiting client of a disconnects
+    Then burst: its request is no longer queued
     When burst: the connection is given back
-    Then burst: the one of b has it
+    Then burst: the request of b has it
--- a/features/forwarding_links.feature
+++ b/features/forwarding_links.feature
@@ -22,10 +22,10 @@
     Given links: a proxy that keeps <limit> links, and home proxies p1 to p4
     And links: links used less than <recent_s> s ago stay
     And links: the safeguard "work keeps a link open" is <safeguard>
-    When links: p1, p2, p3 are used in this order, with a write left on <busy>
+    When links: p1, p2, p3 are used in this order, with a write running on <busy>
     And links: p4 is used
     Then links: the links open are <open>
-    And links: writes left are told <told>
+    And links: running writes are told <told>
 
     Examples:
       | busy       | limit | recent_s | safeguard | open           | told |
@@ -46,8 +46,8 @@
   Scenario Outline: An idle link is not looked at by <end>, safeguard <safeguard>
     Given links: a proxy that closes links idle for 3600000 ms, and home proxies p1 to p1
     And links: the safeguard "idle links wait for work" is <safeguard>
-    When links: the link to p1 is idle for 5 looks' time
-    Then links: <end> has looked at it more than once is <verdict>
+    When links: the link to p1 is idle for 5 check intervals
+    Then links: <end> has checked it more than once is <verdict>
 
     Examples:
       | end            | safeguard | verdict |
@@ -60,4 +60,4 @@
     Given links: a proxy that closes links idle for 2000 ms, and home proxies p1 to p30
     When links: the links to all home proxies are used
     Then links: 30 descriptors were taken where links were dialled, 30 where they were accepted, no others
-    And links: all of these descriptors are given back once the links have been idle
+    And links: all of these descriptors are closed once the links have been idle
--- a/features/forwarding_work.feature
+++ b/features/forwarding_work.feature
@@ -14,7 +14,7 @@
   Scenario Outline: The home proxy <fate> while <work> is under way, <others> other home
     Given forwarding: <others> other home proxy p3
     When forwarding: <work> runs through p2 and its home proxy <fate>
-    Then forwarding: it is told as <told> in less than <within_s> s, and its row is there <times> times
+    Then forwarding: its outcome is <told> in less than <within_s> s, and its row is there <times> times
 
     Examples: the process ends
       | fate  | work               | others | told           | within_s | times |
@@ -48,14 +48,14 @@
       | off       | false |
 
   Scenario: A transaction whose caller goes away is rolled back at the home proxy
-    When forwarding: p2 has written in a transaction and its caller goes away
+    When forwarding: p2 has written in a transaction and its caller disconnects
     Then forwarding: its locks are free after 2 s is true
 
   Scenario Outline: A slow reader holds no more than a window at the home proxy, safeguard <safeguard>
     Given forwarding: the safeguard "window" is <safeguard>
-    When forwarding: a caller of p2 stops reading in the midst of 4000000 bytes
+    When forwarding: a caller of p2 stops reading in the middle of 4000000 bytes
     Then forwarding: the home proxy has sent no more than 400000 bytes is <bounded>
-    And forwarding: the caller gets all of it when it reads on
+    And forwarding: the caller gets all of it when it continues to read
 
     Examples:
       | safeguard | bounded |
@@ -65,13 +65,13 @@
   Scenario: A draining home proxy takes no new work, and others do
     Given forwarding: another home proxy p3
     When forwarding: p1 drains with a transaction of p2 open
-    Then forwarding: new work of p2 runs at p3, and the open transaction ends whole
+    Then forwarding: new work of p2 runs at p3, and the open transaction completes
 
   Scenario Outline: A home proxy without a lease sends work on at once: <case>
     Given forwarding: another home proxy p3
     And forwarding: p1 has no lease of the tenant, <others>
     When forwarding: a write comes through <proxy>
-    Then forwarding: it is told as <told> in less than <within_ms> ms, with a time to come back is <hint>
+    Then forwarding: its outcome is <told> in less than <within_ms> ms, with a retry delay is <hint>
 
     Examples:
       | case                     | others           | proxy | told        | within_ms | hint  |
@@ -83,11 +83,11 @@
   Scenario: Work that waits at a home proxy goes on elsewhere when the lease ends
     Given forwarding: another home proxy p3
     When forwarding: a write waits for a primary at p1, and the lease of p1 ends
-    Then forwarding: it is told as done in less than 1000 ms, with a time to come back is false
+    Then forwarding: its outcome is done in less than 1000 ms, with a retry delay is false
 
   Scenario Outline: A read behind a barrier is proved elsewhere when this proxy watches no members: <case>
     Given forwarding: another home proxy p3
-    And forwarding: p1 is no home proxy any more, but has its lease yet
+    And forwarding: p1 is no longer a home proxy, but still has its lease
     When forwarding: a read behind a barrier comes through <proxy>
     Then forwarding: the read is answered in less than 1000 ms
 
@@ -98,4 +98,4 @@
 
   Scenario: Forwarded units leave nothing behind at the home proxy
     When forwarding: 200 reads run through p2
-    Then forwarding: p1 holds no task of them
+    Then forwarding: p1 has no tasks left of them
--- a/features/hedged_reads.feature
+++ b/features/hedged_reads.feature
@@ -21,5 +21,5 @@
     And hedged reads: the connection of the other is given back
 
   Scenario: hedged reads: a client that leaves meanwhile
-    When hedged reads: both answer "done" at the moment at which the client leaves
+    When hedged reads: both answer "done" at the moment when the client disconnects
     Then hedged reads: no connection stays lent
--- a/features/home_silence.feature
+++ b/features/home_silence.feature
@@ -7,7 +7,7 @@
     Given silence: a link to a home proxy that <state>
     When silence: a unit is sent over it, for 200 ms
     Then silence: it is told as <told>
-    And silence: <sent> units ever went onto the wire
+    And silence: <sent> units were sent
 
     Examples:
       | state                                | told     | sent |
--- a/features/planned_stop.feature
+++ b/features/planned_stop.feature
@@ -13,9 +13,9 @@
     And planned stop: <state>
     When planned stop: 12 clients <habit> without end, and <proxies> stop
     Then planned stop: every statement got a whole answer
-    And planned stop: every session that was asked for got an answer
+    And planned stop: every session request got an answer
     And planned stop: some were answered after the signal
-    And planned stop: no client was told of a failure that it could not know of
+    And planned stop: no client got a failure without having been told its cause
     And planned stop: the proxies that stopped ended with 0 within 6 s
 
     Examples:
@@ -51,7 +51,7 @@
 
   Scenario: planned stop: signals that come early, or again and again, end no process before its time
     Given planned stop: two proxies that serve "db1"
-    When planned stop: the first proxy is started anew, and gets SIGHUP while it loads
+    When planned stop: the first proxy is restarted, and gets SIGHUP while it loads
     Then planned stop: the proxies serve
     When planned stop: the first proxy gets SIGTERM each 20 ms until it ends
     Then planned stop: the proxies that stopped ended with 0 within 6 s
--- a/features/steps/connection_burst_steps.py
+++ b/features/steps/connection_burst_steps.py
@@ -40,8 +40,8 @@
 
 
 @when(
-    "burst: within {span:d} ms come {count:d} of priority {priority:d} of {tenants:d} tenants, "
-    "with {limit:d} ms each"
+    "burst: within {span:d} ms {count:d} requests of priority {priority:d} of "
+    "{tenants:d} tenants arrive, with {limit:d} ms each"
 )
 def step_burst(context, span, count, priority, tenants, limit):
     args = (context, span / MS, count, priority, tenants, limit / MS)
@@ -55,7 +55,7 @@
         ended += 1
 
 
-@then("burst: {share:d} % of those that were not served were told within {limit:d} ms")
+@then("burst: {share:d} % of the requests that were not served were refused within {limit:d} ms")
 def step_told(context, share, limit):
     run(context, _all_end, context)
     held = sorted(end.at - end.came_at for end in context.burst.ended if not end.was_served)
@@ -63,14 +63,17 @@
     assert quick >= share / 100 * len(held), (quick, len(held), held[-10:])
 
 
-@then("burst: at least {served:d} were served, and at least {not_served:d} were not")
+@then("burst: at least {served:d} requests were served, and at least {not_served:d} were not")
 def step_some(context, served, not_served):
     count = sum(end.was_served for end in context.burst.ended)
     assert count >= served, count
     assert len(context.burst.ended) - count >= not_served, count
 
 
-@then("burst: all of priority {priority:d} were served, {share:d} % of them within {limit:d} ms")
+@then(
+    "burst: all requests of priority {priority:d} were served, {share:d} % of them "
+    "within {limit:d} ms"
+)
 def step_urgent(context, priority, share, limit):
     run(context, _all_end, context)
     ends = [end for end in context.burst.ended if end.priority == priority]
@@ -81,7 +84,8 @@
 
 
 @given(
-    "burst: {count:d} of priority {priority:d} of {tenants:d} tenants wait, with {limit:d} ms each"
+    "burst: {count:d} requests of priority {priority:d} of {tenants:d} tenants wait, "
+    "with {limit:d} ms each"
 )
 def step_wait(context, count, priority, tenants, limit):
     async def come():
@@ -123,8 +127,8 @@
 
 
 @then(
-    "burst: within {limit:d} ms of it at least {least:d} were told, and {most:d} or fewer of the "
-    "100 were left"
+    "burst: within {limit:d} ms of it at least {least:d} were refused, and {most:d} "
+    "or fewer of the 100 were left"
 )
 def step_told_of_it(context, limit, least, most):
     run(context, curio.sleep, context.event_at + limit / MS - context.kernel.now)
@@ -134,7 +138,7 @@
     assert 100 - len(ended) <= most, len(ended)
 
 
-@given("burst: one of tenant a has the connection, and one of a and one of b wait")
+@given("burst: a request of tenant a has the connection, and one of a and one of b wait")
 def step_two_wait(context):
     async def come():
         pool = context.burst.pool
@@ -146,12 +150,12 @@
     run(context, come)
 
 
-@when("burst: the client of a that waits leaves")
+@when("burst: the waiting client of a disconnects")
 def step_leaves_waiting(context):
     run(context, context.of_a.cancel)
 
 
-@then("burst: nothing is kept of it")
+@then("burst: its request is no longer queued")
 def step_nothing_kept(context):
     pool = context.burst.pool
     assert pool.observed.waiting == 1, pool.observed.waiting
@@ -163,7 +167,7 @@
     run(context, context.burst.pool.putconn, context.lent)
 
 
-@then("burst: the one of b has it")
+@then("burst: the request of b has it")
 def step_has_it(context):
     connection = run(context, context.of_b.join)
     assert connection.tenant == "b"
--- a/features/steps/forwarding_links_steps.py
+++ b/features/steps/forwarding_links_steps.py
@@ -283,7 +283,7 @@
         _check_told(links.end_of(left), told)
 
 
-@when("links: p1, p2, p3 are used in this order, with a write left on {busy}")
+@when("links: p1, p2, p3 are used in this order, with a write running on {busy}")
 def step_used(context, busy):
     links = context.links
     context.writes_left = []
@@ -309,7 +309,7 @@
     assert found == expected, found
 
 
-@then("links: writes left are told {told}")
+@then("links: running writes are told {told}")
 def step_left(context, told):
     links = context.links
     links.kernel.run(links.homes.go_on.set)
@@ -324,7 +324,7 @@
     assert links.homes.links == 2, links.homes.links
 
 
-@when("links: the link to p1 is idle for {looks:d} looks' time")
+@when("links: the link to p1 is idle for {looks:d} check intervals")
 def step_idle_looks(context, looks):
     links = context.links
     executor = _CountedExecutor()
@@ -344,7 +344,7 @@
     context.looks = {"the proxy": len(looked), "the home proxy": executor.looks}
 
 
-@then("links: {end} has looked at it more than once is {verdict}")
+@then("links: {end} has checked it more than once is {verdict}")
 def step_looked(context, end, verdict):
     assert (context.looks[end] > 1) is (verdict == "true"), context.looks
 
@@ -382,7 +382,7 @@
     assert taken == [dialled + accepted, dialled, accepted], taken
 
 
-@then("links: all of these descriptors are given back once the links have been idle")
+@then("links: all of these descriptors are closed once the links have been idle")
 def step_given_back(context):
     links = context.links
     links.wait(lambda: _descriptors(links) == context.before)
--- a/features/steps/forwarding_work_steps.py
+++ b/features/steps/forwarding_work_steps.py
@@ -180,8 +180,8 @@
 
 
 @then(
-    "forwarding: it is told as {told} in less than {within_s:d} s, "
-    "and its row is there {times:d} times"
+    "forwarding: its outcome is {told} in less than {within_s:d} s, and its row is "
+    "there {times:d} times"
 )
 def step_told(context, told, within_s, times):
     code = context.answer.end.code
@@ -208,7 +208,7 @@
     """Let the end of a link go unheard, as when no packet gets through."""
 
 
-@when("forwarding: p2 has written in a transaction and its caller goes away")
+@when("forwarding: p2 has written in a transaction and its caller disconnects")
 def step_caller_gone(context):
     _open_transaction(context)
     lab = context.lab
@@ -240,7 +240,7 @@
         await self.go_on.wait()
 
 
-@when("forwarding: a caller of p2 stops reading in the midst of {size:d} bytes")
+@when("forwarding: a caller of p2 stops reading in the middle of {size:d} bytes")
 def step_slow(context, size):
     lab = context.lab
     row = "x" * ROW_BYTES
@@ -271,7 +271,7 @@
     assert (home_bytes <= limit) is (verdict == "true"), home_bytes
 
 
-@then("forwarding: the caller gets all of it when it reads on")
+@then("forwarding: the caller gets all of it when it continues to read")
 def step_reads_on(context):
     context.lab.run(context.reader.go_on.set)
     end = context.lab.run(context.task.join)
@@ -286,7 +286,7 @@
     lab.wait(lambda: lab.proxies["p1"]._serving.draining)
 
 
-@then("forwarding: new work of p2 runs at p3, and the open transaction ends whole")
+@then("forwarding: new work of p2 runs at p3, and the open transaction completes")
 def step_drained(context):
     lab = context.lab
     local = lab.proxies["p3"]._local
@@ -306,7 +306,7 @@
         lab.lease("p3", 0, 2)
 
 
-@given("forwarding: p1 is no home proxy any more, but has its lease yet")
+@given("forwarding: p1 is no longer a home proxy, but still has its lease")
 def step_no_home(context):
     context.lab.homes = tuple(name for name in context.lab.homes if name != "p1")
     context.lab.announce()
@@ -350,8 +350,7 @@
 
 
 @then(
-    "forwarding: it is told as {told} in less than {within_ms:d} ms, "
-    "with a time to come back is {hint}"
+    "forwarding: its outcome is {told} in less than {within_ms:d} ms, with a retry delay is {hint}"
 )
 def step_told_with_hint(context, told, within_ms, hint):
     end = context.answer.end
@@ -375,7 +374,7 @@
     return sum(isinstance(item, curio.Task) for item in gc.get_objects())
 
 
-@then("forwarding: p1 holds no task of them")
+@then("forwarding: p1 has no tasks left of them")
 def step_no_tasks(context):
     more = _live_tasks() - context.tasks_before
     assert more < 20, more
--- a/features/steps/hedged_reads_steps.py
+++ b/features/steps/hedged_reads_steps.py
@@ -149,7 +149,7 @@
     context.sent = curio.run(answer_both)
 
 
-@when('hedged reads: both answer "done" at the moment at which the client leaves')
+@when('hedged reads: both answer "done" at the moment when the client disconnects')
 def step_leaves(context):
     read, context.pools, pinned = _read(("done", 0.2), ("done", 0.1))
 
--- a/features/steps/home_silence_steps.py
+++ b/features/steps/home_silence_steps.py
@@ -99,7 +99,7 @@
         assert context.end is expected[told], context.end
 
 
-@then("silence: {count:d} units ever went onto the wire")
+@then("silence: {count:d} units were sent")
 def step_wire(context, count):
     assert context.fake.units == count, context.fake.units
 
--- a/features/steps/planned_stop_steps.py
+++ b/features/steps/planned_stop_steps.py
@@ -119,7 +119,7 @@
     assert not broken, (len(broken), broken[:5], lines[:8])
 
 
-@then("planned stop: every session that was asked for got an answer")
+@then("planned stop: every session request got an answer")
 def step_heard(context):
     first_signal = min(context.signalled_at.values())
     unheard = [
@@ -136,7 +136,7 @@
     assert any(told.sent_at > first_signal and told.is_whole for told in _told(context))
 
 
-@then("planned stop: no client was told of a failure that it could not know of")
+@then("planned stop: no client got a failure without having been told its cause")
 def step_known(context):
     surprised = [told for told in _told(context) if told.words.startswith("MALFORMED")]
     assert not surprised, surprised[:5]
@@ -202,7 +202,7 @@
     assert context.controller_ended_at - context.signalled_at < STOP_LIMIT_S
 
 
-@when("planned stop: the first proxy is started anew, and gets SIGHUP while it loads")
+@when("planned stop: the first proxy is restarted, and gets SIGHUP while it loads")
 def step_early_hang_up(context):
     deployment = context.deployment
     ip = PROXIES[0]
