--- a/features/steps/statement_path_steps.py
+++ b/features/steps/statement_path_steps.py
@@ -19,7 +19,7 @@
 
 
 def begin(context, path: StatementPath) -> None:
-    """Make the kernel of the scenario, ended with it."""
+    """Create the scenario's kernel, which is shut down at the end of the scenario."""
     context.kernel = curio.Kernel()
     context.path = path
 
@@ -166,7 +166,7 @@
 
 
 def _ask_at_once(context, count, text):
-    """Have so many clients ask the same at once; keep what they are told."""
+    """Send the same statement from several clients at once; record the answers."""
 
     async def ask_all():
         clients = [(await context.path.connect())[0] for _ in range(count)]
