--- a/features/steps/statement_member_steps.py
+++ b/features/steps/statement_member_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the path of a statement: what members do, and what ran at them."""
+"""Steps on the path of a statement: faults and roles of members, and what ran on them."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def _delay_connecting(context, name, seconds):
-    """Have attempts to connect to a member take so long."""
+    """Delay attempts to connect to a member."""
     open_connection = MemberConnection.open
     address = context.path.group.members[name].address
 
@@ -189,10 +189,10 @@
         context.add_cleanup(patch.stop)
 
 
-async def _ask_on_any_connection(questions, pool, limit_s):
-    """Take no answer on any connection for the member's, new ones working or not."""
+async def _ask_on_any_connection(queries, pool, limit_s):
+    """Count a missing answer on any connection as the member's silence."""
     asked_at = time.monotonic()
-    await questions.ask_status(pool, limit_s)
+    await queries.ask_status(pool, limit_s)
     if pool.observed.contact_at < asked_at:
         pool.observed.probe_timed_out(time.monotonic())
 
