--- a/features/steps/statement_pool_steps.py
+++ b/features/steps/statement_pool_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the path of a statement: leases, connections, and how members are watched."""
+"""Steps on the path of a statement: leases, connections and the monitoring of members."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
     run(context, context.path.groups.leases_changed, (lease,), float("inf"))
 
 
-class _Healths:
-    """Keeps what is reported of the primary."""
+class _HealthReporter:
+    """Records the reported health of the primary."""
 
     def __init__(self) -> None:
         self.seen: list[str] = []
 
     async def report_member(self, report: object) -> None:
-        """Take a report."""
+        """Record the health in a report on the primary."""
         if report.member == "a":
             self.seen.append(report.health.value)
 
     async def return_leases(self, leases: tuple[ConnectionLease, ...]) -> None:
-        """Take leases back."""
+        """Ignore returned leases."""
 
 
 @then("statement path: a was reported {healths}")
@@ -51,7 +51,7 @@
 
 @step("statement path: the members are monitored from now on")
 def step_watched_on(context):
-    context.healths = context.path.groups.reporter = _Healths()
+    context.healths = context.path.groups.reporter = _HealthReporter()
     run(context, curio.spawn, _watch_members, context.path.groups)
 
 
@@ -142,7 +142,7 @@
 
 
 @when("statement path: pools close idle connections")
-def step_look_after(context):
+def step_close_idle(context):
     for pool in context.path.groups.groups[GROUP].pools.values():
         run(context, pool.close_idle, time.monotonic())
 
@@ -165,16 +165,16 @@
 
 
 class Reporter:
-    """Keeps what a proxy gives back."""
+    """Records the leases that a proxy returns."""
 
     def __init__(self) -> None:
         self.returned: list[ConnectionLease] = []
 
     async def report_member(self, report: object) -> None:
-        """Take a report."""
+        """Ignore a report."""
 
     async def return_leases(self, leases: tuple[ConnectionLease, ...]) -> None:
-        """Take what is given back."""
+        """Record returned leases."""
         self.returned.extend(leases)
 
 
