--- a/features/steps/statement_log_steps.py
+++ b/features/steps/statement_log_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what a proxy logs and counts of statements."""
+"""Steps on a proxy's log lines and metrics of statements."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 METRIC = "limedyke_statements_"
 ASKED_S = 0.05
-"""A statement has reached its member by then."""
+"""Seconds after which a statement has reached its member."""
 
 
 @given("statement log: log lines are recorded")
@@ -82,13 +82,13 @@
 
 
 @given("statement log: a rate limit of {rate:d} lines per second")
-def step_budget(context, rate):
-    context.budget = LogRateLimiter(rate, 0.0)
+def step_rate_limit(context, rate):
+    context.limiter = LogRateLimiter(rate, 0.0)
 
 
 @then("statement log: of {asked:d} lines requested at {seconds:f} s {taken:d} are admitted")
 def step_taken(context, asked, seconds, taken):
-    assert sum(context.budget.take(seconds) for _ in range(asked)) == taken
+    assert sum(context.limiter.take(seconds) for _ in range(asked)) == taken
 
 
 def _metric(context, name: str, labels: dict[str, str]) -> float:
