--- a/features/steps/statement_session_steps.py
+++ b/features/steps/statement_session_steps.py
@@ -32,7 +32,7 @@
 
 
 def ask(session: StatementSession, asked: str) -> str:
-    """Ask one statement, let a member answer it with success, and say what was to be done."""
+    """Plan one statement, let a member answer it with success, and return the planned action."""
     if asked == "fail":
         session.fail_transaction()
         return "failed"
