--- a/features/steps/statement_stop_steps.py
+++ b/features/steps/statement_stop_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what a proxy takes and tells while it stops."""
+"""Steps on what a stopping proxy accepts and answers."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 REFUSED = "BUSY I"
 LEAVES_SERVICE = "LD3006"
 SLACK_S = 0.3
-"""A loaded machine does what is due a little later."""
+"""Allowed delay, in seconds, on a loaded machine."""
 UNDER_WAY_S = 0.1
-"""A statement that was asked has reached its member by then."""
+"""Seconds after which a statement has reached its member."""
 NONE = "none"
 
 
