--- a/features/steps/forwarding_links_steps.py
+++ b/features/steps/forwarding_links_steps.py
@@ -1,4 +1,4 @@
-"""Steps for forwarding links that are idle or too many, and what an open one takes."""
+"""Steps for the closing of idle and surplus forwarding links, and the cost of open ones."""
 
 from __future__ import annotations
 
@@ -58,19 +58,19 @@
     )
 
 
-class _CountedExecutor:
-    """What a home proxy's side of a link asks for; counts the looks at an idle link."""
+class _CountingExecutor:
+    """The executor of a served link; counts the checks of an idle link."""
 
     def __init__(self):
-        self.looks = 0
+        self.checks = 0
 
     def has_transactions_of(self, _origin):
-        """Count a look; nothing is ever open here."""
-        self.looks += 1
+        """Count a check; no transaction is ever open here."""
+        self.checks += 1
         return False
 
     def has_transaction(self, _key):
-        """Tell that nothing is open here."""
+        """Return that no transaction is open here."""
         return False
 
     async def run(self, unit, _relay, _origin):
@@ -78,11 +78,11 @@
         return AnswerEnd(unit.stream, TransactionStatus.IDLE, LogPosition(), "", False)
 
     async def abandon_origin(self, _origin):
-        """Take the end of a link."""
+        """Ignore the end of a link."""
 
 
 class _Homes:
-    """All home proxies behind one address; each holds its answers while told to."""
+    """All home proxies, behind one address; the answers to held units wait for ``go_on``."""
 
     def __init__(self):
         self.go_on = curio.Event()
@@ -91,7 +91,7 @@
         self.server = None
 
     async def start(self):
-        """Take links."""
+        """Accept links."""
         listener = listen("127.0.0.1:0").ok_value
         self.address = f"127.0.0.1:{listener.getsockname()[1]}"
         identity = LinkIdentity(PeerRole.PROXY, "home", KEY)
@@ -119,7 +119,7 @@
 
 
 class _Links:
-    """The forwarding side of a proxy, before home proxies behind one address, on its own kernel."""
+    """The forwarding side of a proxy on its own kernel, with home proxies behind one address."""
 
     def __init__(self, folder, homes, **settings):
         self.kernel = curio.Kernel()
@@ -160,7 +160,7 @@
             transaction=transaction,
             data=data,
         )
-        return self.kernel.run(curio.spawn, self.executor.run, unit, _pass_on)
+        return self.kernel.run(curio.spawn, self.executor.run, unit, _ignore)
 
     def end_of(self, task):
         """Return the end of a unit's answer."""
@@ -176,15 +176,15 @@
         return self.is_open(home) and bool(self.executor.links.get(home)._streams)
 
     def wait(self, condition):
-        """Let tasks go on until a condition holds."""
+        """Run tasks until a condition holds."""
         deadline = time.monotonic() + WAIT_S
         while not condition():
             assert time.monotonic() < deadline, "condition not reached in time"
             self.kernel.run(curio.sleep, 0.01)
 
 
-async def _pass_on(_chunk):
-    """Take a part of an answer."""
+async def _ignore(_chunk):
+    """Ignore a part of an answer."""
 
 
 def _make(context, last, **settings):
@@ -207,7 +207,7 @@
 
 
 async def _watch_all_the_time(link):
-    """Look at a link at fixed intervals, idle or not."""
+    """Check a link at fixed intervals, idle or not."""
     while not link.closed:
         if link.is_busy and await link._fell_silent():
             return
@@ -215,7 +215,7 @@
 
 
 async def _watch_served_all_the_time(link):
-    """Look at a link at fixed intervals, idle or not, as the home proxy."""
+    """Check a link at fixed intervals, idle or not, on the home proxy's side."""
     while not await link._fell_silent():
         await curio.sleep(forwarding_server.CHECK_INTERVAL_S)
 
@@ -325,34 +325,34 @@
 
 
 @when("links: the link to p1 is idle for {looks:d} check intervals")
-def step_idle_looks(context, looks):
+def step_idle_checks(context, looks):
     links = context.links
-    executor = _CountedExecutor()
+    executor = _CountingExecutor()
     links.homes.server = forwarding_server.ForwardingServer(executor)
     assert links.end_of(links.ask("p1")).code == 0
     links.kernel.run(curio.sleep, 3 * forwarding_link.CHECK_INTERVAL_S)
-    looked = []
+    checked = []
     busy = forwarding_link.HomeLink.is_busy.fget
 
     def count(link):
-        looked.append(link)
+        checked.append(link)
         return busy(link)
 
-    executor.looks = 0
+    executor.checks = 0
     with mock.patch.object(forwarding_link.HomeLink, "is_busy", property(count)):
         links.kernel.run(curio.sleep, looks * forwarding_link.CHECK_INTERVAL_S)
-    context.looks = {"the proxy": len(looked), "the home proxy": executor.looks}
+    context.checks = {"the proxy": len(checked), "the home proxy": executor.checks}
 
 
 @then("links: {end} has checked it more than once is {verdict}")
-def step_looked(context, end, verdict):
-    assert (context.looks[end] > 1) is (verdict == "true"), context.looks
+def step_checked(context, end, verdict):
+    assert (context.checks[end] > 1) is (verdict == "true"), context.checks
 
 
 def _descriptors(links):
     """Return the open descriptors: all, those of dialled links, those of accepted ones.
 
-    Sockets that earlier scenarios left to the collector are closed first.
+    Sockets left over from earlier scenarios are garbage-collected first.
     """
     gc.collect()
     process = psutil.Process()
