--- a/features/steps/forwarding_work_steps.py
+++ b/features/steps/forwarding_work_steps.py
@@ -123,7 +123,7 @@
 
 
 def _hold(context, switch):
-    """Let the members hold answers, or statements ahead of their execution."""
+    """Have the members delay answers, or the execution of statements."""
     for member in context.lab.members.names:
         context.lab.members.switch(member, switch, HELD_ANSWER_MS)
         context.add_cleanup(context.lab.members.switch, member, switch, 0)
@@ -205,7 +205,7 @@
 
 
 async def _stay_open():
-    """Let the end of a link go unheard, as when no packet gets through."""
+    """Ignore the close of a link, as when no packet arrives."""
 
 
 @when("forwarding: p2 has written in a transaction and its caller disconnects")
@@ -228,14 +228,14 @@
 
 
 class _SlowReader:
-    """Takes the first part of an answer, and the rest only when told."""
+    """Receives the first part of an answer, and the rest only when ``go_on`` is set."""
 
     def __init__(self):
         self.go_on = curio.Event()
         self.size = 0
 
     async def __call__(self, chunk):
-        """Take a part."""
+        """Receive a part."""
         self.size += len(chunk.data)
         await self.go_on.wait()
 
