--- a/features/steps/hedged_reads_steps.py
+++ b/features/steps/hedged_reads_steps.py
@@ -1,4 +1,4 @@
-"""Steps on reads that run at two members, with members that answer by the clock alone."""
+"""Steps for hedged reads, with stand-in members that answer at given times."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 USUAL_S = 0.02
 WHOLE_S = 1.0
-PATIENCE_S = 0.1
+HEDGE_DELAY_S = 0.1
 
 
 class _Connection:
-    """A connection that only knows whether it was closed."""
+    """A stand-in connection that records whether it was closed."""
 
     def __init__(self):
         self.status = TransactionStatus.IDLE
@@ -33,7 +33,7 @@
 
 
 class _Pool:
-    """A pool that counts what it lends."""
+    """A stand-in pool that records which connections it hands out."""
 
     def __init__(self, name):
         record = AnnouncedMember(name, "g", "h:1", "z", "v1", 3, MemberState.READY, False)
@@ -42,20 +42,20 @@
         self.lent = []
         self.given_back = []
 
-    def lend(self):
-        """Lend a connection."""
+    def check_out(self):
+        """Check a new connection out."""
         connection = _Connection()
         self.lent.append(connection)
         return PinnedConnection(self, connection)
 
     async def putconn(self, connection):
-        """Take a connection back; another client begins a transaction on it at once."""
+        """Take a connection back; another client begins a transaction on it immediately."""
         self.given_back.append(connection)
         connection.status = TransactionStatus.IN_TRANSACTION
 
     @property
     def state(self):
-        """Say what became of the connection."""
+        """The state of the connection that was handed out."""
         if not self.lent:
             return "never lent"
         if not self.given_back:
@@ -64,21 +64,21 @@
 
 
 class _Exchange:
-    """Answers at given moments."""
+    """A stand-in exchange that answers at given times."""
 
     def __init__(self, answers):
         self._answers = answers
         self.wait = curio.sleep
 
     def count_hedged_read(self):
-        """Count nothing."""
+        """Do nothing."""
 
     async def connect(self, pool, _attempt, _wait_s):
-        """Lend a connection at once."""
-        return pool.lend()
+        """Check a connection out at once."""
+        return pool.check_out()
 
     async def run(self, pinned, _attempt, _after, _limit_s):
-        """Answer when it is time."""
+        """Answer at the given time."""
         kind, after_s = self._answers[pinned.identity]
         try:
             await self.wait(after_s)
@@ -102,7 +102,7 @@
     )
     exchange = _Exchange({"first": first, "second": second})
     read = HedgedRead(exchange, attempt, lambda: HedgeTarget(pools[1], None))
-    return read, pools, pools[0].lend()
+    return read, pools, pools[0].check_out()
 
 
 @when(
@@ -142,7 +142,7 @@
 
     async def answer_both():
         task = await curio.spawn(read.run, pinned, None)
-        await curio.sleep(2 * PATIENCE_S)
+        await curio.sleep(2 * HEDGE_DELAY_S)
         await moment.set()
         return await task.join()
 
