--- a/features/steps/connection_burst_steps.py
+++ b/features/steps/connection_burst_steps.py
@@ -29,7 +29,7 @@
     run(context, curio.spawn, context.burst.watch)
 
 
-async def _come(context, span_s, count, priority, tenants, limit_s):
+async def _send_requests(context, span_s, count, priority, tenants, limit_s):
     began_at = time.monotonic()
     for number in range(count):
         due_at = began_at + span_s * number / count
@@ -45,10 +45,10 @@
 )
 def step_burst(context, span, count, priority, tenants, limit):
     args = (context, span / MS, count, priority, tenants, limit / MS)
-    context.tasks.append(run(context, curio.spawn, _come, *args))
+    context.tasks.append(run(context, curio.spawn, _send_requests, *args))
 
 
-async def _all_end(context):
+async def _wait_for_all(context):
     ended = 0
     while ended < len(context.tasks):
         await context.tasks[ended].join()
@@ -56,8 +56,8 @@
 
 
 @then("burst: {share:d} % of the requests that were not served were refused within {limit:d} ms")
-def step_told(context, share, limit):
-    run(context, _all_end, context)
+def step_refused(context, share, limit):
+    run(context, _wait_for_all, context)
     held = sorted(end.at - end.came_at for end in context.burst.ended if not end.was_served)
     quick = sum(seconds <= limit / MS for seconds in held)
     assert quick >= share / 100 * len(held), (quick, len(held), held[-10:])
@@ -75,7 +75,7 @@
     "within {limit:d} ms"
 )
 def step_urgent(context, priority, share, limit):
-    run(context, _all_end, context)
+    run(context, _wait_for_all, context)
     ends = [end for end in context.burst.ended if end.priority == priority]
     assert ends
     assert all(end.was_served for end in ends), ends
@@ -88,11 +88,11 @@
     "with {limit:d} ms each"
 )
 def step_wait(context, count, priority, tenants, limit):
-    async def come():
-        await _come(context, 0.0, count, priority, tenants, limit / MS)
+    async def send():
+        await _send_requests(context, 0.0, count, priority, tenants, limit / MS)
         await curio.sleep(0.03)
 
-    run(context, come)
+    run(context, send)
 
 
 @when("burst: the member is lost")
