--- a/features/steps/home_silence_steps.py
+++ b/features/steps/home_silence_steps.py
@@ -1,4 +1,4 @@
-"""Steps on home proxies that go silent: what is sent to them, and what goes elsewhere."""
+"""Steps on home proxies that go silent, and on the units that go elsewhere."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class _FakeLink:
-    """A link whose other end does what ``state`` says; counts the units on the wire."""
+    """A fake link whose other end behaves as ``state`` says; counts the units sent."""
 
     def __init__(self, state):
         self.state = state
@@ -38,7 +38,7 @@
         self._closed = curio.Event()
 
     async def send(self, message):
-        """Send a message, unless the other end takes no more bytes."""
+        """Send a message, unless the other end accepts no more bytes."""
         if "takes no more" in self.state:
             await self._closed.wait()
             raise LinkClosedError("closed")
