--- a/features/steps/planned_stop_steps.py
+++ b/features/steps/planned_stop_steps.py
@@ -1,4 +1,4 @@
-"""Steps on proxies that are told to stop while clients go on asking."""
+"""Steps on proxies and controllers that are stopped while clients use them."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 BEFORE_STOP_S = 0.5
 STOP_GAP_S = 0.4
 STOP_LIMIT_S = 6.0
-"""What the platform gives a process between SIGTERM and SIGKILL."""
+"""Seconds between SIGTERM and SIGKILL on the platform."""
 LOOK_S = 0.02
 START_LIMIT_S = 15
 LEADS = "event=serving-as-leader"
@@ -213,7 +213,7 @@
 
 
 async def _wait_until_it_listens(ip: str) -> None:
-    """Return once a process takes connections, which it does before its modules are loaded."""
+    """Return once a process accepts connections, which it does before its modules are loaded."""
     while True:
         async with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
             try:
