--- a/features/support/burst_pool.py
+++ b/features/support/burst_pool.py
@@ -1,4 +1,4 @@
-"""A pool of stand-in connections that open and answer in given times, and its load."""
+"""A pool of stand-in connections with given opening and answer times, and its load."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class StandInConnection:
-    """A connection to a member that does what it is told."""
+    """A stand-in for a connection to a member."""
 
     def __init__(self, tenant: str, open_s: float) -> None:
         self.tenant = tenant
@@ -45,9 +45,10 @@
 
 @dataclass
 class Ended:
-    """What became of a request.
+    """The outcome of a request.
 
-    :param came_at: when it came, and when it was served or told otherwise
+    :param came_at: when it arrived
+    :param at: when it was served or refused
     """
 
     priority: int
@@ -57,9 +58,9 @@
 
 
 class BurstPool:
-    """A pool before a member that serves each request for the same time.
+    """A pool of a member whose answers all take the same time.
 
-    :ivar is_lost: it takes no connection any more, and breaks those it has
+    :ivar is_lost: the member accepts no connections and breaks the open ones
     """
 
     def __init__(self, lease: int, opening_s: float, answer_s: float) -> None:
@@ -81,7 +82,7 @@
         return Ok(StandInConnection(tenant, self.opening_s))
 
     async def ask(self, tenant: str, priority: int, limit_s: float) -> None:
-        """Have one request served, or told that it isn't."""
+        """Send one request; record whether it was served or refused."""
         came_at = time.monotonic()
         start_by = came_at + limit_s
         try:
@@ -110,11 +111,11 @@
         await self.pool.putconn(connection)
 
     async def stop(self) -> None:
-        """Take nothing more."""
+        """Close the pool."""
         await self.pool.drain()
 
     async def watch(self) -> None:
-        """Look after the queue, as the proxy does of all pools."""
+        """Check the queue periodically, as the proxy does for all pools."""
         while True:
             await curio.sleep(0.1)
             await self.pool.check_waiting(time.monotonic())
