--- a/features/support/far_address.py
+++ b/features/support/far_address.py
@@ -1,4 +1,4 @@
-"""A way to something that is far off: bytes and new connections take a time each way."""
+"""A relay that adds network latency to connections."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class FarAddress:
-    """Listens on loopback, and passes on to an address what arrives, late.
+    """Listens on loopback and relays connections to an address with a delay.
 
-    On loopback a connection is open at once; over a distance that takes one more round trip, by
-    which its first bytes are late here.
+    A connect on loopback completes at once, whereas a distant one takes a round trip. The relay
+    delays the first bytes of a connection by that round trip instead.
 
-    :param target: where connections lead
-    :param one_way_s: how long each direction takes
-    :ivar address: where it listens
+    :param target: the address to relay to
+    :param one_way_s: latency of each direction, in seconds
+    :ivar address: the address that it listens on
     """
 
     def __init__(self, target: str, one_way_s: float) -> None:
@@ -34,7 +34,7 @@
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
 
     async def run(self) -> None:
-        """Pass connections on until cancelled."""
+        """Relay connections until cancelled."""
         async with self._listener:
             while True:
                 near, _ = await self._listener.accept()
@@ -51,7 +51,7 @@
                     await ways.spawn(self._pass_on, far, near)
 
     async def _pass_on(self, source: socket.socket, destination: socket.socket) -> None:
-        """Pass bytes on in order, each so long after it came."""
+        """Relay bytes in order, each after the latency of one way."""
         arrived: deque[tuple[float, bytes]] = deque()
         came = curio.Event()
         sender = await curio.spawn(self._send, arrived, came, destination)
