--- a/features/support/persistent_callers.py
+++ b/features/support/persistent_callers.py
@@ -1,4 +1,4 @@
-"""Callers of one controller that call until it is gone, and keep what became of each call."""
+"""Callers that call one controller until it has exited, and record the outcome of each call."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Called:
-    """A call that was sent whole.
+    """A call that was sent completely.
 
-    :param status: of its whole answer, ``NO_ANSWER`` when the connection ended before
+    :param status: of the complete answer; ``NO_ANSWER`` when the connection ended earlier
     """
 
     sent_at: float
@@ -31,7 +31,7 @@
 
 
 class PersistentCaller:
-    """Reads the configuration again and again, each time on a new connection.
+    """Reads the configuration repeatedly, each time on a new connection.
 
     :param ip: of the controller's machine
     """
@@ -41,7 +41,7 @@
         self._ip = ip
 
     async def run(self, is_gone: Callable[[], bool]) -> None:
-        """Call until the controller is gone."""
+        """Call until the controller has exited."""
         while not is_gone():
             await self._call()
             await curio.sleep(PAUSE_S)
@@ -67,7 +67,7 @@
 
 
 async def _receive(sock: socket.socket, connection: h11.Connection) -> int:
-    """Return the status of the whole answer."""
+    """Return the status of the complete answer."""
     status = NO_ANSWER
     while True:
         event = connection.next_event()
