--- a/features/support/persistent_clients.py
+++ b/features/support/persistent_clients.py
@@ -1,4 +1,4 @@
-"""Clients that use one proxy until it is gone, and keep what became of each statement."""
+"""Clients that use one proxy until it has exited, and record the answer to each statement."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 DATABASE = "db1"
 CONNECT_LIMIT_S = 1.0
 RETURN_PAUSE_S = 0.02
-"""Between a refused or ended session and the next one."""
+"""Seconds between a refused or ended session and the next one."""
 REST_STEP_S = 0.07
-"""Rests differ by so much: sessions return all the time while the proxy looks at them."""
+"""Seconds by which idle times differ, so that sessions become active at any moment of the proxy's
+checks."""
 NOT_WHOLE = "closed"
 LEAVES_SERVICE = "LD3006"
 
 
 class Habit(enum.StrEnum):
-    """What a client does again and again."""
+    """What a client does repeatedly."""
 
     READ = "read"
     WRITE = "write"
@@ -35,9 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """A statement that was sent whole, and what the client was told of it.
+    """A statement that was sent completely, and its answer.
 
-    :param words: its answer in few words; ``NOT_WHOLE`` when the connection ended before READY
+    :param words: summary of the answer; ``NOT_WHOLE`` when the connection ended before READY
     """
 
     request_id: str
@@ -48,22 +49,22 @@
 
     @property
     def is_whole(self) -> bool:
-        """Whether the client got a whole answer."""
+        """Whether the client got a complete answer."""
         return self.words != NOT_WHOLE
 
 
 class SessionOverError(Exception):
-    """The session ended, or nothing was told on it any more."""
+    """The session ended or gave no answer."""
 
 
 class PersistentClient:
-    """One client at one proxy.
+    """One client of one proxy.
 
-    :ivar unheard: when it asked for sessions of which it was told nothing
     :param ip: of the proxy's machine
     :param habit: what it does
-    :param heeds: it ends a session when it is told that the proxy leaves service; else it uses its
-        connection until that ends
+    :param heeds: it ends a session when it is told that the proxy leaves service; otherwise it uses
+        its connection until that ends
+    :ivar unheard: times of session requests that got no answer
     """
 
     def __init__(self, name: str, ip: str, habit: Habit, heeds: bool = True) -> None:
@@ -79,7 +80,7 @@
         self._socket: socket.socket | None = None
 
     async def run(self, is_gone: Callable[[], bool]) -> None:
-        """Use the proxy until it is gone."""
+        """Use the proxy until it has exited."""
         while not is_gone():
             try:
                 await self._open_session()
@@ -99,7 +100,7 @@
             raise SessionOverError
 
     async def _ask_for_session(self) -> str:
-        """Return the answer; keep note of a connection that stood and brought none."""
+        """Return the answer; record a connection that was established and got none."""
         asked_at = time.monotonic()
         try:
             await self._client.send(f"START {DATABASE} key\r\n")
@@ -134,7 +135,7 @@
                 await self._rest_until_told(is_gone)
 
     async def _rest_until_told(self, is_gone: Callable[[], bool]) -> None:
-        """Ask nothing more until the session is over."""
+        """Stay idle until the session is over."""
         while not self._client.was_told_unasked() and not is_gone():
             await curio.sleep(RETURN_PAUSE_S)
         raise SessionOverError
@@ -149,11 +150,11 @@
             await curio.sleep(RETURN_PAUSE_S)
 
     def _is_sent_elsewhere(self, lines: list[str]) -> bool:
-        """Tell whether the client was told to connect to another proxy, and does."""
+        """Tell whether the client was told to use another proxy and heeds it."""
         return self._heeds and any(LEAVES_SERVICE in line for line in lines)
 
     async def _ask(self, text: str) -> str:
-        """Ask a statement; keep and return what was told of it."""
+        """Send a statement; record and return its answer."""
         if self._client.was_told_unasked():
             raise SessionOverError
         sent_at = time.monotonic()
