--- a/features/support/virtual_clock.py
+++ b/features/support/virtual_clock.py
@@ -1,4 +1,4 @@
-"""A curio kernel on a clock of its own: what waits is due at once, however busy the machine is."""
+"""A curio kernel on a virtual clock, so that waits take no real time and ignore machine load."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class _VirtualSelector(selectors.DefaultSelector):
-    """Passes the time for which nothing comes."""
+    """Advances the virtual clock while no I/O is ready."""
 
     def __init__(self, clock: VirtualKernel) -> None:
         super().__init__()
         self._clock = clock
 
     def select(self, timeout=None):
-        """Return what is ready now; without any let the time pass."""
+        """Return the events that are ready; if there are none, advance the clock by the timeout."""
         events = super().select(0)
         if events or timeout is None:
             return events or super().select(timeout)
@@ -26,9 +26,9 @@
 
 
 class VirtualKernel:
-    """Runs coroutines; ``time.monotonic`` shows its clock meanwhile.
+    """Runs coroutines while ``time.monotonic`` returns its virtual clock.
 
-    :ivar now: seconds
+    :ivar now: the virtual time, in seconds
     """
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
         self._kernel = curio.Kernel(selector=_VirtualSelector(self))
 
     def run(self, function=None, *arguments, shutdown=False):
-        """Run a coroutine function, or end."""
+        """Run a coroutine function, or shut the kernel down."""
         with mock.patch("time.monotonic", lambda: self.now):
             if function is None:
                 return self._kernel.run(shutdown=shutdown)
