--- a/features/support/statement_homes.py
+++ b/features/support/statement_homes.py
@@ -31,7 +31,7 @@
 
 
 class HomeProxy:
-    """What a home proxy has of the product: groups under a lease, and the service of units."""
+    """The product's parts of a home proxy: groups under a lease, and the service for units."""
 
     def __init__(self, name: str, zone: str, region: str, path: StatementPath) -> None:
         self.name = name
@@ -51,7 +51,7 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Listen for links of other proxies on loopback."""
+        """Listen on loopback for links of other proxies."""
         listener = listen("127.0.0.1:0").ok_value
         host, port = listener.getsockname()
         self.address = f"{host}:{port}"
@@ -72,12 +72,12 @@
         await self.server.serve(link)
 
     async def lease(self, connections: int) -> None:
-        """Give it a lease of so many connections to each member."""
+        """Give it a lease of connections to each member."""
         leases = (ConnectionLease(GROUP, "shared", connections),) if connections else ()
         await self.groups.leases_changed(leases, NEVER)
 
     def freeze(self) -> None:
-        """Have it take nothing more of what its links bring, and answer nothing."""
+        """Stop processing messages from its links, so that nothing is answered."""
         self.is_frozen = True
 
     async def lose_links(self) -> None:
@@ -87,7 +87,7 @@
             await link._socket.shutdown(socket.SHUT_RDWR)
 
     def record(self) -> ProxyRecord:
-        """Return its record as the controllers have it."""
+        """Return its record in the controllers' state."""
         return ProxyRecord(
             self.name, 1, self.address, self.zone, ProxyState.SERVING, region=self.region
         )
@@ -119,13 +119,13 @@
             await home.lease(connections)
 
     async def take_view(self, view: ControlView) -> None:
-        """Bring a view into force at all proxies."""
+        """Apply a view at all proxies."""
         await super().take_view(view)
         for home in self.homes.values():
             await home.groups.control_changed(view)
 
     async def move_home_away(self, name: str, one_way_s: float) -> None:
-        """Put a home proxy so far off, and have the proxy know its address there."""
+        """Add network latency to a home proxy, and give the proxy its new address."""
         home = self.homes[name]
         far = FarAddress(home.address, one_way_s)
         await curio.spawn(far.run, daemon=True)
@@ -134,5 +134,5 @@
         await self.tell_view()
 
     def served(self, name: str) -> int:
-        """Return how many statements a home proxy took."""
+        """Return how many statements a home proxy received."""
         return int(self.homes[name].metrics.forwarded_in._value.get())
