--- a/features/support/statement_path.py
+++ b/features/support/statement_path.py
@@ -83,7 +83,7 @@
         return lines
 
     async def ask(self, text: str) -> str:
-        """Ask a statement; return rows and outcome in few words."""
+        """Send a statement; return a summary of its rows and outcome."""
         self._next += 1
         self.request_id = f"{self.session}{self._next}"
         await self.send(f"QUERY {self.request_id} {text}\r\n")
@@ -91,14 +91,14 @@
         return summary(self.last_answer)
 
     def was_told_unasked(self) -> bool:
-        """Tell whether something came that no answer belongs to: the session is over then."""
+        """Tell whether unsolicited data arrived, which means that the session is over."""
         if self._stream._buffer:
             return True
         readable, _, _ = select.select([self._socket.fileno()], [], [], 0)
         return bool(readable)
 
     async def expect_end(self) -> None:
-        """Be told that the session is over though nothing was asked, then the connection's end."""
+        """Expect an unsolicited end of the session, then the end of the connection."""
         told = await self.receive()
         assert told.startswith("ERROR "), told
         assert await self.receive() == ""
@@ -199,7 +199,7 @@
         await self.groups.leases_changed((lease,), NEVER)
 
     async def confirm_view(self, limit_s: float) -> bool:
-        """Stand for the leader: tell the proxy what it does not know yet."""
+        """Stand in for the leader: give the proxy the view that it does not have yet."""
         self.confirmations += 1
         if self.is_cut_off:
             await curio.sleep(limit_s)
@@ -210,7 +210,7 @@
         return True
 
     async def _ask_leader(self, message: OperationsRequest) -> bool:
-        """Stand for the leader's count of operations; None for a leader that answers nothing."""
+        """Stand in for the leader's count of operations; without a leader nothing is answered."""
         self.asked.append(message)
         if self.leader is not None:
             answer = self.leader.wanted("proxy", message, time.monotonic())
@@ -218,7 +218,7 @@
         return not self.is_cut_off
 
     def limit(self, tenant: str, rate: float, burst: int) -> None:
-        """Give a tenant a limit, from the next view on."""
+        """Set a tenant's limit, from the next view on."""
         known = self.tenants[tenant]
         limited = dataclasses.replace(
             known, operations_per_minute=int(rate * 60), operation_burst=burst
@@ -226,11 +226,11 @@
         self.tenants[tenant] = limited
 
     async def tell_view(self) -> None:
-        """Give the proxy a view of the present state."""
+        """Give the proxy a view of the current state."""
         await self.take_view(self.make_view())
 
     def make_view(self) -> ControlView:
-        """Return a view of the present state."""
+        """Return a view of the current state."""
         self.index += 1
         access = TenantAccess("shared", GROUP, "", "", 30)
         group = Group(GROUP, (), 30, 1, (access,), "", PromotionMode.AUTHORITY, announced=True)
@@ -265,12 +265,12 @@
         return GroupPrimary(GROUP, self.term, self.primary, started_at_ms=started_at_ms)
 
     def hold_key(self, tenant: str, *keys: str) -> None:
-        """Have a tenant hold these keys and no others, from the next view on."""
+        """Replace a tenant's keys, from the next view on."""
         digests = tuple(access_key_digest(key) for key in keys)
         self.tenants[tenant] = Tenant(tenant, (), access_keys=digests)
 
     async def take_view(self, view: ControlView) -> None:
-        """Bring a view into force at the proxy."""
+        """Apply a view at the proxy."""
         self.links.control_changed(view)
         await self.groups.control_changed(view)
 
@@ -291,13 +291,13 @@
         )
 
     async def move_away(self, name: str, one_way_s: float) -> None:
-        """Put a member so far off, and have the proxy know its address there."""
+        """Add network latency to a member, and give the proxy its new address."""
         self.far[name] = FarAddress(self.group.members[name].address, one_way_s)
         await curio.spawn(self.far[name].run, daemon=True)
         await self.tell_view()
 
     async def connect(self, database: str = "db", key: str = "u1") -> tuple[LineClient, str]:
-        """Open a client's session with a key; return the client and what it was told."""
+        """Open a client's session with a key; return the client and the answer."""
         ours, theirs = socket.socketpair()
         served = StatementClient(theirs, LineClientCodec(), self.services)
         await curio.spawn(served.run, daemon=True)
