--- a/features/support/statement_stop.py
+++ b/features/support/statement_stop.py
@@ -1,4 +1,4 @@
-"""A proxy's parts in one process, told to stop while clients ask."""
+"""A proxy's parts in one process, which can be stopped while clients use it."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 
 class QuietControl:
-    """Stands for the controllers, who are told nothing else."""
+    """A stand-in for the controllers that records the end of the stop."""
 
     def __init__(self) -> None:
         self.is_done = False
 
     async def leave(self, done: bool) -> None:
-        """Note that the proxy is done."""
+        """Record whether the proxy is done."""
         self.is_done = done
 
 
 class StoppingPath(StatementPath):
-    """A proxy that can be told to stop.
+    """A proxy that can be stopped.
 
-    :ivar schedule: of the stop, once it has begun
+    :ivar schedule: of the planned stop, once it has begun
     """
 
     def __init__(self, consistency: Consistency) -> None:
@@ -44,7 +44,7 @@
         self._stopping: curio.Task | None = None
 
     async def connect(self, database: str = "db", key: str = "u1") -> tuple[LineClient, str]:
-        """Open a client's session; the proxy keeps note of it."""
+        """Open a client's session and register it with the proxy."""
         ours, theirs = socket.socketpair()
         served = StatementClient(theirs, LineClientCodec(), self.services)
         self.served.add(served)
@@ -61,7 +61,7 @@
             self.served.discard(served)
 
     async def stop_proxy(self, whole_s: float) -> None:
-        """Tell the proxy to stop; it goes on by itself."""
+        """Start the planned stop in the background."""
         services = self.services
         home = StatementHomeService(
             self.groups, None, services.log, services.log._metrics, services.stop
