--- a/features/mutants/stop_safeguards.py
+++ b/features/mutants/stop_safeguards.py
@@ -1,4 +1,4 @@
-"""Mutants of what lets a proxy stop without leaving a statement without an answer."""
+"""Mutants of the safeguards by which a stopping process leaves no statement or call unanswered."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 from limedyke.transport.link import listen
 
 WHOLE_S = 1.5
-"""What the proxy gets between the signal and its end."""
+"""Seconds between the signal and the end of the proxy."""
 ANSWER_S = 0.25
 LONG_S = 5.0
 STATEMENT_TIMEOUT_MS = 4_000
 ASKED_S = 0.05
 CLIENTS = 4
 SHORT_QUEUE = 1
-"""The kernel queues one connection more than that."""
+"""Backlog of the listener; the kernel queues one connection more."""
 CALL_BYTES = 1_024
 
 
@@ -47,14 +47,14 @@
 
 
 async def _end(path: StoppingPath) -> None:
-    """End the proxy's process: what its clients wait for is cut."""
+    """End the proxy's process, which interrupts running statements."""
     await path.wait_for_end()
     for served in list(path.served):
         await served.task.cancel()
 
 
 async def _ask_until_refused(client: LineClient) -> bool:
-    """Ask one statement after the other; tell whether one got no whole answer."""
+    """Send one statement after the other; tell whether one got no complete answer."""
     while True:
         words = await client.ask("READ w")
         if not client.last_answer or not client.last_answer[-1].startswith("READY"):
@@ -116,7 +116,7 @@
 
 
 async def _queued_call_is_cut() -> bool:
-    """Call while the server does not look, and tell whether its end leaves a call unanswered."""
+    """Call while the server accepts nothing; tell whether a call stays unanswered at its end."""
     listener = listen("127.0.0.1:0").unwrap()
     host, port = listener.getsockname()
     server = HttpServer(_answer_call, HttpLimits(CALL_BYTES))
@@ -134,7 +134,7 @@
 
 
 async def _unconfirmed_call_is_cut() -> bool:
-    """Call on a connection whose confirmation the kernel has dropped, as the queue was full."""
+    """Call on a connection whose final ACK the kernel has dropped because the queue was full."""
     listener = listen("127.0.0.1:0").unwrap()
     listener.listen(SHORT_QUEUE)
     host, port = listener.getsockname()
@@ -167,16 +167,16 @@
 
 
 async def _close_at_once(sock: object, *_: object) -> None:
-    """End a session as a process does that just closes its connections."""
+    """End a session by closing its connection."""
     await sock.close()
 
 
 async def _let_it_run(_: StatementClient) -> None:
-    """Leave a statement under way to itself."""
+    """Do not interrupt a running statement."""
 
 
 def _never_ends(began_at: float, whole_s: float) -> stop_schedule.StopSchedule:
-    """Return a schedule by which statements are taken for as long as the process lives."""
+    """Return a schedule that accepts statements until the process ends."""
     ends_at = began_at + whole_s
     idle_until = began_at + 0.4 * whole_s
     return stop_schedule.StopSchedule(ends_at, idle_until, ends_at, ends_at, ends_at)
@@ -184,7 +184,7 @@
 
 @contextmanager
 def _take_on_and_let_run() -> Iterator[None]:
-    """Take statements until the end, with all their time, and leave them to themselves."""
+    """Accept statements until the end, with their whole timeout, and never interrupt them."""
     whole_time = STATEMENT_TIMEOUT_MS / 1_000
     with (
         mock.patch.object(stop_schedule.StopSchedule, "of", _never_ends),
