--- a/features/steps/connection_burst_steps.py
+++ b/features/steps/connection_burst_steps.py
@@ -58,7 +58,7 @@
 @then("burst: {share:d} % of the requests that were not served were refused within {limit:d} ms")
 def step_refused(context, share, limit):
     run(context, _wait_for_all, context)
-    held = sorted(end.at - end.came_at for end in context.burst.ended if not end.was_served)
+    held = sorted(end.at - end.arrived_at for end in context.burst.ended if not end.was_served)
     quick = sum(seconds <= limit / MS for seconds in held)
     assert quick >= share / 100 * len(held), (quick, len(held), held[-10:])
 
@@ -79,8 +79,8 @@
     ends = [end for end in context.burst.ended if end.priority == priority]
     assert ends
     assert all(end.was_served for end in ends), ends
-    quick = sum(end.at - end.came_at <= limit / MS for end in ends)
-    assert quick >= share / 100 * len(ends), [end.at - end.came_at for end in ends]
+    quick = sum(end.at - end.arrived_at <= limit / MS for end in ends)
+    assert quick >= share / 100 * len(ends), [end.at - end.arrived_at for end in ends]
 
 
 @given(
--- a/features/support/burst_pool.py
+++ b/features/support/burst_pool.py
@@ -47,12 +47,12 @@
 class Ended:
     """The outcome of a request.
 
-    :param came_at: when it arrived
+    :param arrived_at: when it arrived
     :param at: when it was served or refused
     """
 
     priority: int
-    came_at: float
+    arrived_at: float
     at: float
     was_served: bool
 
@@ -83,17 +83,17 @@
 
     async def ask(self, tenant: str, priority: int, limit_s: float) -> None:
         """Send one request; record whether it was served or refused."""
-        came_at = time.monotonic()
-        start_by = came_at + limit_s
+        arrived_at = time.monotonic()
+        start_by = arrived_at + limit_s
         try:
             connection = await self.pool.getconn(
-                tenant, {}, priority, limit_s, target_at=came_at + limit_s, start_by=start_by
+                tenant, {}, priority, limit_s, target_at=arrived_at + limit_s, start_by=start_by
             )
         except NOT_SERVED:
-            self.ended.append(Ended(priority, came_at, time.monotonic(), was_served=False))
+            self.ended.append(Ended(priority, arrived_at, time.monotonic(), was_served=False))
             return
         await self._answer(connection)
-        self.ended.append(Ended(priority, came_at, time.monotonic(), was_served=True))
+        self.ended.append(Ended(priority, arrived_at, time.monotonic(), was_served=True))
 
     async def _answer(self, connection: StandInConnection) -> None:
         sent_at = time.monotonic()
