--- a/features/steps/planned_stop_steps.py
+++ b/features/steps/planned_stop_steps.py
@@ -122,12 +122,12 @@
 @then("planned stop: every session request got an answer")
 def step_heard(context):
     first_signal = min(context.signalled_at.values())
-    unheard = [
+    unanswered_sessions = [
         f"{asked_at - first_signal:.3f} s after the signal"
         for client in context.clients
-        for asked_at in client.unheard
+        for asked_at in client.unanswered_sessions
     ]
-    assert not unheard, (len(unheard), unheard[:8])
+    assert not unanswered_sessions, (len(unanswered_sessions), unanswered_sessions[:8])
 
 
 @then("planned stop: some were answered after the signal")
--- a/features/support/persistent_clients.py
+++ b/features/support/persistent_clients.py
@@ -64,12 +64,12 @@
     :param habit: what it does
     :param heeds: it ends a session when it is told that the proxy leaves service; otherwise it uses
         its connection until that ends
-    :ivar unheard: times of session requests that got no answer
+    :ivar unanswered_sessions: times of session requests that got no answer
     """
 
     def __init__(self, name: str, ip: str, habit: Habit, heeds: bool = True) -> None:
         self.told: list[Told] = []
-        self.unheard: list[float] = []
+        self.unanswered_sessions: list[float] = []
         self._name = name
         self._heeds = heeds
         self._ip = ip
@@ -108,7 +108,7 @@
         except (OSError, curio.TaskTimeout):
             line = ""
         if not line:
-            self.unheard.append(asked_at)
+            self.unanswered_sessions.append(asked_at)
             raise SessionOverError
         return line
 
