--- a/features/steps/planned_stop_steps.py
+++ b/features/steps/planned_stop_steps.py
@@ -120,7 +120,7 @@
 
 
 @then("planned stop: every session request got an answer")
-def step_heard(context):
+def step_sessions_answered(context):
     first_signal = min(context.signalled_at.values())
     unanswered_sessions = [
         f"{asked_at - first_signal:.3f} s after the signal"
