--- a/features/steps/planned_stop_steps.py
+++ b/features/steps/planned_stop_steps.py
@@ -24,7 +24,7 @@
 STOP_GAP_S = 0.4
 STOP_LIMIT_S = 6.0
 """Seconds between SIGTERM and SIGKILL on the platform."""
-LOOK_S = 0.02
+POLL_INTERVAL_S = 0.02
 START_LIMIT_S = 15
 LEADS = "event=serving-as-leader"
 ONE_STOPS, BOTH_STOP = PROXIES[:1], PROXIES
@@ -93,7 +93,7 @@
                 process.kill()
             if ip not in context.ended_at and process.poll() is not None:
                 context.ended_at[ip] = time.monotonic()
-        await curio.sleep(LOOK_S)
+        await curio.sleep(POLL_INTERVAL_S)
     for task in tasks:
         await task.join()
 
@@ -177,7 +177,7 @@
     context.signalled_at = time.monotonic()
     end = context.signalled_at + 2 * STOP_LIMIT_S
     while not is_gone() and time.monotonic() < end:
-        await curio.sleep(LOOK_S)
+        await curio.sleep(POLL_INTERVAL_S)
     context.controller_ended_at = time.monotonic()
     for task in tasks:
         await task.join()
@@ -220,7 +220,7 @@
                 await sock.connect((ip, FRONT_PORT))
                 return
             except OSError:
-                await curio.sleep(LOOK_S / 10)
+                await curio.sleep(POLL_INTERVAL_S / 10)
 
 
 @when("planned stop: the first proxy gets SIGTERM each {pause_ms:d} ms until it ends")
