--- a/features/support/persistent_clients.py
+++ b/features/support/persistent_clients.py
@@ -20,7 +20,7 @@
 REST_STEP_S = 0.07
 """Seconds by which idle times differ, so that sessions become active at any moment of the proxy's
 checks."""
-NOT_WHOLE = "closed"
+INCOMPLETE = "closed"
 LEAVES_SERVICE = "LD3006"
 
 
@@ -38,7 +38,7 @@
 class Told:
     """A statement that was sent completely, and its answer.
 
-    :param words: summary of the answer; ``NOT_WHOLE`` when the connection ended before READY
+    :param words: summary of the answer; ``INCOMPLETE`` when the connection ended before READY
     """
 
     request_id: str
@@ -50,7 +50,7 @@
     @property
     def is_whole(self) -> bool:
         """Whether the client got a complete answer."""
-        return self.words != NOT_WHOLE
+        return self.words != INCOMPLETE
 
 
 class SessionOverError(Exception):
@@ -161,10 +161,10 @@
         try:
             words = await self._client.ask(text)
         except (OSError, curio.TaskTimeout):
-            words = NOT_WHOLE
+            words = INCOMPLETE
         lines = self._client.last_answer
         if not lines or not lines[-1].startswith("READY"):
-            words = NOT_WHOLE
+            words = INCOMPLETE
         told = Told(self._client.request_id, text, sent_at, time.monotonic(), words)
         self.told.append(told)
         if not told.is_whole or self._is_sent_elsewhere(lines):
