--- a/features/support/persistent_clients.py
+++ b/features/support/persistent_clients.py
@@ -17,7 +17,7 @@
 CONNECT_LIMIT_S = 1.0
 RETURN_PAUSE_S = 0.02
 """Seconds between a refused or ended session and the next one."""
-REST_STEP_S = 0.07
+IDLE_STEP_S = 0.07
 """Seconds by which idle times differ, so that sessions become active at any moment of the proxy's
 checks."""
 INCOMPLETE = "closed"
@@ -125,7 +125,7 @@
                 await self._ask(f"WRITE {self._name} {len(self.told)}")
             case Habit.REST:
                 self._rests += 1
-                await curio.sleep(self._rests % 10 * REST_STEP_S)
+                await curio.sleep(self._rests % 10 * IDLE_STEP_S)
                 await self._ask(f"READ {self._name}")
             case Habit.TRANSACT:
                 await self._transact()
