--- a/features/support/persistent_clients.py
+++ b/features/support/persistent_clients.py
@@ -75,7 +75,7 @@
         self._ip = ip
         self._habit = habit
         self._sessions = 0
-        self._rests = 0
+        self._idle_periods = 0
         self._client: LineClient | None = None
         self._socket: socket.socket | None = None
 
@@ -124,8 +124,8 @@
             case Habit.WRITE:
                 await self._ask(f"WRITE {self._name} {len(self.told)}")
             case Habit.REST:
-                self._rests += 1
-                await curio.sleep(self._rests % 10 * IDLE_STEP_S)
+                self._idle_periods += 1
+                await curio.sleep(self._idle_periods % 10 * IDLE_STEP_S)
                 await self._ask(f"READ {self._name}")
             case Habit.TRANSACT:
                 await self._transact()
