--- a/features/support/persistent_clients.py
+++ b/features/support/persistent_clients.py
@@ -132,9 +132,9 @@
             case Habit.REST_INSIDE:
                 await self._ask("BEGIN")
                 await self._ask(f"WRITE {self._name} 1")
-                await self._rest_until_told(is_gone)
+                await self._idle_until_told(is_gone)
 
-    async def _rest_until_told(self, is_gone: Callable[[], bool]) -> None:
+    async def _idle_until_told(self, is_gone: Callable[[], bool]) -> None:
         """Stay idle until the session is over."""
         while not self._client.was_told_unasked() and not is_gone():
             await curio.sleep(RETURN_PAUSE_S)
