--- a/features/steps/statement_path_steps.py
+++ b/features/steps/statement_path_steps.py
@@ -39,7 +39,7 @@
 
 
 @given("statement path: a proxy without a control view")
-def step_blank(context):
+def step_without_view(context):
     begin(context, StatementPath(Consistency.SESSION))
 
 
