--- a/features/steps/statement_path_steps.py
+++ b/features/steps/statement_path_steps.py
@@ -98,7 +98,7 @@
 
 
 @when("statement path: the process will pause for {still:d} ms, in {after:d} ms")
-def step_stand_still(context, still, after):
+def step_pause(context, still, after):
     async def stand_still():
         await curio.sleep(after / 1_000)
         time.sleep(still / 1_000)
