--- a/features/steps/statement_path_steps.py
+++ b/features/steps/statement_path_steps.py
@@ -99,11 +99,11 @@
 
 @when("statement path: the process will pause for {still:d} ms, in {after:d} ms")
 def step_pause(context, still, after):
-    async def stand_still():
+    async def pause():
         await curio.sleep(after / 1_000)
         time.sleep(still / 1_000)
 
-    run(context, _spawn, stand_still)
+    run(context, _spawn, pause)
 
 
 async def _spawn(function):
