--- a/features/steps/statement_path_steps.py
+++ b/features/steps/statement_path_steps.py
@@ -71,7 +71,7 @@
 
 
 @given("statement path: transactions may be idle for {rest:d} ms")
-def step_rest(context, rest):
+def step_idle_limit(context, rest):
     context.path.idle_in_transaction_ms = rest
     run(context, context.path.tell_view)
 
