--- a/features/steps/statement_log_steps.py
+++ b/features/steps/statement_log_steps.py
@@ -57,7 +57,7 @@
 
 
 @then("statement log: the last request is told to retry in {least:d} to {most:d} ms")
-def step_come_back(context, least, most):
+def step_retry_after(context, least, most):
     lines = _lines_of_last(context, "not-served")
     found = re.search(r"retry_after_ms=(\d+)", lines[-1])
     assert least <= int(found[1]) <= most, lines
--- a/features/steps/statement_path_steps.py
+++ b/features/steps/statement_path_steps.py
@@ -159,7 +159,7 @@
 
 
 @then("statement path: it is told to retry in {least:d} to {most:d} ms")
-def step_come_back(context, least, most):
+def step_retry_after(context, least, most):
     found = re.search(r"try again in (\d+) ms", " ".join(context.client.last_answer))
     assert found is not None, context.client.last_answer
     assert least <= int(found[1]) <= most, context.client.last_answer
