--- a/features/steps/statement_pool_steps.py
+++ b/features/steps/statement_pool_steps.py
@@ -179,7 +179,7 @@
 
 
 @when("statement path: all leases are revoked")
-def step_taken_back(context):
+def step_revoked(context):
     context.reporter = context.path.groups.reporter = Reporter()
     run(context, context.path.groups.leases_changed, (), float("inf"))
 
