--- a/features/steps/statement_pool_steps.py
+++ b/features/steps/statement_pool_steps.py
@@ -185,7 +185,7 @@
 
 
 @then("statement path: no lease is returned yet")
-def step_nothing_back(context):
+def step_nothing_returned(context):
     assert not context.reporter.returned, context.reporter.returned
 
 
