--- a/features/steps/statement_pool_steps.py
+++ b/features/steps/statement_pool_steps.py
@@ -198,7 +198,7 @@
 
 
 @then("statement path: leases of {count:d} connections are returned")
-def step_given_back(context, count):
+def step_returned(context, count):
     assert context.reporter.returned == [ConnectionLease(GROUP, "shared", count)], (
         context.reporter.returned
     )
