--- a/features/steps/statement_pool_steps.py
+++ b/features/steps/statement_pool_steps.py
@@ -190,7 +190,7 @@
 
 
 @when("statement path: the members are monitored for {milliseconds:d} ms")
-def step_watched(context, milliseconds):
+def step_monitored(context, milliseconds):
     async def watch() -> None:
         await curio.ignore_after(milliseconds / 1_000, context.path.groups.watch)
 
