--- a/features/steps/statement_pool_steps.py
+++ b/features/steps/statement_pool_steps.py
@@ -50,7 +50,7 @@
 
 
 @step("statement path: the members are monitored from now on")
-def step_watched_on(context):
+def step_monitored_on(context):
     context.healths = context.path.groups.reporter = _HealthReporter()
     run(context, curio.spawn, _watch_members, context.path.groups)
 
