--- a/features/steps/statement_log_steps.py
+++ b/features/steps/statement_log_steps.py
@@ -19,7 +19,7 @@
 
 
 @given("statement log: log lines are recorded")
-def step_keep(context):
+def step_record(context):
     handler = logbook.TestHandler()
     handler.push_application()
     context.add_cleanup(handler.pop_application)
@@ -28,7 +28,7 @@
 
 @given("statement log: log lines are recorded, at most {limit:d} per second")
 def step_keep_few(context, limit):
-    step_keep(context)
+    step_record(context)
     log: StatementLog = context.path.services.log
     context.began_at = time.monotonic()
     log._outcome_lines = LogRateLimiter(limit, context.began_at)
