--- a/features/steps/statement_log_steps.py
+++ b/features/steps/statement_log_steps.py
@@ -27,7 +27,7 @@
 
 
 @given("statement log: log lines are recorded, at most {limit:d} per second")
-def step_keep_few(context, limit):
+def step_record_limited(context, limit):
     step_record(context)
     log: StatementLog = context.path.services.log
     context.began_at = time.monotonic()
