--- a/features/steps/forwarding_work_steps.py
+++ b/features/steps/forwarding_work_steps.py
@@ -129,7 +129,7 @@
         context.add_cleanup(context.lab.members.switch, member, switch, 0)
 
 
-async def _swallow(_message):
+async def _drop(_message):
     return
 
 
@@ -139,14 +139,14 @@
         lab.kill("p1")
     elif fate == "is no more heard":
         for link in lab.served_links["p1"]:
-            link.send = _swallow
+            link.send = _drop
     else:
         _cut_requests(context)
 
 
 def _cut_requests(context):
     for link in context.lab.proxies["p2"]._forwarding.links.links():
-        link._link.send = _swallow
+        link._link.send = _drop
 
 
 def _unit(context, work):
