--- a/features/steps/control_homes_steps.py
+++ b/features/steps/control_homes_steps.py
@@ -84,13 +84,13 @@
 def _(context, count):
     generator = random.Random(1)
     view = ControlViewBuilder()
-    view.take_snapshot(ControlSnapshot(0, 0, Declaration(), (), ()))
+    view.apply_snapshot(ControlSnapshot(0, 0, Declaration(), (), ()))
     followed = HomeDirectory(3)
     for index in range(count):
         update = _random_update(generator, index)
         before = followed.snapshot()
         changed = followed.apply(update)
-        state = view.take_update(update)
+        state = view.apply_update(update)
         whole = HomeDirectory.of(
             state.home_proxies_per_group,
             state.proxies.values(),
--- a/features/steps/lease_demand_steps.py
+++ b/features/steps/lease_demand_steps.py
@@ -32,7 +32,7 @@
 from limedyke.core.control.leader import LeaderDecisions
 from limedyke.core.control.lease_table import LeaseTable
 from limedyke.core.control.leases.load_view import load_report
-from limedyke.core.control.plan_rules import refusal_of_change
+from limedyke.core.control.plan_rules import change_refusal_reason
 from limedyke.core.control.timing import ControlTiming
 from limedyke.core.member_caps import holds_common
 from limedyke.core.statements.connection_demand import (
@@ -154,7 +154,7 @@
             if member_of_budget(key) in ("", member)
         )
 
-    def take_update(self, update):
+    def apply_update(self, update):
         """Hand a change of the state in."""
         self.post(UpdateApplied(update))
         self.leader.leases.set_homes("g", HOMES)
@@ -453,7 +453,7 @@
     plan = homes.test.plan(declared, text)
     assert text in plan.changes[0].detail, plan.changes
     entry = ConfirmPlan(f"confirm {text}", "anna", plan.plan_id, 1_010)
-    homes.take_update(homes.test.apply(entry).update)
+    homes.apply_update(homes.test.apply(entry).update)
 
 
 @when(
@@ -463,7 +463,7 @@
 def step_version(context, count):
     homes = context.homes
     declared = a_declaration(an_announced_group("g", count, {"shared": count}))
-    homes.take_update(homes.test.apply(DeclareVersion(1, b"", declared)).update)
+    homes.apply_update(homes.test.apply(DeclareVersion(1, b"", declared)).update)
 
 
 @then(
@@ -485,7 +485,7 @@
     declared = a_declaration(a_group("g2", 40, {"t": 20}))
     capped = _with_cap(declared, "g2/m1", 4)
     change = state.declared.change_to(capped)
-    assert "lower its connection_limit" in refusal_of_change(change, state.declared, {})
+    assert "lower its connection_limit" in change_refusal_reason(change, state.declared, {})
 
 
 @when(
--- a/limedyke/core/control/leader.py
+++ b/limedyke/core/control/leader.py
@@ -63,7 +63,7 @@
     :param generator: source of the jitter
     :param now: when this controller began to lead
     :param homes: the home proxies of the state, kept by the caller; None to keep them here
-    :param other_began_at: when another controller last began to lead, as far as this one knows
+    :param last_lead_began_at: when another controller last began to lead, as far as this one knows
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         generator: Random,
         now: float,
         homes: HomeDirectory | None = None,
-        other_began_at: float = float("-inf"),
+        last_lead_began_at: float = float("-inf"),
     ) -> None:
         self._state = state
         self._commands: list[LeaderCommand] = []
@@ -94,7 +94,9 @@
         self.failover = FailoverCoordinator(
             state.primaries, state.switchover_targets, self.membership, timing, generator
         )
-        self.limits = OperationLimits(state.declared.tenants, timing.lease_s, now, other_began_at)
+        self.limits = OperationLimits(
+            state.declared.tenants, timing.lease_s, now, last_lead_began_at
+        )
         self.announcements = AnnouncementTracker(state.announced, state.displaced, now, state.ended)
         self.authority = AuthorityFailover(
             state.primaries,
@@ -192,7 +194,7 @@
         known = self._state.proxies.get(hello.name)
         if known is not None and has_ended(known, hello):
             self.leases.ended(hello.name)
-            self.limits.ended(hello.name, now)
+            self.limits.proxy_ended(hello.name, now)
         self.membership.connected(hello, now)
 
     def _end_earlier_lives(self, hello: ProxyHello, now: float) -> None:
@@ -204,18 +206,18 @@
         for name, record in self._state.proxies.items():
             if record.folder_id and record.folder_id == hello.folder_id and name != hello.name:
                 self.leases.ended(name)
-                self.limits.ended(name, now, hello.name)
+                self.limits.proxy_ended(name, now, hello.name)
                 self.membership.ended(name)
 
     def _on_heartbeat(self, event: HeartbeatReceived, now: float) -> None:
         self.membership.heartbeat(event.proxy, event.heartbeat, now)
-        self.limits.heard(event.proxy, now)
+        self.limits.proxy_contacted(event.proxy, now)
         beat = event.heartbeat
         if event.first:
             self.leases.report(event.proxy, beat.leases, now, beat.demands)
         else:
             self.leases.renew(event.proxy, now)
-            self.leases.take_demands(event.proxy, beat.demands)
+            self.leases.record_demands(event.proxy, beat.demands)
         self._commands.append(AnswerHeartbeat(event.proxy, event.heartbeat.sequence))
 
     def _on_disconnected(self, proxy: str, now: float) -> None:
@@ -227,7 +229,7 @@
     def _on_left(self, event: ProxyLeft, now: float) -> None:
         if event.done:
             self.leases.ended(event.proxy)
-            self.limits.ended(event.proxy, now)
+            self.limits.proxy_ended(event.proxy, now)
         self.membership.left(event.proxy, event.done)
 
     def _on_time(self, now: float) -> None:
--- a/limedyke/core/limits/operation_limits.py
+++ b/limedyke/core/limits/operation_limits.py
@@ -13,11 +13,11 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
+from limedyke.core.limits.inherited_use import InheritedUse
 from limedyke.core.limits.operation_allowance import SHARE_LIFE_S
-from limedyke.core.limits.quiet_time import ProcessEnds
+from limedyke.core.limits.process_ends import ProcessEnds
 from limedyke.core.limits.tenant_budget import TenantBudget
 from limedyke.core.limits.token_bucket import TokenBucket
-from limedyke.core.limits.use_adoption import InheritedUse
 from limedyke.core.limits.use_rate import UseRate
 from limedyke.core.limits.use_window import SLOT_S, WINDOW_S
 from limedyke.messages.declaration import Tenant
@@ -87,7 +87,7 @@
     :param tenants: the declared tenants by name, kept by the caller
     :param lease_s: a proxy that lost the leader runs nothing after so long
     :param now: when this controller began to lead, seconds of a steady clock
-    :param other_began_at: when another one last began to lead, as far as this controller knows
+    :param last_lead_began_at: when another one last began to lead, as far as this controller knows
     """
 
     def __init__(
@@ -95,12 +95,12 @@
         tenants: Mapping[str, Tenant],
         lease_s: float,
         now: float,
-        other_began_at: float = float("-inf"),
+        last_lead_began_at: float = float("-inf"),
     ) -> None:
         self._tenants = tenants
         self._lease_s = lease_s
         self._began_at = now
-        self._first_share = min(1.0, (now - other_began_at) / FIRST_TOKENS_EACH_S)
+        self._first_share = min(1.0, (now - last_lead_began_at) / FIRST_TOKENS_EACH_S)
         self._share = 1.0
         self._budgets: dict[str, TenantBudget] = {}
         self._uses: dict[str, dict[str, UseRate]] = {}
@@ -137,7 +137,7 @@
 
     def wanted(self, proxy: str, request: OperationsRequest, now: float) -> OperationsGranted:
         """Grant what may be run of what a proxy wants to run."""
-        self.heard(proxy, now)
+        self.proxy_contacted(proxy, now)
         self._take_reports(proxy, request.reports, now)
         if request.running_ms:
             self._quiet.started(proxy, now - request.running_ms / MS_PER_S)
@@ -190,13 +190,13 @@
         self._set_rate(name, now)
         bucket.tokens = self._adoption.level(name, bucket.rate, bucket.burst, now)
 
-    def heard(self, proxy: str, now: float) -> None:
+    def proxy_contacted(self, proxy: str, now: float) -> None:
         """Note that a proxy reaches this leader: it runs nothing by itself."""
         self._heard_at[proxy] = now
         if proxy in self._running_alone:
             self._runs_alone_no_more(proxy, now)
 
-    def ended(self, proxy: str, now: float, successor: str = "") -> None:
+    def proxy_ended(self, proxy: str, now: float, successor: str = "") -> None:
         """Note that a proxy's process has ended.
 
         :param successor: the proxy in its place; empty when it ended just now
@@ -214,7 +214,7 @@
         """Count for proxies that are missed; to be called several times a second."""
         for proxy, heard_at in list(self._heard_at.items()):
             if now - heard_at > self._lease_s:
-                self.ended(proxy, now)
+                self.proxy_ended(proxy, now)
             elif now - heard_at > UNHEARD_S and proxy not in self._running_alone:
                 self._runs_alone(proxy, heard_at, now)
 
--- a/limedyke/core/statements/observed_member.py
+++ b/limedyke/core/statements/observed_member.py
@@ -210,7 +210,7 @@
             if self.leads:
                 self.told = max(self.told, position)
 
-    def take_office(self, leads: bool) -> None:
+    def note_primary_change(self, leads: bool) -> None:
         """Take that the primary has changed: what this member told counts from here on."""
         self.leads = leads
         self.told = LogPosition()
@@ -251,7 +251,7 @@
         if now is None:
             return
         self._served_at = now
-        self.quality.record_success(now)
+        self.quality.good(now)
         if now >= self.busy_until:
             self._busy_s = FIRST_BUSY_S
 
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -10,11 +10,11 @@
 import curio
 from result import Err, Ok
 
+from limedyke.core.queueing.dequeue_rate import DequeueRate
 from limedyke.core.queueing.queue_answer import QueueDrain, RefusalReason, Refused
 from limedyke.core.queueing.queued_request import NEVER, QueuedRequest
 from limedyke.core.queueing.request_queue import RequestQueue
-from limedyke.core.queueing.return_schedule import ReturnSchedule
-from limedyke.core.queueing.turn_rate import TurnRate
+from limedyke.core.queueing.retry_schedule import RetrySchedule
 from limedyke.core.statements.connection_demand import ConnectionUse
 from limedyke.core.statements.observed_member import FIRST_ANSWER_S, OPENING, ObservedMember
 from limedyke.messages.statements import AnswerKind
@@ -107,8 +107,8 @@
         self._idle = IdleConnections()
         self._queue = RequestQueue(FIRST_ANSWER_S)
         self._checked_out = CheckedOutConnections()
-        self._turn_rate = TurnRate()
-        self._returns = ReturnSchedule()
+        self._turn_rate = DequeueRate()
+        self._returns = RetrySchedule()
         self._next_queue_check_at = 0.0
         self._lacked_room = False
 
@@ -158,7 +158,7 @@
         self.observed.outstanding += 1
         self._checked_out.check_out(connection, request, now)
         if request.was_let_in:
-            self._turn_rate.had_turn(now)
+            self._turn_rate.record_dequeue(now)
         self._queue.started(request, waited=request.was_let_in)
         return connection
 
--- a/limedyke/proxy/statements/statement_refusal.py
+++ b/limedyke/proxy/statements/statement_refusal.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from limedyke.core.queueing.return_schedule import LEAST_RETURN_S
+from limedyke.core.queueing.retry_schedule import MIN_RETRY_DELAY_S
 from limedyke.core.statements.session import StatementSession, refusal
 from limedyke.messages.statements import StatementAnswer
 from limedyke.result_codes import ResultCode
@@ -10,7 +10,7 @@
 MS_PER_S = 1_000
 DEFAULT_READY_S = 0.2
 """Retry delay, in seconds, when nothing predicts recovery, such as while no member is fresh."""
-RETRY_AFTER_MS = int(LEAST_RETURN_S * MS_PER_S)
+RETRY_AFTER_MS = int(MIN_RETRY_DELAY_S * MS_PER_S)
 """Retry delay when another proxy or connection can serve at once, as when a home proxy is lost."""
 
 
