--- a/features/support/persistent_clients.py
+++ b/features/support/persistent_clients.py
@@ -136,7 +136,7 @@
 
     async def _idle_until_told(self, is_gone: Callable[[], bool]) -> None:
         """Stay idle until the session is over."""
-        while not self._client.was_told_unasked() and not is_gone():
+        while not self._client.has_unsolicited_data() and not is_gone():
             await curio.sleep(RETURN_PAUSE_S)
         raise SessionOverError
 
@@ -155,7 +155,7 @@
 
     async def _ask(self, text: str) -> str:
         """Send a statement; record and return its answer."""
-        if self._client.was_told_unasked():
+        if self._client.has_unsolicited_data():
             raise SessionOverError
         sent_at = time.monotonic()
         try:
