--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -348,11 +348,11 @@
 
     async def _run(self, session: StatementSession, run: RunOnMember) -> StatementAnswer:
         try:
-            placed = await self._services.executor.run(session, run, self._place)
+            outcome = await self._services.executor.run(session, run, self._place)
         except StopDeadlineError:
-            placed = await self._outcome_of_interrupted(session, run)
-        self._place = placed.place
-        return placed.answer
+            outcome = await self._outcome_of_interrupted(session, run)
+        self._place = outcome.place
+        return outcome.answer
 
     async def _outcome_of_interrupted(
         self, session: StatementSession, run: RunOnMember
--- a/limedyke/proxy/statements/executor.py
+++ b/limedyke/proxy/statements/executor.py
@@ -72,11 +72,11 @@
         now = time.monotonic()
         until = now + session.statement_time_s(now)
         transaction, status = session.transaction, session.status
-        placed = await self._runner.run(session, run, group, None)
-        lost_lease = placed.answer.code == ResultCode.NO_LEASE.value.number
-        lost_transaction = placed.answer.code == ResultCode.TRANSACTION_LOST.value.number
+        outcome = await self._runner.run(session, run, group, None)
+        lost_lease = outcome.answer.code == ResultCode.NO_LEASE.value.number
+        lost_transaction = outcome.answer.code == ResultCode.TRANSACTION_LOST.value.number
         if group.limit or session.was_sent or not (lost_lease or lost_transaction):
-            return placed
+            return outcome
         session.transaction, session.status = transaction, status
         session.answer_by = min(session.answer_by, until)
         forwarded = await self._forwarding.run(session, run, group)
--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -97,9 +97,9 @@
         self._metrics.home_tries.labels(TENANT_HOME_LABEL).inc()
         attempt = ForwardedAttempt.begin(session, run, group)
         unit = self._unit(session, run, 0)
-        placed = await self._try_at(link, unit, attempt)
-        if placed is not None or not attempt.unanswered_count:
-            return placed
+        outcome = await self._try_at(link, unit, attempt)
+        if outcome is not None or not attempt.unanswered_count:
+            return outcome
         return await self._run_at_any(attempt, unit)
 
     async def _run_at_any(
@@ -121,9 +121,9 @@
                 if not await attempt.wait_for_home():
                     return StatementOutcome(attempt.give_up(ResultCode.NO_LEASE))
             else:
-                placed = await self._try_at(link, unit, attempt)
-                if placed is not None:
-                    return placed
+                outcome = await self._try_at(link, unit, attempt)
+                if outcome is not None:
+                    return outcome
         return None
 
     async def _try_at(
--- a/limedyke/proxy/statements/homes/home_service.py
+++ b/limedyke/proxy/statements/homes/home_service.py
@@ -131,14 +131,14 @@
         run = RunOnMember(unit.statement, unit.begin, unit.writes, unit.prepared)
         pinned = held.pinned if held is not None else None
         try:
-            placed = await self._runner.run(session, run, group, pinned)
+            outcome = await self._runner.run(session, run, group, pinned)
         except curio.CancelledError:
             if held is not None:
                 await held.pinned.abandon()
             raise
-        if placed.place is not None:
-            self._open_transactions[key] = _OpenForwardedTransaction(session, placed.place)
-        return StatementUnitEnd(unit.stream, placed.answer, session.status, session.written)
+        if outcome.place is not None:
+            self._open_transactions[key] = _OpenForwardedTransaction(session, outcome.place)
+        return StatementUnitEnd(unit.stream, outcome.answer, session.status, session.written)
 
     def _refuses_units(self) -> bool:
         """Tell whether the planned stop has reached the phase that refuses forwarded units."""
--- a/limedyke/proxy/statements/runner.py
+++ b/limedyke/proxy/statements/runner.py
@@ -79,10 +79,10 @@
             retry_after_ms = int(over.retry_after_s * MS_PER_S)
             answer = refusal(ResultCode.OVER_OPERATION_LIMIT, over.detail, retry_after_ms)
             return StatementOutcome(answer)
-        placed = await self._run_first(attempt)
-        if did_not_run(placed.answer.code):
+        outcome = await self._run_first(attempt)
+        if did_not_run(outcome.answer.code):
             await limits.give_back(tenant, priority)
-        return placed
+        return outcome
 
     async def _run_first(self, attempt: Attempt) -> StatementOutcome:
         """Run a statement outside an open transaction."""
