--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -109,7 +109,7 @@
         self._codec = codec
         self._services = services
         self._session: StatementSession | None = None
-        self._place: TransactionLocation | None = None
+        self._location: TransactionLocation | None = None
         self._must_reconnect_elsewhere = False
         self._is_over = False
         self._events: deque[ClientEvent] = deque()
@@ -143,8 +143,8 @@
             self._services.log.unanswered(self._under_way, self._ended_by, was_sent)
 
     async def _clean_up(self) -> None:
-        if self._place is not None:
-            place, self._place = self._place, None
+        if self._location is not None:
+            place, self._location = self._location, None
             await self._services.executor.abandon(place)
         try:
             await self._socket.close()
@@ -256,8 +256,8 @@
     async def _roll_back_idle_transaction(self, code: ResultCode) -> None:
         """Roll back an idle transaction; the answer to the client's next statement reports it."""
         self._session.lose_transaction(code)
-        if self._place is not None:
-            place, self._place = self._place, None
+        if self._location is not None:
+            place, self._location = self._location, None
             await self._services.executor.roll_back(place)
 
     async def _open_session(self, event: SessionRequested) -> bool:
@@ -338,8 +338,8 @@
         plan = session.plan(statement)
         match plan:
             case EndTransaction():
-                if self._place is not None:
-                    place, self._place = self._place, None
+                if self._location is not None:
+                    place, self._location = self._location, None
                     await curio.spawn(self._services.executor.roll_back, place, daemon=True)
                 return plan.answer
             case RunOnMember():
@@ -348,18 +348,18 @@
 
     async def _run(self, session: StatementSession, run: RunOnMember) -> StatementAnswer:
         try:
-            outcome = await self._services.executor.run(session, run, self._place)
+            outcome = await self._services.executor.run(session, run, self._location)
         except StopDeadlineError:
             outcome = await self._outcome_of_interrupted(session, run)
-        self._place = outcome.place
+        self._location = outcome.place
         return outcome.answer
 
     async def _outcome_of_interrupted(
         self, session: StatementSession, run: RunOnMember
     ) -> StatementOutcome:
         """Return the result of a statement that is unanswered when the stop deadline passes."""
-        if self._place is not None:
-            await self._services.executor.abandon(self._place)
+        if self._location is not None:
+            await self._services.executor.abandon(self._location)
         detail = "the proxy stops"
         if session.was_sent or session.transaction is not None:
             return settle_unanswered(session, run, detail)
