--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -43,7 +43,7 @@
 
     :param log: receives each failed try
     :param began_at: when the statement arrived
-    :param whole_s: total time allowed, in seconds
+    :param time_limit_s: total time allowed, in seconds
     :param deadline: when that time ends
     :param hold_until: end of the hold while no member can run the statement
     :param tried: identities of members that did not run it
@@ -57,7 +57,7 @@
     group: StatementGroup
     log: StatementLog
     began_at: float
-    whole_s: float
+    time_limit_s: float
     deadline: float
     hold_until: float
     tried: set[str] = field(default_factory=set)
@@ -79,9 +79,9 @@
         """Create an attempt whose time starts now."""
         now = time.monotonic()
         database = session.database
-        whole_s = session.statement_time_s(now)
+        time_limit_s = session.statement_time_s(now)
         hold_until = now + HOLD_SHARE_OF_TARGET * database.target_latency_ms / MS_PER_S
-        return cls(session, run, group, log, now, whole_s, now + whole_s, hold_until)
+        return cls(session, run, group, log, now, time_limit_s, now + time_limit_s, hold_until)
 
     def token_wait_until(self) -> float:
         """Return until when it may wait for a token and still meet its target latency.
@@ -142,7 +142,9 @@
 
         :param answer_s: recent answer time of the member, in seconds
         """
-        least_s = min(max(MINIMUM_ATTEMPT_S, answer_s), MAXIMUM_ANSWER_SHARE_OF_TIME * self.whole_s)
+        least_s = min(
+            max(MINIMUM_ATTEMPT_S, answer_s), MAXIMUM_ANSWER_SHARE_OF_TIME * self.time_limit_s
+        )
         return self.time_left() < least_s
 
     def may_retry_read(self) -> bool:
--- a/limedyke/proxy/statements/homes/forwarded_attempt.py
+++ b/limedyke/proxy/statements/homes/forwarded_attempt.py
@@ -62,14 +62,14 @@
         """Create an attempt whose time starts now."""
         now = time.monotonic()
         database = session.database
-        whole_s = session.statement_time_s(now)
+        time_limit_s = session.statement_time_s(now)
         target_s = database.target_latency_ms / MS_PER_S
         return cls(
             session,
             run,
             group,
-            deadline=now + whole_s,
-            home_wait_until=now + LEASE_WAIT_SHARE * whole_s,
+            deadline=now + time_limit_s,
+            home_wait_until=now + LEASE_WAIT_SHARE * time_limit_s,
             hold_until=now + HOLD_SHARE_OF_TARGET * target_s,
         )
 
