--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -178,11 +178,11 @@
         self._lacks_connection = reason in LACKS_CONNECTION
         self._was_misrouted = reason in MISROUTED
         last = f"{reason} at {member}" if member else str(reason)
-        is_news = last != self.last
+        is_new_reason = last != self.last
         self.last = last
         group = self.group
         seen = FailedTry(
-            reason, member, group.primary, group.term, group.primary_lease_left_s(), is_news
+            reason, member, group.primary, group.term, group.primary_lease_left_s(), is_new_reason
         )
         self.log.tried(self.run.statement, group.name, seen)
 
--- a/limedyke/proxy/statements/statement_log.py
+++ b/limedyke/proxy/statements/statement_log.py
@@ -57,7 +57,7 @@
     :param primary: the recorded primary; empty for none
     :param term: of the recorded primary
     :param lease_left_s: seconds left of the primary lease; negative once it has ended
-    :param is_news: the reason differs from that of the statement's previous try
+    :param is_new_reason: the reason differs from that of the statement's previous try
     """
 
     reason: AnswerKind | NotSentReason
@@ -65,7 +65,7 @@
     primary: str
     term: int
     lease_left_s: float
-    is_news: bool
+    is_new_reason: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -149,7 +149,7 @@
     def tried(self, statement: Statement, group: str, seen: FailedTry) -> None:
         """Record a failed try; a later one may still serve the statement."""
         self._metrics.try_failed(seen.reason)
-        if not seen.is_news or not self._admit_line(self._try_lines):
+        if not seen.is_new_reason or not self._admit_line(self._try_lines):
             return
         EVENTS.info(
             "try-failed",
