--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -142,10 +142,10 @@
 
         :param answer_s: recent answer time of the member, in seconds
         """
-        least_s = min(
+        minimum_s = min(
             max(MINIMUM_ATTEMPT_S, answer_s), MAXIMUM_ANSWER_SHARE_OF_TIME * self.time_limit_s
         )
-        return self.time_left() < least_s
+        return self.time_left() < minimum_s
 
     def may_retry_read(self) -> bool:
         """Tell whether a read that may have run on one member may run on another one too."""
