--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -32,7 +32,7 @@
 """Interval at which a held statement checks whether the primary answers."""
 DEFAULT_TURN_GAP_S = 0.005
 """Assumed time between two turns at members to which only other proxies have connections."""
-LEAST_GAP_S = 0.0001
+MINIMUM_GAP_S = 0.0001
 MS_PER_S = 1_000
 NO_MEMBERS: Mapping[str, int] = MappingProxyType({})
 MakePool = Callable[[ObservedMember], MemberPool]
@@ -114,7 +114,7 @@
         ready_in_s = max(ready_in_s, outage_s)
         primary = self.primary_pool()
         pools = [primary] if needs_primary and primary is not None else list(self.pools.values())
-        turns = sum(1.0 / max(pool.turn_gap_s, LEAST_GAP_S) for pool in pools if pool.limit > 0)
+        turns = sum(1.0 / max(pool.turn_gap_s, MINIMUM_GAP_S) for pool in pools if pool.limit > 0)
         gap_s = 1.0 / turns if turns else DEFAULT_TURN_GAP_S
         return_s = self._returns.retry_after_s(priority, ready_in_s, time.monotonic(), gap_s)
         return math.ceil(return_s * MS_PER_S)
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -58,7 +58,7 @@
 WAITING_PER_CONNECTION = 128
 """Limit of waiting requests per leased connection, to bound memory; usually the expected wait
 limits the queue sooner."""
-LEAST_GAP_S = 0.0001
+MINIMUM_GAP_S = 0.0001
 MS_PER_S = 1_000
 LOWEST_PRIORITY = 1_000
 """A priority behind all others, so that every waiting request goes first."""
@@ -249,7 +249,7 @@
 
     def _queue_drain(self) -> QueueDrain:
         """Return how fast the queue is served, as observed while requests wait."""
-        gap_s = max(self.turn_gap_s, LEAST_GAP_S)
+        gap_s = max(self.turn_gap_s, MINIMUM_GAP_S)
         slots = min(float(self.limit), self._queue.usual_cost_s / gap_s)
         waiting_limit = WAITING_PER_CONNECTION * self.limit
         return QueueDrain(slots, self.limit, 0.0, waiting_limit, self._turn_rate.variation)
