--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -101,7 +101,7 @@
         self._outage_times = OutageTimes()
         self._pauses = ProcessPauses()
         self._leases: dict[tuple[str, str], int] = {}
-        self._demand_news = DemandReporter()
+        self._demand_changes = DemandReporter()
         self._unconfirmed_leases: set[tuple[str, str]] = set()
         self._reported: dict[tuple[str, str], _ReportedState] = {}
         self._unusable: set[str] = set()
@@ -288,7 +288,7 @@
         """
         now = time.monotonic()
         told = (group.demands(now) for group in self.groups.values())
-        return self._demand_news.take(chain.from_iterable(told), whole)
+        return self._demand_changes.take(chain.from_iterable(told), whole)
 
     def _new_group(self, name: str) -> StatementGroup:
         def make_pool(observed: ObservedMember) -> MemberPool:
