--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -281,14 +281,14 @@
                 at_members[member_of_budget(tenant)] += connections
         return at_members.pop("", 0), at_members
 
-    def demands(self, whole: bool) -> tuple[ConnectionDemand, ...]:
+    def demands(self, complete: bool) -> tuple[ConnectionDemand, ...]:
         """Return the changed connection demands to report.
 
-        :param whole: return all of them, because the receiver knows none yet
+        :param complete: return all of them, because the receiver knows none yet
         """
         now = time.monotonic()
         told = (group.demands(now) for group in self.groups.values())
-        return self._demand_changes.take(chain.from_iterable(told), whole)
+        return self._demand_changes.take(chain.from_iterable(told), complete)
 
     def _new_group(self, name: str) -> StatementGroup:
         def make_pool(observed: ObservedMember) -> MemberPool:
