--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -287,8 +287,8 @@
         :param complete: return all of them, because the receiver knows none yet
         """
         now = time.monotonic()
-        told = (group.demands(now) for group in self.groups.values())
-        return self._demand_changes.take(chain.from_iterable(told), complete)
+        demands_by_group = (group.demands(now) for group in self.groups.values())
+        return self._demand_changes.take(chain.from_iterable(demands_by_group), complete)
 
     def _new_group(self, name: str) -> StatementGroup:
         def make_pool(observed: ObservedMember) -> MemberPool:
