--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -164,7 +164,7 @@
 
     async def watch(self) -> None:
         """Monitor the members until cancelled: probe silent ones and report changes."""
-        next_housekeeping = time.monotonic() + IDLE_CHECK_INTERVAL_S
+        next_idle_check_at = time.monotonic() + IDLE_CHECK_INTERVAL_S
         while True:
             self._pauses.sleeps_until(time.monotonic() + WATCH_INTERVAL_S)
             await curio.sleep(WATCH_INTERVAL_S)
@@ -173,8 +173,8 @@
             for group in [group for group in self.groups.values() if group.limit > 0]:
                 await self._watch_group(group, now)
             await self._return_leases()
-            if now >= next_housekeeping:
-                next_housekeeping = now + IDLE_CHECK_INTERVAL_S
+            if now >= next_idle_check_at:
+                next_idle_check_at = now + IDLE_CHECK_INTERVAL_S
                 await self._close_idle_connections(now)
 
     async def _watch_group(self, group: StatementGroup, now: float) -> None:
