--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -79,7 +79,7 @@
         self.is_position_query_running = False
         self.primary_changed = curio.Event()
         self.leased = curio.Event()
-        self._returns = RetrySchedule()
+        self._retry_schedule = RetrySchedule()
         self._make_pool = make_pool
         self._lease_ends_at = lease_ends_at
 
@@ -116,7 +116,7 @@
         pools = [primary] if needs_primary and primary is not None else list(self.pools.values())
         turns = sum(1.0 / max(pool.turn_gap_s, MINIMUM_GAP_S) for pool in pools if pool.limit > 0)
         gap_s = 1.0 / turns if turns else DEFAULT_TURN_GAP_S
-        return_s = self._returns.retry_after_s(priority, ready_in_s, time.monotonic(), gap_s)
+        return_s = self._retry_schedule.retry_after_s(priority, ready_in_s, time.monotonic(), gap_s)
         return math.ceil(return_s * MS_PER_S)
 
     async def record_reported_role(self, identity: str, is_primary: bool) -> None:
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -108,7 +108,7 @@
         self._queue = RequestQueue(FIRST_ANSWER_S)
         self._checked_out = CheckedOutConnections()
         self._turn_rate = DequeueRate()
-        self._returns = RetrySchedule()
+        self._retry_schedule = RetrySchedule()
         self._next_queue_check_at = 0.0
         self._lacked_room = False
 
@@ -268,7 +268,7 @@
         :param ready_in_s: seconds until there is room or the member can serve again
         """
         now = time.monotonic()
-        return_s = self._returns.retry_after_s(priority, ready_in_s, now, self.turn_gap_s)
+        return_s = self._retry_schedule.retry_after_s(priority, ready_in_s, now, self.turn_gap_s)
         return math.ceil(return_s * MS_PER_S)
 
     def _estimated_gap_s(self, now: float) -> float:
