--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -114,7 +114,9 @@
         ready_in_s = max(ready_in_s, outage_s)
         primary = self.primary_pool()
         pools = [primary] if needs_primary and primary is not None else list(self.pools.values())
-        turns = sum(1.0 / max(pool.turn_gap_s, MINIMUM_GAP_S) for pool in pools if pool.limit > 0)
+        turns = sum(
+            1.0 / max(pool.dequeue_interval_s, MINIMUM_GAP_S) for pool in pools if pool.limit > 0
+        )
         gap_s = 1.0 / turns if turns else DEFAULT_TURN_GAP_S
         return_s = self._retry_schedule.retry_after_s(priority, ready_in_s, time.monotonic(), gap_s)
         return math.ceil(return_s * MS_PER_S)
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -249,13 +249,13 @@
 
     def _queue_drain(self) -> QueueDrain:
         """Return how fast the queue is served, as observed while requests wait."""
-        gap_s = max(self.turn_gap_s, MINIMUM_GAP_S)
+        gap_s = max(self.dequeue_interval_s, MINIMUM_GAP_S)
         slots = min(float(self.limit), self._queue.usual_cost_s / gap_s)
         waiting_limit = WAITING_PER_CONNECTION * self.limit
         return QueueDrain(slots, self.limit, 0.0, waiting_limit, self._turn_rate.variation)
 
     @property
-    def turn_gap_s(self) -> float:
+    def dequeue_interval_s(self) -> float:
         """The expected time between two turns, in seconds."""
         now = time.monotonic()
         if not self._queue:
@@ -268,7 +268,9 @@
         :param ready_in_s: seconds until there is room or the member can serve again
         """
         now = time.monotonic()
-        return_s = self._retry_schedule.retry_after_s(priority, ready_in_s, now, self.turn_gap_s)
+        return_s = self._retry_schedule.retry_after_s(
+            priority, ready_in_s, now, self.dequeue_interval_s
+        )
         return math.ceil(return_s * MS_PER_S)
 
     def _estimated_gap_s(self, now: float) -> float:
