--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -30,7 +30,7 @@
 may be cut off from the controllers and learn of a new primary late."""
 PRIMARY_CHECK_INTERVAL_S = 0.1
 """Interval at which a held statement checks whether the primary answers."""
-DEFAULT_TURN_GAP_S = 0.005
+DEFAULT_DEQUEUE_INTERVAL_S = 0.005
 """Assumed time between two turns at members to which only other proxies have connections."""
 MINIMUM_GAP_S = 0.0001
 MS_PER_S = 1_000
@@ -117,7 +117,7 @@
         turns = sum(
             1.0 / max(pool.dequeue_interval_s, MINIMUM_GAP_S) for pool in pools if pool.limit > 0
         )
-        gap_s = 1.0 / turns if turns else DEFAULT_TURN_GAP_S
+        gap_s = 1.0 / turns if turns else DEFAULT_DEQUEUE_INTERVAL_S
         return_s = self._retry_schedule.retry_after_s(priority, ready_in_s, time.monotonic(), gap_s)
         return math.ceil(return_s * MS_PER_S)
 
