--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -107,7 +107,7 @@
         self._idle = IdleConnections()
         self._queue = RequestQueue(FIRST_ANSWER_S)
         self._checked_out = CheckedOutConnections()
-        self._turn_rate = DequeueRate()
+        self._dequeue_rate = DequeueRate()
         self._retry_schedule = RetrySchedule()
         self._next_queue_check_at = 0.0
         self._lacked_room = False
@@ -158,7 +158,7 @@
         self.observed.outstanding += 1
         self._checked_out.check_out(connection, request, now)
         if request.was_let_in:
-            self._turn_rate.record_dequeue(now)
+            self._dequeue_rate.record_dequeue(now)
         self._queue.started(request, waited=request.was_let_in)
         return connection
 
@@ -252,7 +252,7 @@
         gap_s = max(self.dequeue_interval_s, MINIMUM_GAP_S)
         slots = min(float(self.limit), self._queue.usual_cost_s / gap_s)
         waiting_limit = WAITING_PER_CONNECTION * self.limit
-        return QueueDrain(slots, self.limit, 0.0, waiting_limit, self._turn_rate.variation)
+        return QueueDrain(slots, self.limit, 0.0, waiting_limit, self._dequeue_rate.variation)
 
     @property
     def dequeue_interval_s(self) -> float:
@@ -260,7 +260,7 @@
         now = time.monotonic()
         if not self._queue:
             return self._estimated_gap_s(now)
-        return self._turn_rate.gap_s(self.observed.awaited_s(self._turn_rate.last_at, now))
+        return self._dequeue_rate.gap_s(self.observed.awaited_s(self._dequeue_rate.last_at, now))
 
     def retry_after_ms(self, priority: int, ready_in_s: float = 0.0) -> int:
         """Return a refused request's retry delay, and reserve the time for it.
@@ -592,7 +592,7 @@
         now = time.monotonic()
         waiter.renew()
         if not self._queue:
-            self._turn_rate.began(now, self._estimated_gap_s(now))
+            self._dequeue_rate.began(now, self._estimated_gap_s(now))
         if waiter.was_let_in or self._has_connection_for(waiter, now):
             self._queue.place(waiter, now)
         else:
