--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -259,7 +259,7 @@
         """The expected time between two turns, in seconds."""
         now = time.monotonic()
         if not self._queue:
-            return self._estimated_gap_s(now)
+            return self._estimated_interval_s(now)
         return self._dequeue_rate.gap_s(self.observed.awaited_s(self._dequeue_rate.last_at, now))
 
     def retry_after_ms(self, priority: int, ready_in_s: float = 0.0) -> int:
@@ -273,7 +273,7 @@
         )
         return math.ceil(return_s * MS_PER_S)
 
-    def _estimated_gap_s(self, now: float) -> float:
+    def _estimated_interval_s(self, now: float) -> float:
         """Estimate the time between two turns, without connections held by idle transactions."""
         connections = self.opened if now < self._full_until else self.limit
         usual_s = self._queue.usual_cost_s
@@ -592,7 +592,7 @@
         now = time.monotonic()
         waiter.renew()
         if not self._queue:
-            self._dequeue_rate.began(now, self._estimated_gap_s(now))
+            self._dequeue_rate.began(now, self._estimated_interval_s(now))
         if waiter.was_let_in or self._has_connection_for(waiter, now):
             self._queue.place(waiter, now)
         else:
