--- a/limedyke/proxy/statements/members/connection_waiter.py
+++ b/limedyke/proxy/statements/members/connection_waiter.py
@@ -16,7 +16,7 @@
     """No connection came free in time."""
 
 
-class TurnedAwayError(PoolTimeoutError):
+class QueueRefusalError(PoolTimeoutError):
     """The queue refused the request, or dropped it while it waited.
 
     :ivar refused: the reason and the expected wait
--- a/limedyke/proxy/statements/members/member_exchange.py
+++ b/limedyke/proxy/statements/members/member_exchange.py
@@ -18,7 +18,7 @@
     MemberPool,
     PoolClosedError,
     PoolTimeoutError,
-    TurnedAwayError,
+    QueueRefusalError,
 )
 from limedyke.proxy.statements.members.pinned_connection import PinnedConnection
 from limedyke.proxy.statements.statement_log import NotSentReason
@@ -68,7 +68,7 @@
         except ConnectionLostError:
             attempt.failed(NotSentReason.NOT_CONNECTED, identity)
             return None
-        except TurnedAwayError as error:
+        except QueueRefusalError as error:
             attempt.turned_away(error.refused, identity)
             return None
         except PoolTimeoutError:
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -24,7 +24,7 @@
     ANY_TENANT,
     ConnectionWaiter,
     PoolTimeoutError,
-    TurnedAwayError,
+    QueueRefusalError,
 )
 from limedyke.proxy.statements.members.idle_connections import IdleConnections
 from limedyke.proxy.statements.members.member_codec import MemberCodec
@@ -129,7 +129,7 @@
             now
         :param target_at: end of its target latency
         :param start_by: latest time to send it; it is refused at once if its turn would come later
-        :raises TurnedAwayError: when its turn would come too late, on arrival or while it waits
+        :raises QueueRefusalError: when its turn would come too late, on arrival or while it waits
         :raises PoolTimeoutError: when no connection became available in time
         :raises PoolClosedError: when the member was removed or there is no lease
         :raises ConnectionLostError: when a new connection could not be opened
@@ -587,7 +587,7 @@
     async def _enqueue(self, waiter: ConnectionWaiter) -> None:
         """Add a request to the queue; requests that it displaces are refused.
 
-        :raises TurnedAwayError: when its turn can't come in time
+        :raises QueueRefusalError: when its turn can't come in time
         """
         now = time.monotonic()
         waiter.renew()
@@ -603,10 +603,10 @@
     async def _push_or_refuse(self, waiter: ConnectionWaiter, now: float) -> None:
         answer = self._queue.push(waiter, now, self._queue_drain())
         if isinstance(answer, Refused):
-            raise TurnedAwayError(self.observed.record.identity, answer)
+            raise QueueRefusalError(self.observed.record.identity, answer)
         for displaced in answer.displaced:
             refused = Refused(RefusalReason.DISPLACED, 0.0, displaced.deadline_at - now, 0)
-            await displaced.fail(TurnedAwayError(self.observed.record.identity, refused))
+            await displaced.fail(QueueRefusalError(self.observed.record.identity, refused))
         await self.check_queue(now)
 
     async def check_queue(self, now: float) -> None:
@@ -618,7 +618,7 @@
         self._next_queue_check_at = now + QUEUE_CHECK_INTERVAL_S
         identity = self.observed.record.identity
         for waiter, refused in self._queue.expire(now, self._queue_drain()):
-            await waiter.fail(TurnedAwayError(identity, refused))
+            await waiter.fail(QueueRefusalError(identity, refused))
 
     async def check_waiting(self, now: float) -> None:
         """Refuse requests whose turn won't come or whose member hangs; open connections for others.
@@ -643,7 +643,7 @@
         """Wait for a connection, and open one if the limits allow.
 
         :returns: None when the caller should try again
-        :raises TurnedAwayError: when its turn won't come in time
+        :raises QueueRefusalError: when its turn won't come in time
         :raises PoolTimeoutError: when the request's time is over
         :raises ConnectionLostError: when none could be opened
         :raises ConnectionRefusedByMemberError: when the member refuses a connection
