--- a/limedyke/proxy/statements/members/connection_waiter.py
+++ b/limedyke/proxy/statements/members/connection_waiter.py
@@ -59,7 +59,7 @@
         self.connection = None
         self.error = None
 
-    async def look_again(self) -> None:
+    async def wake(self) -> None:
         """Wake it without a result, so that it tries again."""
         if self.event is not None:
             await self.event.set()
@@ -71,9 +71,9 @@
     async def give(self, connection: MemberConnection) -> None:
         """Wake it with a connection."""
         self.connection = connection
-        await self.look_again()
+        await self.wake()
 
     async def fail(self, error: Exception) -> None:
         """Wake it with an error."""
         self.error = error
-        await self.look_again()
+        await self.wake()
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -553,7 +553,7 @@
     async def _wake_all(self) -> None:
         """Wake all requests to try again: the member was removed, or the lease ended."""
         for waiter in self._queue.drain():
-            await waiter.look_again()
+            await waiter.wake()
 
     async def _fail_all(self, error: Exception) -> None:
         for waiter in self._queue.drain():
@@ -582,7 +582,7 @@
         """Wake the next request to try again, as a connection may be opened."""
         waiter = self._take_first()
         if waiter is not None:
-            await waiter.look_again()
+            await waiter.wake()
 
     async def _enqueue(self, waiter: ConnectionWaiter) -> None:
         """Add a request to the queue; requests that it displaces are refused.
