--- a/limedyke/proxy/statements/members/connection_waiter.py
+++ b/limedyke/proxy/statements/members/connection_waiter.py
@@ -53,7 +53,7 @@
         self.connection: MemberConnection | None = None
         self.error: Exception | None = None
 
-    def renew(self) -> None:
+    def reset(self) -> None:
         """Prepare for a first or another wait: clear the result of the last one."""
         self.event = curio.Event()
         self.connection = None
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -590,7 +590,7 @@
         :raises QueueRefusalError: when its turn can't come in time
         """
         now = time.monotonic()
-        waiter.renew()
+        waiter.reset()
         if not self._queue:
             self._dequeue_rate.began(now, self._estimated_interval_s(now))
         if waiter.was_let_in or self._has_connection_for(waiter, now):
