--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -388,7 +388,7 @@
         else:
             await self._give_to_next(connection)
 
-    def _take_first(self) -> ConnectionWaiter | None:
+    def _pop_next(self) -> ConnectionWaiter | None:
         """Remove and return the next request, or None."""
         waiter = self._queue.first(time.monotonic())
         if waiter is not None:
@@ -580,7 +580,7 @@
 
     async def _wake_one(self) -> None:
         """Wake the next request to try again, as a connection may be opened."""
-        waiter = self._take_first()
+        waiter = self._pop_next()
         if waiter is not None:
             await waiter.wake()
 
