--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -381,7 +381,7 @@
 
     async def _give_to_own_tenant(self, connection: MemberConnection) -> None:
         """Give a new connection to the next request of its tenant, if one still waits."""
-        waiter = self._take_first_for(connection.tenant) if self._member_has_room() else None
+        waiter = self._pop_next_for(connection.tenant) if self._member_has_room() else None
         if waiter is not None:
             self._reserve(connection)
             await waiter.give(connection)
@@ -395,7 +395,7 @@
             self._queue.remove(waiter)
         return waiter
 
-    def _take_first_for(self, tenant: str) -> ConnectionWaiter | None:
+    def _pop_next_for(self, tenant: str) -> ConnectionWaiter | None:
         """Remove and return the first request that a tenant's connection can serve, or None."""
         now = time.monotonic()
         waiter = self._queue.first(now, lambda wanted: wanted in (ANY_TENANT, tenant))
@@ -544,7 +544,7 @@
                 await self._wake_one()
             return
         if has_others:
-            waiter = self._take_first_for(tenant)
+            waiter = self._pop_next_for(tenant)
             if waiter is not None:
                 await waiter.fail(error)
             return
