--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -147,7 +147,7 @@
                 raise PoolClosedError(self.observed.record.identity)
             connection = None
             if self._member_has_room():
-                connection = await self._take_idle(tenant, values)
+                connection = await self._pop_idle(tenant, values)
             if connection is None:
                 connection = await self._wait(waiter, give_up_at)
             if connection is not None:
@@ -343,7 +343,7 @@
         for waiter in list(self._queue.in_order(time.monotonic())):
             if not self._member_has_room():
                 return
-            connection = await self._take_idle(waiter.tenant, {})
+            connection = await self._pop_idle(waiter.tenant, {})
             if connection is None:
                 await self._open_if_needed(waiter.tenant, time.monotonic() - waiter.arrived_at)
             elif waiter.is_waiting:
@@ -458,7 +458,7 @@
                 return
             await self._discard_and_wake(connection)
 
-    async def _take_idle(
+    async def _pop_idle(
         self, tenant: str | None, values: dict[str, str]
     ) -> MemberConnection | None:
         """Return the tenant's best matching idle connection; discard dead ones."""
