--- a/limedyke/proxy/statements/members/idle_connections.py
+++ b/limedyke/proxy/statements/members/idle_connections.py
@@ -37,7 +37,7 @@
         """Return how long the longest idle connection has been idle; 0 when there is none."""
         return now - self._connections[0].idle_since if self._connections else 0.0
 
-    def take_longest_idle(self) -> MemberConnection | None:
+    def pop_longest_idle(self) -> MemberConnection | None:
         """Remove and return the longest idle connection, or None."""
         return self._connections.pop(0) if self._connections else None
 
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -435,7 +435,7 @@
 
     async def _close_longest_idle(self) -> bool:
         """Close the longest idle connection; tell whether there was one."""
-        connection = self._idle.take_longest_idle()
+        connection = self._idle.pop_longest_idle()
         if connection is None:
             return False
         await self._discard_and_wake(connection)
@@ -480,7 +480,7 @@
         if self._is_opening_for(tenant) or not self._member_has_room():
             return
         if not self._may_open(waited_s) and not self._may_open_beside_idle():
-            replaced = self._idle.take_longest_idle()
+            replaced = self._idle.pop_longest_idle()
             if replaced is None:
                 return
             await self._discard(replaced)
