--- a/limedyke/proxy/statements/members/idle_connections.py
+++ b/limedyke/proxy/statements/members/idle_connections.py
@@ -49,7 +49,7 @@
         self._connections = [kept for kept in self._connections if kept.last_received_at >= since]
         return silent_connections
 
-    def take_idle_before(self, moment: float) -> MemberConnection | None:
+    def pop_idle_before(self, moment: float) -> MemberConnection | None:
         """Remove and return the longest idle connection if it became idle before a moment."""
         if not self._connections or self._connections[0].idle_since >= moment:
             return None
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -453,7 +453,7 @@
         while True:
             is_surplus = self.opened > self.soft_limit
             limit_s = SURPLUS_IDLE_TIMEOUT_S if is_surplus else IDLE_TIMEOUT_S
-            connection = self._idle.take_idle_before(now - limit_s)
+            connection = self._idle.pop_idle_before(now - limit_s)
             if connection is None:
                 return
             await self._discard_and_wake(connection)
