--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -192,9 +192,9 @@
         connection.checked_out_at = time.monotonic()
         return connection
 
-    def take_silent_since(self, since: float) -> list[MemberConnection]:
+    def check_out_silent(self, since: float) -> list[MemberConnection]:
         """Check out all idle connections that received nothing since a moment; they may be dead."""
-        silent_connections = self._idle.take_silent_since(since)
+        silent_connections = self._idle.check_out_silent(since)
         self.observed.outstanding += len(silent_connections)
         return silent_connections
 
--- a/limedyke/proxy/statements/members/member_queries.py
+++ b/limedyke/proxy/statements/members/member_queries.py
@@ -121,7 +121,7 @@
         if connection.is_closed:
             pool.observed.answer_timed_out(asked_at, limit_s, time.monotonic())
             return
-        await self._check_silent_connections(pool, pool.take_silent_since(silent_since), limit_s)
+        await self._check_silent_connections(pool, pool.check_out_silent(silent_since), limit_s)
 
     async def _check_silent_connections(
         self, pool: MemberPool, silent_connections: list[MemberConnection], limit_s: float
