--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -151,9 +151,11 @@
             if connection is None:
                 connection = await self._wait(waiter, give_up_at)
             if connection is not None:
-                return self._lend(connection, waiter)
+                return self._hand_out(connection, waiter)
 
-    def _lend(self, connection: MemberConnection, request: ConnectionWaiter) -> MemberConnection:
+    def _hand_out(
+        self, connection: MemberConnection, request: ConnectionWaiter
+    ) -> MemberConnection:
         now = time.monotonic()
         self.observed.outstanding += 1
         self._checked_out.check_out(connection, request, now)
