--- a/features/steps/statement_member_steps.py
+++ b/features/steps/statement_member_steps.py
@@ -184,7 +184,7 @@
 @given('statement path: the safeguard "examined on a new connection" is {state:w}')
 def step_examined(context, state):
     if state == "off":
-        patch = mock.patch.object(MemberQueries, "examine", _ask_on_any_connection)
+        patch = mock.patch.object(MemberQueries, "diagnose_silence", _ask_on_any_connection)
         patch.start()
         context.add_cleanup(patch.stop)
 
--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -209,7 +209,7 @@
         limit_s = max(self._settings.probe_timeout_ms / 1_000, pool.observed.longest_sign_s)
         is_lost = pool.observed.health is MemberHealth.UNREACHABLE
         if is_lost or pool.observed.seems_silent(time.monotonic()):
-            await self._runner.queries.examine(pool, limit_s)
+            await self._runner.queries.diagnose_silence(pool, limit_s)
         elif pool.has_room:
             await self._runner.queries.ask_status(pool, limit_s)
         else:
--- a/limedyke/proxy/statements/members/member_queries.py
+++ b/limedyke/proxy/statements/members/member_queries.py
@@ -89,7 +89,7 @@
         """Return a member's status; None when it doesn't answer.
 
         The query uses any connection, even one that may be dead itself. A missing answer therefore
-        only marks the member as silent; ``examine`` then finds the cause.
+        only marks the member as silent; ``diagnose_silence`` then finds the cause.
         """
         try:
             connection = await pool.getconn(ANY_TENANT, {}, 0, limit_s)
@@ -101,7 +101,7 @@
             return None
         return await self._query_on(pool, connection, limit_s)
 
-    async def examine(self, pool: MemberPool, limit_s: float) -> None:
+    async def diagnose_silence(self, pool: MemberPool, limit_s: float) -> None:
         """Find out whether a silent member hangs, or only connections to it are dead.
 
         The member is queried on a new connection. If it answers there, idle connections without
