--- a/limedyke/proxy/statements/members/member_connection.py
+++ b/limedyke/proxy/statements/members/member_connection.py
@@ -24,7 +24,7 @@
 
 RECEIVE_BYTES = 64 * 1024
 USER_TIMEOUT_MS = 3_000
-PREPARED_MAXIMUM = 256
+MAXIMUM_PREPARED_STATEMENTS = 256
 LOST = MemberAnswer(AnswerKind.LOST)
 
 
@@ -200,7 +200,7 @@
             return []
         requests = []
         present = self.values
-        if not present.keys() <= values.keys() or len(self._prepared) > PREPARED_MAXIMUM:
+        if not present.keys() <= values.keys() or len(self._prepared) > MAXIMUM_PREPARED_STATEMENTS:
             requests.append(self._codec.discard())
             self._prepared.clear()
             present = {}
