--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -111,7 +111,7 @@
         self._session: StatementSession | None = None
         self._location: TransactionLocation | None = None
         self._must_reconnect_elsewhere = False
-        self._is_over = False
+        self._has_ended = False
         self._events: deque[ClientEvent] = deque()
         self.is_waiting = False
         self._waiting_since = 0.0
@@ -210,12 +210,12 @@
             await self._interrupt(StopDeadlineError)
 
     async def _interrupt(self, error: type[SessionEndRequestedError]) -> None:
-        if self.task is not None and not self._is_over:
+        if self.task is not None and not self._has_ended:
             await interrupt(self.task, error)
 
     async def _end_session(self, code: ResultCode) -> None:
         """End the session; statements that arrived meanwhile are answered as not run."""
-        self._is_over = True
+        self._has_ended = True
         limit_s = max(0.0, self._services.stop.schedule.ends_at - time.monotonic())
         reason = refusal(code, retry_after_ms=STOPPING_RETRY_AFTER_MS)
         await end_session(self._socket, self._codec, reason, tuple(self._events), limit_s)
