--- a/limedyke/proxy/statements/statement_log.py
+++ b/limedyke/proxy/statements/statement_log.py
@@ -96,7 +96,7 @@
         self._try_lines = LogRateLimiter(int(lines_per_second * TRY_LINES_SHARE), now)
         self._refusal_lines = LogRateLimiter(int(lines_per_second * TRY_LINES_SHARE), now)
         self._omitted = 0
-        self._summed_at = now
+        self._last_summary_at = now
         self._served_count = 0
 
     def answered(
@@ -227,9 +227,9 @@
 
     def _log_summary(self) -> None:
         now = time.monotonic()
-        if now - self._summed_at < SUMMARY_INTERVAL_S:
+        if now - self._last_summary_at < SUMMARY_INTERVAL_S:
             return
         EVENTS.info("served", statements=self._served_count, lines_left_out=self._omitted)
-        self._summed_at = now
+        self._last_summary_at = now
         self._served_count = 0
         self._omitted = 0
