--- a/limedyke/proxy/statements/statement_log.py
+++ b/limedyke/proxy/statements/statement_log.py
@@ -218,8 +218,8 @@
         if self._admit_line(self._outcome_lines):
             EVENTS.info("session-refused", database=database, code=label)
 
-    def _admit_line(self, budget: LogRateLimiter) -> bool:
-        if budget.take(time.monotonic()):
+    def _admit_line(self, limiter: LogRateLimiter) -> bool:
+        if limiter.take(time.monotonic()):
             return True
         self._omitted += 1
         self._metrics.lines_left_out.inc()
