--- a/limedyke/proxy/statements/server.py
+++ b/limedyke/proxy/statements/server.py
@@ -140,7 +140,7 @@
             await tasks.spawn(
                 serve_links, links.ok_value, identity, self._link_key, self._serve_link
             )
-            stopping = await tasks.spawn(self._serve_until_asked, listeners[0].ok_value, stop)
+            stopping = await tasks.spawn(self._serve_until_stopped, listeners[0].ok_value, stop)
         finished = tasks.completed
         if finished is stopping and finished.exception is None:
             return 0
@@ -192,7 +192,7 @@
         status = STATUS_OK if state.ready else STATUS_UNAVAILABLE
         return HttpAnswer(status, f"{state.reason}\n".encode(), "text/plain")
 
-    async def _serve_until_asked(self, listener: socket.socket, stop: StopSignal) -> None:
+    async def _serve_until_stopped(self, listener: socket.socket, stop: StopSignal) -> None:
         """Accept clients until the process is asked to stop; then run the planned stop."""
         acceptor = Acceptor(listener, self._admit, EVENTS)
         await curio.spawn(acceptor.run, daemon=True)
