--- a/limedyke/proxy/statements/server.py
+++ b/limedyke/proxy/statements/server.py
@@ -92,7 +92,7 @@
         )
         self._control.limits.metrics = LimitMetrics(self._registry)
         self._groups.reporter = self._control
-        self._groups.on_view = self._take_view
+        self._groups.on_view = self._apply_view
         self._links = HomeLinks(settings, secrets, self._traffic)
         forwarding = StatementForwarding(self._links, metrics)
         self._executor = StatementExecutor(self._groups, runner, forwarding)
@@ -158,7 +158,7 @@
         """Run the statements that another proxy forwards over a link."""
         await self._home_server.serve(link)
 
-    async def _take_view(self, view: ControlView) -> None:
+    async def _apply_view(self, view: ControlView) -> None:
         self._links.control_changed(view)
 
     async def _admit(self, sock: socket.socket) -> None:
