--- a/limedyke/proxy/statements/planned_stop.py
+++ b/limedyke/proxy/statements/planned_stop.py
@@ -74,7 +74,7 @@
         await close_listener()
         self._home_server.draining = True
         await self._serve_until(schedule.answers_until)
-        interrupted = await self._answer_the_rest(schedule)
+        interrupted = await self._interrupt_remaining(schedule)
         await self._control.leave(done=True)
         EVENTS.info(
             "stopped",
@@ -94,7 +94,7 @@
                 await client.end_if_due()
             await curio.sleep(CHECK_INTERVAL_S)
 
-    async def _answer_the_rest(self, schedule: StopSchedule) -> int:
+    async def _interrupt_remaining(self, schedule: StopSchedule) -> int:
         """Answer each running statement with its known outcome; return how many there were."""
         interrupted = 0
         for client in list(self._clients):
