--- a/limedyke/proxy/statements/planned_stop.py
+++ b/limedyke/proxy/statements/planned_stop.py
@@ -70,10 +70,10 @@
         schedule = self._state.begin(began_at, whole_s)
         EVENTS.info("stopping", clients=len(self._clients))
         await curio.sleep(schedule.idle_sessions_until - began_at)
-        await self._serve_until(schedule.statements_until)
+        await self._wait_until(schedule.statements_until)
         await close_listener()
         self._home_server.draining = True
-        await self._serve_until(schedule.answers_until)
+        await self._wait_until(schedule.answers_until)
         interrupted = await self._interrupt_remaining(schedule)
         await self._control.leave(done=True)
         EVENTS.info(
@@ -85,7 +85,7 @@
             elapsed_ms=int((time.monotonic() - began_at) * MS_PER_S),
         )
 
-    async def _serve_until(self, until: float) -> None:
+    async def _wait_until(self, until: float) -> None:
         """Wait until a moment, or until no work is left; end sessions as the schedule says."""
         while self._clients or self._forwarded.has_work:
             if time.monotonic() >= until:
