--- a/limedyke/proxy/statements/clients/session_end.py
+++ b/limedyke/proxy/statements/clients/session_end.py
@@ -62,21 +62,21 @@
     once more before the connection closes.
     """
     events = unserved
-    is_told = True
+    is_announced = True
     while True:
         for event in events:
             if not isinstance(event, StatementReceived | MalformedStatement):
                 return
             rest = codec.end_of_answer(TransactionStatus.IDLE)
             whole = codec.answer(reason, TransactionStatus.IDLE)
-            await sock.sendall(rest if is_told else whole)
-            is_told = False
+            await sock.sendall(rest if is_announced else whole)
+            is_announced = False
         data = await _receive(sock)
-        if data == b"" or (data is None and is_told):
+        if data == b"" or (data is None and is_announced):
             return
         if data is None:
             await sock.sendall(codec.session_over(reason))
-            is_told = True
+            is_announced = True
         events = codec.feed(data) if data is not None else ()
 
 
