--- a/limedyke/proxy/statements/members/idle_connections.py
+++ b/limedyke/proxy/statements/members/idle_connections.py
@@ -41,7 +41,7 @@
         """Remove and return the longest idle connection, or None."""
         return self._connections.pop(0) if self._connections else None
 
-    def take_silent_since(self, since: float) -> list[MemberConnection]:
+    def pop_silent_since(self, since: float) -> list[MemberConnection]:
         """Remove and return all connections that received nothing since a moment."""
         silent_connections = [
             connection for connection in self._connections if connection.last_received_at < since
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -196,7 +196,7 @@
 
     def check_out_silent(self, since: float) -> list[MemberConnection]:
         """Check out all idle connections that received nothing since a moment; they may be dead."""
-        silent_connections = self._idle.check_out_silent(since)
+        silent_connections = self._idle.pop_silent_since(since)
         self.observed.outstanding += len(silent_connections)
         return silent_connections
 
