--- a/limedyke/proxy/statements/members/connection_waiter.py
+++ b/limedyke/proxy/statements/members/connection_waiter.py
@@ -64,7 +64,7 @@
         if self.event is not None:
             await self.event.set()
 
-    def takes(self, tenant: str) -> bool:
+    def accepts(self, tenant: str) -> bool:
         """Tell whether it can use a connection of a tenant."""
         return self.tenant is ANY_TENANT or self.tenant == tenant
 
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -368,7 +368,7 @@
             self._idle.add(connection, now)
             return
         for waiter in self._queue.in_order(now):
-            if waiter.takes(connection.tenant):
+            if waiter.accepts(connection.tenant):
                 self._checked_out.record_turn(changed=False)
                 self._queue.remove(waiter)
                 self._reserve(connection)
