--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -144,8 +144,8 @@
 
     async def _clean_up(self) -> None:
         if self._location is not None:
-            place, self._location = self._location, None
-            await self._services.executor.abandon(place)
+            location, self._location = self._location, None
+            await self._services.executor.abandon(location)
         try:
             await self._socket.close()
         except OSError:
@@ -257,8 +257,8 @@
         """Roll back an idle transaction; the answer to the client's next statement reports it."""
         self._session.lose_transaction(code)
         if self._location is not None:
-            place, self._location = self._location, None
-            await self._services.executor.roll_back(place)
+            location, self._location = self._location, None
+            await self._services.executor.roll_back(location)
 
     async def _open_session(self, event: SessionRequested) -> bool:
         opened = await self._admit(event)
@@ -339,8 +339,8 @@
         match plan:
             case EndTransaction():
                 if self._location is not None:
-                    place, self._location = self._location, None
-                    await curio.spawn(self._services.executor.roll_back, place, daemon=True)
+                    location, self._location = self._location, None
+                    await curio.spawn(self._services.executor.roll_back, location, daemon=True)
                 return plan.answer
             case RunOnMember():
                 return await self._run(session, plan)
@@ -351,7 +351,7 @@
             outcome = await self._services.executor.run(session, run, self._location)
         except StopDeadlineError:
             outcome = await self._outcome_of_interrupted(session, run)
-        self._location = outcome.place
+        self._location = outcome.location
         return outcome.answer
 
     async def _outcome_of_interrupted(
--- a/limedyke/proxy/statements/executor.py
+++ b/limedyke/proxy/statements/executor.py
@@ -37,29 +37,29 @@
         return self._forwarding.links.has_home(group)
 
     async def run(
-        self, session: StatementSession, run: RunOnMember, place: TransactionLocation | None
+        self, session: StatementSession, run: RunOnMember, location: TransactionLocation | None
     ) -> StatementOutcome:
         """Run a statement.
 
-        :param place: where the client's transaction is open; None when none is
+        :param location: where the client's transaction is open; None when none is
         """
-        if isinstance(place, ForwardedTransaction):
-            return await self._forwarding.run_in_transaction(session, run, place)
+        if isinstance(location, ForwardedTransaction):
+            return await self._forwarding.run_in_transaction(session, run, location)
         group = self._groups.groups.get(session.database.group)
         if group is None:
-            if place is not None:
-                await self.roll_back(place)
+            if location is not None:
+                await self.roll_back(location)
             session.fail_transaction()
             detail = "the group is no longer declared"
             return StatementOutcome(
                 refusal(ResultCode.NO_MEMBER, detail, UNDECLARED_RETRY_AFTER_MS)
             )
-        if place is None:
+        if location is None:
             forwarded = await self._forward(session, run, group)
             if forwarded is not None:
                 return forwarded
             return await self._run_locally(session, run, group)
-        return await self._runner.run(session, run, group, place)
+        return await self._runner.run(session, run, group, location)
 
     async def _run_locally(
         self, session: StatementSession, run: RunOnMember, group: StatementGroup
@@ -92,16 +92,16 @@
             return await self._forwarding.run_at_tenant_home(session, run, group)
         return None
 
-    async def roll_back(self, place: TransactionLocation) -> None:
+    async def roll_back(self, location: TransactionLocation) -> None:
         """Roll back a transaction."""
-        if isinstance(place, ForwardedTransaction):
-            await self._forwarding.roll_back(place)
+        if isinstance(location, ForwardedTransaction):
+            await self._forwarding.roll_back(location)
         else:
-            await place.roll_back()
+            await location.roll_back()
 
-    async def abandon(self, place: TransactionLocation) -> None:
+    async def abandon(self, location: TransactionLocation) -> None:
         """End the transaction of a disconnected client; one of its statements may be running."""
-        if isinstance(place, ForwardedTransaction):
-            await self._forwarding.roll_back(place)
+        if isinstance(location, ForwardedTransaction):
+            await self._forwarding.roll_back(location)
         else:
-            await place.abandon()
+            await location.abandon()
--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -168,26 +168,28 @@
         return self._settle(attempt.session, attempt.run, end, link, unit.transaction)
 
     async def run_in_transaction(
-        self, session: StatementSession, run: RunOnMember, place: ForwardedTransaction
+        self, session: StatementSession, run: RunOnMember, location: ForwardedTransaction
     ) -> StatementOutcome:
         """Run a further statement of a transaction that is open at a home proxy."""
-        unit = self._unit(session, run, place.number)
+        unit = self._unit(session, run, location.number)
         limit_s = session.statement_time_s(time.monotonic())
         session.tries_under_way += 1
-        end = await self._send_to(place.link, unit, limit_s)
+        end = await self._send_to(location.link, unit, limit_s)
         if end is NOT_SENT:
             session.tries_under_way -= 1
-            place.link.transactions.discard(place.number)
-            return settle_unanswered(session, run, f"link to home proxy {place.link.home} closed")
+            location.link.transactions.discard(location.number)
+            return settle_unanswered(
+                session, run, f"link to home proxy {location.link.home} closed"
+            )
         if end is None:
-            place.link.transactions.discard(place.number)
-            return settle_unanswered(session, run, f"no answer of home proxy {place.link.home}")
-        return self._settle(session, run, end, place.link, place.number)
+            location.link.transactions.discard(location.number)
+            return settle_unanswered(session, run, f"no answer of home proxy {location.link.home}")
+        return self._settle(session, run, end, location.link, location.number)
 
-    async def roll_back(self, place: ForwardedTransaction) -> None:
+    async def roll_back(self, location: ForwardedTransaction) -> None:
         """Ask the home proxy to roll a transaction back."""
-        place.link.transactions.discard(place.number)
-        await place.link.abandon(AbandonWork(0, place.number, False))
+        location.link.transactions.discard(location.number)
+        await location.link.abandon(AbandonWork(0, location.number, False))
 
     async def _choose(self, attempt: ForwardedAttempt) -> HomeLink | None:
         async with curio.ignore_after(attempt.time_left()):
--- a/limedyke/proxy/statements/homes/home_service.py
+++ b/limedyke/proxy/statements/homes/home_service.py
@@ -136,8 +136,8 @@
             if held is not None:
                 await held.pinned.abandon()
             raise
-        if outcome.place is not None:
-            self._open_transactions[key] = _OpenForwardedTransaction(session, outcome.place)
+        if outcome.location is not None:
+            self._open_transactions[key] = _OpenForwardedTransaction(session, outcome.location)
         return StatementUnitEnd(unit.stream, outcome.answer, session.status, session.written)
 
     def _refuses_units(self) -> bool:
--- a/limedyke/proxy/statements/statement_outcome.py
+++ b/limedyke/proxy/statements/statement_outcome.py
@@ -28,8 +28,8 @@
 class StatementOutcome:
     """The answer to a statement, and the state of the client's transaction after it.
 
-    :param place: where the client's transaction is open now; None when none is
+    :param location: where the client's transaction is open now; None when none is
     """
 
     answer: StatementAnswer
-    place: TransactionLocation | None = None
+    location: TransactionLocation | None = None
