--- a/limedyke/proxy/forwarding/executor.py
+++ b/limedyke/proxy/forwarding/executor.py
@@ -69,9 +69,9 @@
     async def run(self, unit: WorkUnit, relay: Relay) -> AnswerEnd:
         """Run a unit at a home proxy and return the end of its answer; see ``Executor``."""
         link = self._transactions.get(unit.transaction)
-        watched = _TrackingRelay(relay)
+        tracking = _TrackingRelay(relay)
         if link is not None:
-            return await self._run_in_transaction(link, unit, watched)
+            return await self._run_in_transaction(link, unit, tracking)
         started_at = time.monotonic()
         wait_s = min(self._settings.failover_wait_ms, unit.deadline_ms) / MS_PER_S
         tried: set[str] = set()
@@ -89,12 +89,12 @@
                 tried.clear()
                 continue
             tried.add(link.home)
-            answer = await self._run_at(link, unit, watched)
+            answer = await self._run_at(link, unit, tracking)
             if answer is NOT_SENT:
                 continue
             if answer is None:
                 lost = True
-            elif answer.code not in _RETRYABLE_CODES or watched.used:
+            elif answer.code not in _RETRYABLE_CODES or tracking.used:
                 return answer
             else:
                 end = answer
