--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -13,7 +13,7 @@
 from limedyke.proxy.statements.group import StatementGroup
 from limedyke.proxy.statements.members.member_pool import MemberPool
 from limedyke.proxy.statements.statement_log import FailedTry, NotSentReason, StatementLog
-from limedyke.proxy.statements.statement_refusal import DEFAULT_READY_S, give_up
+from limedyke.proxy.statements.statement_refusal import DEFAULT_READY_S, refuse_statement
 from limedyke.result_codes import ResultCode
 
 MS_PER_S = 1_000.0
@@ -205,7 +205,7 @@
         priority = self.session.database.priority
         needs_primary = self.session.needs_primary(self.run)
         retry_after_ms = self.group.retry_after_ms(priority, needs_primary, self._retry_ready_in_s)
-        return give_up(self.session, code, self.last, self.runs > 0, retry_after_ms)
+        return refuse_statement(self.session, code, self.last, self.runs > 0, retry_after_ms)
 
     def should_run_elsewhere(self) -> bool:
         """Tell whether to return a forwarded statement because this proxy can't reach the primary.
--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -38,7 +38,7 @@
 from limedyke.proxy.statements.settlement import settle_unanswered
 from limedyke.proxy.statements.statement_log import StatementLog, StatementUnderWay
 from limedyke.proxy.statements.statement_outcome import StatementOutcome, TransactionLocation
-from limedyke.proxy.statements.statement_refusal import give_up
+from limedyke.proxy.statements.statement_refusal import refuse_statement
 from limedyke.result_codes import ResultCode
 
 RECEIVE_BYTES = 64 * 1024
@@ -363,4 +363,4 @@
         detail = "the proxy stops"
         if session.was_sent or session.transaction is not None:
             return settle_unanswered(session, run, detail)
-        return StatementOutcome(give_up(session, ResultCode.DRAINING, detail))
+        return StatementOutcome(refuse_statement(session, ResultCode.DRAINING, detail))
--- a/limedyke/proxy/statements/homes/forwarded_attempt.py
+++ b/limedyke/proxy/statements/homes/forwarded_attempt.py
@@ -17,7 +17,7 @@
     RETRY_PAUSE_S,
 )
 from limedyke.proxy.statements.group import StatementGroup
-from limedyke.proxy.statements.statement_refusal import DEFAULT_READY_S, give_up
+from limedyke.proxy.statements.statement_refusal import DEFAULT_READY_S, refuse_statement
 from limedyke.result_codes import ResultCode, did_not_run
 
 LEASE_WAIT_SHARE = 0.7
@@ -123,7 +123,9 @@
         """Return the final refusal of the statement, which had no lasting effect."""
         priority = self.session.database.priority
         retry_after_ms = self.group.retry_after_ms(priority, True, DEFAULT_READY_S)
-        return give_up(self.session, code, self.last, self.unanswered_count > 0, retry_after_ms)
+        return refuse_statement(
+            self.session, code, self.last, self.unanswered_count > 0, retry_after_ms
+        )
 
     def outcome_of(self, answer: StatementAnswer) -> StatementAnswer:
         """Return the answer for the client, given the tries before it.
@@ -132,5 +134,5 @@
         have run it.
         """
         if did_not_run(answer.code) and self.unanswered_count:
-            return give_up(self.session, ResultCode.READ_UNANSWERED, answer.detail, True)
+            return refuse_statement(self.session, ResultCode.READ_UNANSWERED, answer.detail, True)
         return answer
--- a/limedyke/proxy/statements/statement_refusal.py
+++ b/limedyke/proxy/statements/statement_refusal.py
@@ -14,7 +14,7 @@
 """Retry delay when another proxy or connection can serve at once, as when a home proxy is lost."""
 
 
-def give_up(
+def refuse_statement(
     session: StatementSession,
     code: ResultCode,
     detail: str,
