--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -198,7 +198,7 @@
         """Whether this proxy lost its lease, so that only another proxy can run the statement."""
         return self._lacks_lease and self.group.limit == 0
 
-    def give_up(self, code: ResultCode) -> StatementAnswer:
+    def final_refusal(self, code: ResultCode) -> StatementAnswer:
         """Return the final refusal of the statement, which had no lasting effect."""
         if self._has_lost_lease:
             code = ResultCode.NO_LEASE
--- a/limedyke/proxy/statements/homes/forwarded_attempt.py
+++ b/limedyke/proxy/statements/homes/forwarded_attempt.py
@@ -119,7 +119,7 @@
         await curio.ignore_after(RETRY_PAUSE_S, self.group.leased.wait)
         return True
 
-    def give_up(self, code: ResultCode) -> StatementAnswer:
+    def final_refusal(self, code: ResultCode) -> StatementAnswer:
         """Return the final refusal of the statement, which had no lasting effect."""
         priority = self.session.database.priority
         retry_after_ms = self.group.retry_after_ms(priority, True, DEFAULT_READY_S)
--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -116,10 +116,10 @@
                 link is None or attempt.unreachable_count >= UNREACHABLE_PRIMARY_TRIES
             ):
                 if not await attempt.wait_for_primary():
-                    return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
+                    return StatementOutcome(attempt.final_refusal(ResultCode.NO_PRIMARY))
             elif link is None:
                 if not await attempt.wait_for_home():
-                    return StatementOutcome(attempt.give_up(ResultCode.NO_LEASE))
+                    return StatementOutcome(attempt.final_refusal(ResultCode.NO_LEASE))
             else:
                 outcome = await self._try_at(link, unit, attempt)
                 if outcome is not None:
--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -45,12 +45,12 @@
         group = attempt.group
         while True:
             if attempt.is_too_late():
-                return StatementOutcome(attempt.give_up(ResultCode.NO_MEMBER))
+                return StatementOutcome(attempt.final_refusal(ResultCode.NO_MEMBER))
             required = await self._required_position(attempt)
             if required is None and not group.is_surely_primary(group.primary):
                 attempt.failed(NotSentReason.POSITION_UNPROVEN)
                 if not await attempt.pause():
-                    return StatementOutcome(attempt.give_up(ResultCode.FRESHNESS_UNPROVEN))
+                    return StatementOutcome(attempt.final_refusal(ResultCode.FRESHNESS_UNPROVEN))
                 continue
             eligible = self._eligible_members(attempt, required)
             if not eligible:
@@ -58,7 +58,7 @@
                     return StatementOutcome(attempt.refuse_unreachable_primary())
                 attempt.tried.clear()
                 if not await attempt.pause():
-                    return StatementOutcome(attempt.give_up(ResultCode.NO_MEMBER))
+                    return StatementOutcome(attempt.final_refusal(ResultCode.NO_MEMBER))
                 continue
             has_lagging = len(eligible) + len(attempt.tried) < len(group.pools)
             if has_lagging and await self._wait_for_replica(attempt, required, eligible[0]):
@@ -119,7 +119,7 @@
             return None
         if not attempt.may_be_sent():
             await pinned.release()
-            return StatementOutcome(attempt.give_up(ResultCode.NO_MEMBER))
+            return StatementOutcome(attempt.final_refusal(ResultCode.NO_MEMBER))
         hedged = HedgedRead(self._exchange, attempt, lambda: self._hedge_target(attempt, required))
         sent = await hedged.run(pinned, None if is_primary else required)
         is_given_up = sent.answer.kind in RETRYABLE_READ_ANSWERS and not attempt.may_retry_read()
--- a/limedyke/proxy/statements/runner.py
+++ b/limedyke/proxy/statements/runner.py
@@ -112,21 +112,21 @@
                 attempt.failed(NotSentReason.NO_PRIMARY)
                 await self.queries.search_primary(group)
                 if not await attempt.wait_for_primary():
-                    return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
+                    return StatementOutcome(attempt.final_refusal(ResultCode.NO_PRIMARY))
                 continue
             wait_s = attempt.connection_wait_s(pool)
             pinned = await self._exchange.connect(pool, attempt, wait_s)
             if attempt.is_too_late(pool.observed.answer.usual_s):
                 if pinned is not None:
                     await pinned.release()
-                return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
+                return StatementOutcome(attempt.final_refusal(ResultCode.NO_PRIMARY))
             if pinned is None:
                 if not await attempt.pause():
-                    return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
+                    return StatementOutcome(attempt.final_refusal(ResultCode.NO_PRIMARY))
                 continue
             if not attempt.may_be_sent():
                 await pinned.release()
-                return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
+                return StatementOutcome(attempt.final_refusal(ResultCode.NO_PRIMARY))
             answer = await self._exchange.run(pinned, attempt, None, attempt.time_left())
             if answer.kind not in NOT_RUN:
                 return await settle_first(attempt.session, attempt.run, pinned, answer)
@@ -137,7 +137,7 @@
                 await self.queries.search_primary(group)
             until = attempt.deadline if answer.kind is AnswerKind.BUSY else attempt.held_until()
             if not await attempt.pause(until):
-                return StatementOutcome(attempt.give_up(ResultCode.NO_PRIMARY))
+                return StatementOutcome(attempt.final_refusal(ResultCode.NO_PRIMARY))
 
 
 def _takes_writes(observed: ObservedMember, now: float) -> bool:
