--- a/features/steps/hedged_reads_steps.py
+++ b/features/steps/hedged_reads_steps.py
@@ -98,7 +98,7 @@
         may_be_sent=lambda: True,
         time_left=lambda: WHOLE_S,
         connection_wait_s=lambda pool: WHOLE_S,
-        failed=lambda reason, member: None,
+        record_failure=lambda reason, member: None,
     )
     exchange = _Exchange({"first": first, "second": second})
     read = HedgedRead(exchange, attempt, lambda: HedgeTarget(pools[1], None))
--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -167,7 +167,7 @@
         self.sends += 1
         return True
 
-    def failed(self, reason: AnswerKind | NotSentReason, member: str = "") -> None:
+    def record_failure(self, reason: AnswerKind | NotSentReason, member: str = "") -> None:
         """Record why a try failed, and log it if the reason differs from the last one.
 
         :param member: the member that was tried; empty for none
@@ -186,9 +186,9 @@
         )
         self.log.tried(self.run.statement, group.name, seen)
 
-    def turned_away(self, refused: Refused, member: str) -> None:
+    def record_queue_refusal(self, refused: Refused, member: str) -> None:
         """Record and log that a member's queue refused the statement or dropped it."""
-        self.failed(NotSentReason.TURNED_AWAY, member)
+        self.record_failure(NotSentReason.TURNED_AWAY, member)
         self.last = f"{refused.reason} at {member}"
         self._retry_ready_in_s = refused.room_in_s
         self.log.turned_away(self.session.database, self.run.statement, member, refused)
--- a/limedyke/proxy/statements/hedged_read.py
+++ b/limedyke/proxy/statements/hedged_read.py
@@ -38,7 +38,7 @@
     async def put_back(self, attempt: Attempt) -> None:
         """Return the connection of a read that is not final, and record why it failed."""
         kind = self.answer.kind
-        attempt.failed(kind, self.pinned.identity)
+        attempt.record_failure(kind, self.pinned.identity)
         if kind in RETRYABLE_READ_ANSWERS:
             attempt.runs += 1
         if kind in UNANSWERED_KINDS:
--- a/limedyke/proxy/statements/members/member_exchange.py
+++ b/limedyke/proxy/statements/members/member_exchange.py
@@ -63,19 +63,19 @@
             )
         except ConnectionRefusedByMemberError as error:
             pool.observed.is_busy(time.monotonic())
-            attempt.failed(error.answer.kind, identity)
+            attempt.record_failure(error.answer.kind, identity)
             return None
         except ConnectionLostError:
-            attempt.failed(NotSentReason.NOT_CONNECTED, identity)
+            attempt.record_failure(NotSentReason.NOT_CONNECTED, identity)
             return None
         except QueueRefusalError as error:
-            attempt.turned_away(error.refused, identity)
+            attempt.record_queue_refusal(error.refused, identity)
             return None
         except PoolTimeoutError:
-            attempt.failed(NotSentReason.NO_CONNECTION_FREE, identity)
+            attempt.record_failure(NotSentReason.NO_CONNECTION_FREE, identity)
             return None
         except PoolClosedError:
-            attempt.failed(NotSentReason.NO_LEASE, identity)
+            attempt.record_failure(NotSentReason.NO_LEASE, identity)
             return None
         finally:
             self._metrics.waited_for_connection(priority, time.monotonic() - began_at)
--- a/limedyke/proxy/statements/read_runner.py
+++ b/limedyke/proxy/statements/read_runner.py
@@ -48,7 +48,7 @@
                 return StatementOutcome(attempt.final_refusal(ResultCode.NO_MEMBER))
             required = await self._required_position(attempt)
             if required is None and not group.is_surely_primary(group.primary):
-                attempt.failed(NotSentReason.POSITION_UNPROVEN)
+                attempt.record_failure(NotSentReason.POSITION_UNPROVEN)
                 if not await attempt.pause():
                     return StatementOutcome(attempt.final_refusal(ResultCode.FRESHNESS_UNPROVEN))
                 continue
--- a/limedyke/proxy/statements/runner.py
+++ b/limedyke/proxy/statements/runner.py
@@ -97,7 +97,7 @@
             answer = await self._exchange.run(pinned, attempt, None, attempt.time_left())
             if answer.kind is not AnswerKind.BUSY:
                 break
-            attempt.failed(answer.kind, pinned.identity)
+            attempt.record_failure(answer.kind, pinned.identity)
             await curio.sleep(RETRY_PAUSE_S)
             if attempt.is_too_late(pinned.pool.observed.answer.usual_s):
                 break
@@ -109,7 +109,7 @@
         while True:
             pool = group.primary_pool()
             if pool is None or not _takes_writes(pool.observed, time.monotonic()):
-                attempt.failed(NotSentReason.NO_PRIMARY)
+                attempt.record_failure(NotSentReason.NO_PRIMARY)
                 await self.queries.search_primary(group)
                 if not await attempt.wait_for_primary():
                     return StatementOutcome(attempt.final_refusal(ResultCode.NO_PRIMARY))
@@ -130,7 +130,7 @@
             answer = await self._exchange.run(pinned, attempt, None, attempt.time_left())
             if answer.kind not in NOT_RUN:
                 return await settle_first(attempt.session, attempt.run, pinned, answer)
-            attempt.failed(answer.kind, pinned.identity)
+            attempt.record_failure(answer.kind, pinned.identity)
             await pinned.release()
             if answer.kind is AnswerKind.NOT_PRIMARY:
                 await group.record_reported_role(pinned.identity, is_primary=False)
