--- a/limedyke/proxy/statements/members/member_connection.py
+++ b/limedyke/proxy/statements/members/member_connection.py
@@ -51,7 +51,7 @@
     :ivar is_reserved: it is checked out by a request that has not sent anything yet
     :ivar connect_s: duration of the TCP connect, about one network round trip
     :ivar open_s: duration of the whole opening, without pauses of this process
-    :ivar opened_at: the member's log position when it accepted the connection; None if not reported
+    :ivar opening_position: the member's log position at the opening; None if not reported
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         self.is_reserved = False
         self.connect_s = 0.0
         self.open_s = 0.0
-        self.opened_at: LogPosition | None = None
+        self.opening_position: LogPosition | None = None
 
     @classmethod
     async def open(
@@ -117,7 +117,7 @@
         if answer.kind is not AnswerKind.DONE:
             await connection.close()
             raise ConnectionRefusedByMemberError(answer)
-        connection.opened_at = answer.position
+        connection.opening_position = answer.position
         return connection
 
     def is_alive(self) -> bool:
--- a/limedyke/proxy/statements/members/member_connector.py
+++ b/limedyke/proxy/statements/members/member_connector.py
@@ -110,11 +110,13 @@
         """Close a new connection to a primary that lost the log it reported before."""
         observed = self._observed
         had_lost_log = observed.has_lost_log
-        observed.opened_at(connection.opened_at, told)
+        observed.opened_at(connection.opening_position, told)
         if not observed.has_lost_log:
             return Ok(connection)
         if not had_lost_log:
             identity = observed.record.identity
-            EVENTS.warning("primary-lost-log", member=identity, at=connection.opened_at, told=told)
+            EVENTS.warning(
+                "primary-lost-log", member=identity, at=connection.opening_position, told=told
+            )
         await connection.close()
         return Err(ConnectionLostError("the member has lost its log"))
