--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -49,7 +49,7 @@
     :param tried: identities of members that did not run it
     :param runs: number of tries in which a member may have run it
     :param sends: number of times it was sent to a member
-    :param last: why the last try failed, for the refusal
+    :param last_failure: why the last try failed, for the refusal
     """
 
     session: StatementSession
@@ -63,7 +63,7 @@
     tried: set[str] = field(default_factory=set)
     runs: int = 0
     sends: int = 0
-    last: str = "no member is known"
+    last_failure: str = "no member is known"
     _lacks_connection: bool = False
     _was_misrouted: bool = False
     _connection_wait_until: float = 0.0
@@ -162,7 +162,7 @@
         if self.sends == 0:
             self.group.retries.first_try(now)
         elif not self._was_misrouted and not self.group.retries.may_retry(now):
-            self.last = f"{self.last}, and the group's tries are used up"
+            self.last_failure = f"{self.last_failure}, and the group's tries are used up"
             return False
         self.sends += 1
         return True
@@ -178,8 +178,8 @@
         self._lacks_connection = reason in LACKS_CONNECTION
         self._was_misrouted = reason in MISROUTED
         last = f"{reason} at {member}" if member else str(reason)
-        is_new_reason = last != self.last
-        self.last = last
+        is_new_reason = last != self.last_failure
+        self.last_failure = last
         group = self.group
         seen = FailedTry(
             reason, member, group.primary, group.term, group.primary_lease_left_s(), is_new_reason
@@ -189,7 +189,7 @@
     def record_queue_refusal(self, refused: Refused, member: str) -> None:
         """Record and log that a member's queue refused the statement or dropped it."""
         self.record_failure(NotSentReason.TURNED_AWAY, member)
-        self.last = f"{refused.reason} at {member}"
+        self.last_failure = f"{refused.reason} at {member}"
         self._retry_ready_in_s = refused.room_in_s
         self.log.turned_away(self.session.database, self.run.statement, member, refused)
 
@@ -205,7 +205,9 @@
         priority = self.session.database.priority
         needs_primary = self.session.needs_primary(self.run)
         retry_after_ms = self.group.retry_after_ms(priority, needs_primary, self._retry_ready_in_s)
-        return refuse_statement(self.session, code, self.last, self.runs > 0, retry_after_ms)
+        return refuse_statement(
+            self.session, code, self.last_failure, self.runs > 0, retry_after_ms
+        )
 
     def should_run_elsewhere(self) -> bool:
         """Tell whether to return a forwarded statement because this proxy can't reach the primary.
--- a/limedyke/proxy/statements/homes/forwarded_attempt.py
+++ b/limedyke/proxy/statements/homes/forwarded_attempt.py
@@ -41,7 +41,7 @@
     :param tried: names of home proxies that did not run it
     :param unanswered_count: number of tries without an answer, in which it may have run
     :param unreachable_count: home proxies since the last wait that could not reach the primary
-    :param last: why the last try failed, for the refusal
+    :param last_failure: why the last try failed, for the refusal
     """
 
     session: StatementSession
@@ -53,7 +53,7 @@
     tried: set[str] = field(default_factory=set)
     unanswered_count: int = 0
     unreachable_count: int = 0
-    last: str = "no home proxy is reached"
+    last_failure: str = "no home proxy is reached"
 
     @classmethod
     def begin(
@@ -98,7 +98,7 @@
     def refused(self, answer: StatementAnswer, home: str) -> None:
         """Record a refusal after which another home proxy may be tried."""
         self.unreachable_count += answer.code == _PRIMARY_UNREACHED_CODE
-        self.last = f"{home}: {answer.detail}"
+        self.last_failure = f"{home}: {answer.detail}"
 
     async def wait_for_primary(self) -> bool:
         """Wait for a new primary, then allow all home proxies again; False after the hold time."""
@@ -124,7 +124,7 @@
         priority = self.session.database.priority
         retry_after_ms = self.group.retry_after_ms(priority, True, DEFAULT_READY_S)
         return refuse_statement(
-            self.session, code, self.last, self.unanswered_count > 0, retry_after_ms
+            self.session, code, self.last_failure, self.unanswered_count > 0, retry_after_ms
         )
 
     def outcome_of(self, answer: StatementAnswer) -> StatementAnswer:
--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -135,7 +135,7 @@
             attempt.unanswered_count or self.links.is_any_silent
         ) and not await link.answers_probe():
             self._metrics.home_tries.labels(PROBE_UNANSWERED_LABEL).inc()
-            attempt.last = f"no sign of life of home proxy {link.home}"
+            attempt.last_failure = f"no sign of life of home proxy {link.home}"
             return None
         is_last_choice = link.is_crowded or link.is_draining
         unit = dataclasses.replace(
@@ -146,16 +146,16 @@
         if end is NOT_SENT:
             attempt.session.tries_under_way -= 1
             self._metrics.home_tries.labels(NOT_SENT.value).inc()
-            attempt.last = f"link to home proxy {link.home} closed"
+            attempt.last_failure = f"link to home proxy {link.home} closed"
             return None
         if end is None:
             may_be_sent_again = attempt.may_be_sent_again()
             attempt.unanswered_count += 1
             self._metrics.home_tries.labels(NO_ANSWER_LABEL).inc()
-            attempt.last = f"no answer of home proxy {link.home}"
+            attempt.last_failure = f"no answer of home proxy {link.home}"
             if may_be_sent_again:
                 return None
-            return settle_unanswered(attempt.session, attempt.run, attempt.last)
+            return settle_unanswered(attempt.session, attempt.run, attempt.last_failure)
         if did_not_run(end.answer.code):
             attempt.session.tries_under_way -= 1
         if end.answer.code in _RETRYABLE_CODES:
