--- a/features/steps/hedged_reads_steps.py
+++ b/features/steps/hedged_reads_steps.py
@@ -93,7 +93,7 @@
     pools = _Pool("first"), _Pool("second")
     attempt = SimpleNamespace(
         tried=set(),
-        runs=0,
+        possible_runs=0,
         may_retry_read=lambda: True,
         may_be_sent=lambda: True,
         time_left=lambda: WHOLE_S,
--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -47,8 +47,8 @@
     :param deadline: when that time ends
     :param hold_until: end of the hold while no member can run the statement
     :param tried: identities of members that did not run it
-    :param runs: number of tries in which a member may have run it
-    :param sends: number of times it was sent to a member
+    :param possible_runs: number of tries in which a member may have run it
+    :param send_count: number of times it was sent to a member
     :param last_failure: why the last try failed, for the refusal
     """
 
@@ -61,8 +61,8 @@
     deadline: float
     hold_until: float
     tried: set[str] = field(default_factory=set)
-    runs: int = 0
-    sends: int = 0
+    possible_runs: int = 0
+    send_count: int = 0
     last_failure: str = "no member is known"
     _lacks_connection: bool = False
     _was_misrouted: bool = False
@@ -150,7 +150,7 @@
     def may_retry_read(self) -> bool:
         """Tell whether a read that may have run on one member may run on another one too."""
         is_time_left = self.time_left() > MINIMUM_ATTEMPT_S
-        return is_time_left and self.runs + 1 < self.session.database.maximum_attempts
+        return is_time_left and self.possible_runs + 1 < self.session.database.maximum_attempts
 
     def may_be_sent(self) -> bool:
         """Tell whether the statement may be sent now, and count the send.
@@ -159,12 +159,12 @@
         misrouted try, which cost the member hardly any work.
         """
         now = time.monotonic()
-        if self.sends == 0:
+        if self.send_count == 0:
             self.group.retries.first_try(now)
         elif not self._was_misrouted and not self.group.retries.may_retry(now):
             self.last_failure = f"{self.last_failure}, and the group's tries are used up"
             return False
-        self.sends += 1
+        self.send_count += 1
         return True
 
     def record_failure(self, reason: AnswerKind | NotSentReason, member: str = "") -> None:
@@ -206,7 +206,7 @@
         needs_primary = self.session.needs_primary(self.run)
         retry_after_ms = self.group.retry_after_ms(priority, needs_primary, self._retry_ready_in_s)
         return refuse_statement(
-            self.session, code, self.last_failure, self.runs > 0, retry_after_ms
+            self.session, code, self.last_failure, self.possible_runs > 0, retry_after_ms
         )
 
     def should_run_elsewhere(self) -> bool:
@@ -214,7 +214,7 @@
 
         Another home proxy may reach it.
         """
-        may_leave = self.session.may_run_elsewhere and self.runs == 0
+        may_leave = self.session.may_run_elsewhere and self.possible_runs == 0
         return may_leave and self.group.has_unreachable_primary()
 
     def refuse_unreachable_primary(self) -> StatementAnswer:
--- a/limedyke/proxy/statements/hedged_read.py
+++ b/limedyke/proxy/statements/hedged_read.py
@@ -40,7 +40,7 @@
         kind = self.answer.kind
         attempt.record_failure(kind, self.pinned.identity)
         if kind in RETRYABLE_READ_ANSWERS:
-            attempt.runs += 1
+            attempt.possible_runs += 1
         if kind in UNANSWERED_KINDS:
             await self.pinned.abandon()
         else:
