--- a/limedyke/proxy/statements/members/member_connector.py
+++ b/limedyke/proxy/statements/members/member_connector.py
@@ -60,11 +60,11 @@
         limit_s = max(self.connect_timeout_s, observed.opening.longest_s)
         while True:
             asked_at = time.monotonic()
-            told = observed.told
+            reported = observed.told
             try:
                 connection = await present_time.call_with_timeout(limit_s, self._connect, tenant)
                 connection.open_s = observed.awaited_s(asked_at, time.monotonic())
-                return await self._check_log(connection, told)
+                return await self._check_log(connection, reported)
             except curio.TaskTimeout:
                 if observed.answer_timed_out(asked_at, limit_s, time.monotonic()):
                     return Err(ConnectionLostError("no answer to a connection attempt"))
@@ -106,17 +106,17 @@
             tenant,
         )
 
-    async def _check_log(self, connection: MemberConnection, told: LogPosition) -> Opened:
+    async def _check_log(self, connection: MemberConnection, reported: LogPosition) -> Opened:
         """Close a new connection to a primary that lost the log it reported before."""
         observed = self._observed
         had_lost_log = observed.has_lost_log
-        observed.opened_at(connection.opening_position, told)
+        observed.opened_at(connection.opening_position, reported)
         if not observed.has_lost_log:
             return Ok(connection)
         if not had_lost_log:
             identity = observed.record.identity
             EVENTS.warning(
-                "primary-lost-log", member=identity, at=connection.opening_position, told=told
+                "primary-lost-log", member=identity, at=connection.opening_position, told=reported
             )
         await connection.close()
         return Err(ConnectionLostError("the member has lost its log"))
