--- a/limedyke/proxy/statements/members/member_connector.py
+++ b/limedyke/proxy/statements/members/member_connector.py
@@ -14,7 +14,6 @@
 from limedyke.event_log import EventLog
 from limedyke.messages.statements import AnswerKind
 from limedyke.messages.work import LogPosition
-from limedyke.proxy.statements.members import present_time
 from limedyke.proxy.statements.members.member_codec import MemberCodec
 from limedyke.proxy.statements.members.member_connection import (
     ConnectionLostError,
@@ -22,6 +21,7 @@
     MemberConnection,
 )
 from limedyke.proxy.statements.members.member_traffic import MemberTraffic
+from limedyke.proxy.statements.members.present_time import call_with_timeout
 
 EVENTS = EventLog("pools")
 Opened = Result[MemberConnection, ConnectionLostError | ConnectionRefusedByMemberError]
@@ -62,7 +62,7 @@
             asked_at = time.monotonic()
             reported = observed.told
             try:
-                connection = await present_time.call_with_timeout(limit_s, self._connect, tenant)
+                connection = await call_with_timeout(limit_s, self._connect, tenant)
                 connection.open_s = observed.awaited_s(asked_at, time.monotonic())
                 return await self._check_log(connection, reported)
             except curio.TaskTimeout:
