--- a/features/steps/traffic_steps.py
+++ b/features/steps/traffic_steps.py
@@ -90,8 +90,8 @@
 def step_ask_position(context, name):
     groups = context.path.groups
     pool = groups.groups[GROUP].pools[name]
-    questions = groups._runner.questions
-    assert run(context, questions.ask_status, pool, QUESTION_TIMEOUT_S) is not None
+    queries = groups._runner.queries
+    assert run(context, queries.ask_status, pool, QUESTION_TIMEOUT_S) is not None
 
 
 @then('traffic: the metrics hold bytes of "{purpose}" out and in')
