--- a/limedyke/proxy/statements/clients/session_admission.py
+++ b/limedyke/proxy/statements/clients/session_admission.py
@@ -45,7 +45,7 @@
         """Return a new session, or the refusal."""
         view = await self._groups.wait_for_view(FIRST_VIEW_WAIT_S)
         if view is None:
-            detail = "no controller has told the state yet"
+            detail = "no control view has been received yet"
             return Err(refusal(ResultCode.NO_MEMBER, detail, UNCONFIRMED_RETRY_MS))
         key = access_key_digest(request.access_key)
         opened = self._open(view, request.database, key)
