--- a/limedyke/proxy/statements/server.py
+++ b/limedyke/proxy/statements/server.py
@@ -180,9 +180,9 @@
         if self._stop.is_stopping:
             return ReadyState(False, "stopping")
         if not self._control.view_confirmed:
-            return ReadyState(False, "no leader has confirmed the state yet")
+            return ReadyState(False, "no leader has confirmed the control view yet")
         if not self._groups.groups:
-            return ReadyState(False, "nothing is declared yet")
+            return ReadyState(False, "no group is declared yet")
         if not all(self._executor.can_serve(group) for group in self._groups.groups):
             return ReadyState(False, "a group has neither a lease here nor a home proxy yet")
         return ReadyState(True, "serving")
