--- a/limedyke/proxy/statements/homes/forwarding.py
+++ b/limedyke/proxy/statements/homes/forwarding.py
@@ -135,7 +135,7 @@
             attempt.unanswered_count or self.links.is_any_silent
         ) and not await link.answers_probe():
             self._metrics.home_tries.labels(PROBE_UNANSWERED_LABEL).inc()
-            attempt.last_failure = f"no sign of life of home proxy {link.home}"
+            attempt.last_failure = f"home proxy {link.home} did not answer a probe"
             return None
         is_last_choice = link.is_crowded or link.is_draining
         unit = dataclasses.replace(
