--- a/features/steps/control_proxies_steps.py
+++ b/features/steps/control_proxies_steps.py
@@ -115,11 +115,11 @@
         now = float(at)
         match word:
             case "report":
-                silence.reported(now)
+                silence.report_sent(now)
             case "heard":
-                silence.heard()
+                silence.answer_received()
             case "left":
-                silence.left(now)
+                silence.link_closed(now)
     assert silence.remaining_s(now) == float(seconds), silence.remaining_s(now)
 
 
--- a/limedyke/proxy/control/reports.py
+++ b/limedyke/proxy/control/reports.py
@@ -42,24 +42,24 @@
 
     async def expect_answer(self) -> None:
         """Note that a report was sent to the leader."""
-        self._silence.reported(time.monotonic())
+        self._silence.report_sent(time.monotonic())
         await self._wakeup.set()
 
     def heard(self) -> None:
         """Note that the leader was heard."""
-        self._silence.heard()
+        self._silence.answer_received()
 
     async def watch_silence(self) -> None:
         """Give up the link when a report is not answered.
 
         :raises LinkClosedError: then
         """
-        self._silence.heard()
+        self._silence.answer_received()
         while True:
             self._wakeup.clear()
             remaining_s = self._silence.remaining_s(time.monotonic())
             if remaining_s <= 0:
-                self._silence.left(time.monotonic())
+                self._silence.link_closed(time.monotonic())
                 raise LinkClosedError("a report is not answered")
             if remaining_s == float("inf"):
                 await self._wakeup.wait()
--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -131,7 +131,7 @@
         until = max(self.hold_until, self._connection_wait_until if self._lacks_connection else 0.0)
         now = time.monotonic()
         if self.group.lacks_primary(now):
-            self.group.outage.noticed(now)
+            self.group.outage.note_no_primary(now)
             until = max(until, self.group.hold_until(now))
         return min(until, self.deadline - MINIMUM_ATTEMPT_S)
 
@@ -190,7 +190,7 @@
         """Record and log that a member's queue refused the statement or dropped it."""
         self.record_failure(NotSentReason.TURNED_AWAY, member)
         self.last_failure = f"{refused.reason} at {member}"
-        self._retry_ready_in_s = refused.room_in_s
+        self._retry_ready_in_s = refused.retry_likely_in_s
         self.log.turned_away(self.session.database, self.run.statement, member, refused)
 
     @property
--- a/limedyke/proxy/statements/group.py
+++ b/limedyke/proxy/statements/group.py
@@ -222,7 +222,7 @@
             return
         self.replaced_primary = "" if identity else self.primary
         if identity:
-            self.outage.replaced(time.monotonic())
+            self.outage.note_replaced(time.monotonic())
         self.primary = identity
         self.term = term
         for name, pool in self.pools.items():
@@ -263,7 +263,7 @@
     def set_home_proxy_count(self, proxies: int) -> None:
         """Update how many home proxies share the members."""
         for observed in self.observed_members:
-            observed.concurrency.shared_by(proxies)
+            observed.concurrency.set_proxies(proxies)
 
     async def update_declaration(self, declared: Group) -> None:
         """Update the group's declaration, which says at which members the common lease holds."""
--- a/limedyke/proxy/statements/groups.py
+++ b/limedyke/proxy/statements/groups.py
@@ -109,7 +109,7 @@
     async def control_changed(self, view: ControlView) -> None:
         """Apply a newer control view."""
         self.view = view
-        self.access_keys.take(view.tenants)
+        self.access_keys.set_tenants(view.tenants)
         members: dict[str, dict[str, AnnouncedMember]] = {name: {} for name in view.groups}
         for member in view.announced.values():
             if member.group in members and self._is_usable(member):
@@ -288,7 +288,9 @@
         """
         now = time.monotonic()
         demands_by_group = (group.demands(now) for group in self.groups.values())
-        return self._demand_changes.take(chain.from_iterable(demands_by_group), complete)
+        return self._demand_changes.changes_to_report(
+            chain.from_iterable(demands_by_group), complete
+        )
 
     def _new_group(self, name: str) -> StatementGroup:
         def make_pool(observed: ObservedMember) -> MemberPool:
--- a/limedyke/proxy/statements/homes/forwarded_attempt.py
+++ b/limedyke/proxy/statements/homes/forwarded_attempt.py
@@ -103,7 +103,7 @@
     async def wait_for_primary(self) -> bool:
         """Wait for a new primary, then allow all home proxies again; False after the hold time."""
         now = time.monotonic()
-        self.group.outage.noticed(now)
+        self.group.outage.note_no_primary(now)
         until = max(self.hold_until, self.group.hold_until(now))
         if not await self.group.wait_for_primary(min(until, self.deadline - MINIMUM_ATTEMPT_S)):
             return False
--- a/limedyke/proxy/statements/homes/home_service.py
+++ b/limedyke/proxy/statements/homes/home_service.py
@@ -116,7 +116,9 @@
         group = self._groups.groups.get(unit.database.group)
         held = self._open_transactions.pop(key, None)
         if held is None and unit.transaction and unit.begin is None:
-            return refuse_unit(unit, ResultCode.TRANSACTION_LOST, "it is not open here")
+            return refuse_unit(
+                unit, ResultCode.TRANSACTION_LOST, "the transaction is not open here"
+            )
         if held is None and (group is None or group.limit == 0):
             return refuse_unit(unit, ResultCode.NO_LEASE)
         if held is None and unit.may_decline and self._refuses_units():
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -594,7 +594,7 @@
         now = time.monotonic()
         waiter.reset()
         if not self._queue:
-            self._dequeue_rate.began(now, self._estimated_interval_s(now))
+            self._dequeue_rate.start_waiting(now, self._estimated_interval_s(now))
         if waiter.was_let_in or self._has_connection_for(waiter, now):
             self._queue.place(waiter, now)
         else:
