--- a/features/steps/statement_path_steps.py
+++ b/features/steps/statement_path_steps.py
@@ -128,7 +128,7 @@
     outage = context.path.groups.groups[GROUP].outage
     now = time.monotonic()
     for seconds in (5.0, 4.2, 3.4, 2.6, 1.8, 1.0, 0.2):
-        outage.noticed(now - seconds)
+        outage.note_no_primary(now - seconds)
 
 
 @given("statement path: recent changes of primary took {milliseconds:d} ms")
