--- a/features/home_silence.feature
+++ b/features/home_silence.feature
@@ -6,7 +6,7 @@
   Scenario Outline: silence: the outcome of a unit on a link that <state> is <told>
     Given silence: a link to a home proxy that <state>
     When silence: a unit is sent over it, for 200 ms
-    Then silence: it is told as <told>
+    Then silence: its outcome is <told>
     And silence: <sent> units were sent
 
     Examples:
--- a/features/statement_forwarding.feature
+++ b/features/statement_forwarding.feature
@@ -261,7 +261,7 @@
     And statement homes: h1 refuses no unit as crowded
     When statement path: the client asks "WRITE x 1" and is told "BUSY I"
     And statement homes: 12 clients write one after the other, 10 ms apart
-    Then statement homes: h2 took 4 of them or more, h1 one before
+    Then statement homes: h2 ran at least 4 of them, and h1 one before
 
   Scenario Outline: statement homes: the proxy's own lease ends while "<asked>" waits for a connection
     Given statement homes: a session database, home proxies h1 in z2
--- a/features/statement_stop.feature
+++ b/features/statement_stop.feature
@@ -17,7 +17,7 @@
       | READ x    | 0.71  | 107.1  | refused |
 
   Scenario Outline: statement stop: a statement of <timeout> ms accepted <late> ms before answers are due may take <time> ms
-    Then statement stop: a statement of <timeout> ms taken <late> ms before answers are due may take <time> ms
+    Then statement stop: a statement of <timeout> ms accepted <late> ms before answers are due may take <time> ms
 
     Examples:
       | timeout | late | time |
--- a/features/steps/home_silence_steps.py
+++ b/features/steps/home_silence_steps.py
@@ -90,7 +90,7 @@
     context.end = curio.run(send)
 
 
-@then("silence: it is told as {told}")
+@then("silence: its outcome is {told}")
 def step_told(context, told):
     expected = {"lost": None, "not sent": NOT_SENT}
     if told == "answered":
--- a/features/steps/statement_forwarding_steps.py
+++ b/features/steps/statement_forwarding_steps.py
@@ -295,10 +295,10 @@
     context.all_told = run(context, write_all)
 
 
-@then("statement homes: {first:w} took {most:d} of them or more, {second:w} one before")
-def step_shares(context, first, most, second):
+@then("statement homes: {first:w} ran at least {least:d} of them, and {second:w} one before")
+def step_shares(context, first, least, second):
     got = {name: context.path.served(name) for name in (first, second)}
-    assert got[first] >= most and got[second] >= 1, (got, context.all_told)
+    assert got[first] >= least and got[second] >= 1, (got, context.all_told)
 
 
 @given("statement homes: the proxy has a lease of 1 connection, which is held")
--- a/features/steps/statement_stop_steps.py
+++ b/features/steps/statement_stop_steps.py
@@ -41,8 +41,8 @@
     "due may take {allowed:d} ms"
 )
 @then(
-    "statement stop: a statement of {timeout:d} ms taken {late:d} ms before answers are due may "
-    "take {allowed:d} ms"
+    "statement stop: a statement of {timeout:d} ms accepted {late:d} ms before "
+    "answers are due may take {allowed:d} ms"
 )
 def step_time(context, timeout, late, allowed):
     database = Database("db", "g", Consistency.SESSION, timeout, 1_000, 1, 0, 2, is_public=True)
