--- a/limedyke/proxy/statements/members/idle_connections.py
+++ b/limedyke/proxy/statements/members/idle_connections.py
@@ -24,7 +24,7 @@
         connection.idle_since = now
         self._connections.append(connection)
 
-    def take(self, tenant: str | None, values: dict[str, str]) -> MemberConnection | None:
+    def pop(self, tenant: str | None, values: dict[str, str]) -> MemberConnection | None:
         """Remove and return the tenant's connection whose session values fit best, or None."""
         own = [connection for connection in self._connections if _serves(connection, tenant)]
         if not own:
--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -464,7 +464,7 @@
         self, tenant: str | None, values: dict[str, str]
     ) -> MemberConnection | None:
         """Return the tenant's best matching idle connection; discard dead ones."""
-        while (connection := self._idle.take(tenant, values)) is not None:
+        while (connection := self._idle.pop(tenant, values)) is not None:
             if connection.is_alive():
                 self._reserve(connection)
                 return connection
