--- a/limedyke/proxy/statements/members/member_pool.py
+++ b/limedyke/proxy/statements/members/member_pool.py
@@ -517,7 +517,7 @@
             self._opening[tenant] -= 1
         if isinstance(opened, Ok):
             connection = opened.ok_value
-            self._learn_opening(connection)
+            self._record_opening(connection)
             if self.is_closed or self.opened > self.limit:
                 await self._discard_and_wake(connection)
             else:
@@ -527,7 +527,7 @@
         await self._handle_failed_opening(opened.err_value, tenant)
         await self.serve_waiting()
 
-    def _learn_opening(self, connection: MemberConnection) -> None:
+    def _record_opening(self, connection: MemberConnection) -> None:
         """Record how long the network and the member took for an opening."""
         now = time.monotonic()
         observed = self.observed
