--- a/limedyke/proxy/statements/attempt.py
+++ b/limedyke/proxy/statements/attempt.py
@@ -181,10 +181,10 @@
         is_new_reason = last != self.last_failure
         self.last_failure = last
         group = self.group
-        seen = FailedTry(
+        failed_try = FailedTry(
             reason, member, group.primary, group.term, group.primary_lease_left_s(), is_new_reason
         )
-        self.log.tried(self.run.statement, group.name, seen)
+        self.log.tried(self.run.statement, group.name, failed_try)
 
     def record_queue_refusal(self, refused: Refused, member: str) -> None:
         """Record and log that a member's queue refused the statement or dropped it."""
