--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -304,9 +304,9 @@
         self, session: StatementSession, statement: Statement
     ) -> StatementAnswer | None:
         """Return the refusal of a statement that is not run at all; None when it is run."""
-        is_taken = self._services.stop.schedule.takes(statement.kind, time.monotonic())
+        is_accepted = self._services.stop.schedule.takes(statement.kind, time.monotonic())
         match session.status:
-            case TransactionStatus.IDLE if not is_taken:
+            case TransactionStatus.IDLE if not is_accepted:
                 return refusal(ResultCode.DRAINING, retry_after_ms=STOPPING_RETRY_AFTER_MS)
             case TransactionStatus.IDLE:
                 return self._services.admission.renew(session)
