--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -297,7 +297,7 @@
         self._services.log.answered(session.database, statement, answer, started_at)
         await self._socket.sendall(self._codec.answer(answer, session.status))
         self._under_way = None
-        self._note_refusal(answer)
+        self._mark_for_reconnect(answer)
         return await self._continues_after(session, statement, answer)
 
     def _early_refusal(
@@ -325,7 +325,7 @@
             return False
         return True
 
-    def _note_refusal(self, answer: StatementAnswer) -> None:
+    def _mark_for_reconnect(self, answer: StatementAnswer) -> None:
         """Mark the session to be ended if another proxy might serve what was refused here.
 
         A proxy that lost the controllers learns no new primary and can prove no position; another
