--- a/limedyke/proxy/statements/executor.py
+++ b/limedyke/proxy/statements/executor.py
@@ -16,7 +16,7 @@
 )
 from limedyke.result_codes import ResultCode
 
-UNDECLARED_RETRY_AFTER_MS = 200
+UNDECLARED_GROUP_RETRY_AFTER_MS = 200
 
 
 class StatementExecutor:
@@ -52,7 +52,7 @@
             session.fail_transaction()
             detail = "the group is no longer declared"
             return StatementOutcome(
-                refusal(ResultCode.NO_MEMBER, detail, UNDECLARED_RETRY_AFTER_MS)
+                refusal(ResultCode.NO_MEMBER, detail, UNDECLARED_GROUP_RETRY_AFTER_MS)
             )
         if location is None:
             forwarded = await self._forward(session, run, group)
