--- a/limedyke/proxy/statements/clients/session_admission.py
+++ b/limedyke/proxy/statements/clients/session_admission.py
@@ -20,7 +20,7 @@
 CONFIRM_LIMIT_S = 0.5
 """Timeout, in seconds, for asking the controllers whether an unknown key or database is newer than
 the view: a round trip across two regions takes 0.18 s, and a loaded machine pauses for 0.1 s."""
-UNCONFIRMED_RETRY_MS = 500
+UNCONFIRMED_RETRY_AFTER_MS = 500
 
 
 class ViewConfirmation(Protocol):
@@ -46,14 +46,14 @@
         view = await self._groups.wait_for_view(FIRST_VIEW_WAIT_S)
         if view is None:
             detail = "no control view has been received yet"
-            return Err(refusal(ResultCode.NO_MEMBER, detail, UNCONFIRMED_RETRY_MS))
+            return Err(refusal(ResultCode.NO_MEMBER, detail, UNCONFIRMED_RETRY_AFTER_MS))
         key = access_key_digest(request.access_key)
         opened = self._open(view, request.database, key)
         if isinstance(opened, Ok):
             return opened
         if not await self._control.confirm_view(CONFIRM_LIMIT_S):
             detail = "the controllers can't be asked about an unknown database or key"
-            return Err(refusal(ResultCode.NO_MEMBER, detail, UNCONFIRMED_RETRY_MS))
+            return Err(refusal(ResultCode.NO_MEMBER, detail, UNCONFIRMED_RETRY_AFTER_MS))
         return self._open(self._groups.view, request.database, key)
 
     def renew(self, session: StatementSession) -> StatementAnswer | None:
