--- a/limedyke/proxy/statements/clients/session_admission.py
+++ b/limedyke/proxy/statements/clients/session_admission.py
@@ -14,7 +14,7 @@
 from limedyke.proxy.statements.groups import StatementGroups
 from limedyke.result_codes import ResultCode
 
-FIRST_VIEW_WAIT_S = 1.5
+FIRST_VIEW_TIMEOUT_S = 1.5
 """Seconds a client waits for the proxy's first control view. Until then the proxy can't know
 whether a database exists."""
 CONFIRM_LIMIT_S = 0.5
@@ -43,7 +43,7 @@
 
     async def open(self, request: SessionRequested) -> Result[StatementSession, StatementAnswer]:
         """Return a new session, or the refusal."""
-        view = await self._groups.wait_for_view(FIRST_VIEW_WAIT_S)
+        view = await self._groups.wait_for_view(FIRST_VIEW_TIMEOUT_S)
         if view is None:
             detail = "no control view has been received yet"
             return Err(refusal(ResultCode.NO_MEMBER, detail, UNCONFIRMED_RETRY_AFTER_MS))
