--- a/limedyke/proxy/statements/clients/session_end.py
+++ b/limedyke/proxy/statements/clients/session_end.py
@@ -28,7 +28,7 @@
     sock: socket.socket,
     codec: ClientCodec,
     reason: StatementAnswer,
-    unserved: Sequence[ClientEvent],
+    unanswered_events: Sequence[ClientEvent],
     limit_s: float,
 ) -> None:
     """Tell a client that its session is over, and wait until it closes or sends nothing more.
@@ -37,13 +37,13 @@
     Closing the connection at once would reset it, and lose that statement and the answer before it.
 
     :param reason: a refusal, which says that a statement did not run
-    :param unserved: events that were received but not answered
+    :param unanswered_events: events that were received but not answered
     :param limit_s: time limit in seconds
     """
     try:
         async with curio.timeout_after(min(limit_s, MAXIMUM_END_S)):
             await sock.sendall(codec.session_over(reason))
-            await _refuse_late_statements(sock, codec, reason, unserved)
+            await _refuse_late_statements(sock, codec, reason, unanswered_events)
         await sock.shutdown(socket.SHUT_WR)
     except (OSError, curio.TaskTimeout):
         return
@@ -53,7 +53,7 @@
     sock: socket.socket,
     codec: ClientCodec,
     reason: StatementAnswer,
-    unserved: Sequence[ClientEvent],
+    unanswered_events: Sequence[ClientEvent],
 ) -> None:
     """Refuse statements until no more arrive.
 
@@ -61,7 +61,7 @@
     refused may believe that only the statement failed and retry later, so ``session_over`` is sent
     once more before the connection closes.
     """
-    events = unserved
+    events = unanswered_events
     is_announced = True
     while True:
         for event in events:
