--- a/features/steps/statement_member_steps.py
+++ b/features/steps/statement_member_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the path of a statement: what members do, and what ran at them."""
+"""Steps on the path of a statement: faults and roles of members, and what ran on them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from features.support.line_platform.member_session import ALWAYS
 from features.support.statement_path import GROUP, elapsed_ms
 from limedyke.proxy.statements.members.member_connection import MemberConnection
-from limedyke.proxy.statements.members.member_queries import MemberQuestions
+from limedyke.proxy.statements.members.member_queries import MemberQueries
 
 HANGS_S = 3_600.0
 
@@ -22,7 +22,7 @@
     context.path.group.lag_s = lag / 1_000
 
 
-@given("statement path: the bound is {bound:d} ms, and replicas lag by {lag:d} ms")
+@given("statement path: the staleness bound is {bound:d} ms, and replicas lag by {lag:d} ms")
 def step_bound(context, bound, lag):
     context.path.group.lag_s = lag / 1_000
     context.path.staleness_ms = bound
@@ -46,7 +46,7 @@
 
 
 def _delay_connecting(context, name, seconds):
-    """Have attempts to connect to a member take so long."""
+    """Delay attempts to connect to a member."""
     open_connection = MemberConnection.open
     address = context.path.group.members[name].address
 
@@ -86,7 +86,7 @@
     assert sum(member != "a" for member in runs) >= count, runs
 
 
-@then("statement path: {name:w} was asked for its position {count:d} times")
+@then("statement path: {name:w} was queried for its position {count:d} times")
 def step_asked_position(context, name, count):
     asked = context.path.group.members[name].status_questions
     assert asked == count, asked
@@ -184,15 +184,15 @@
 @given('statement path: the safeguard "examined on a new connection" is {state:w}')
 def step_examined(context, state):
     if state == "off":
-        patch = mock.patch.object(MemberQuestions, "examine", _ask_on_any_connection)
+        patch = mock.patch.object(MemberQueries, "diagnose_silence", _ask_on_any_connection)
         patch.start()
         context.add_cleanup(patch.stop)
 
 
-async def _ask_on_any_connection(questions, pool, limit_s):
-    """Take no answer on any connection for the member's, new ones working or not."""
+async def _ask_on_any_connection(queries, pool, limit_s):
+    """Count a missing answer on any connection as the member's silence."""
     asked_at = time.monotonic()
-    await questions.ask_status(pool, limit_s)
+    await queries.ask_status(pool, limit_s)
     if pool.observed.contact_at < asked_at:
         pool.observed.probe_timed_out(time.monotonic())
 
@@ -228,7 +228,7 @@
     run(context, context.path.tell_view)
 
 
-@step("statement path: answers of {name:w} are {milliseconds:d} ms on their way")
+@step("statement path: answers of {name:w} are delayed by {milliseconds:d} ms")
 def step_travel(context, name, milliseconds):
     context.path.group.members[name].faults.answers_travel_s = milliseconds / 1_000
 
--- a/features/steps/statement_pool_steps.py
+++ b/features/steps/statement_pool_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the path of a statement: leases, connections, and how members are watched."""
+"""Steps on the path of a statement: leases, connections and the monitoring of members."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
     run(context, context.path.groups.leases_changed, (lease,), float("inf"))
 
 
-class _Healths:
-    """Keeps what is reported of the primary."""
+class _HealthReporter:
+    """Records the reported health of the primary."""
 
     def __init__(self) -> None:
         self.seen: list[str] = []
 
     async def report_member(self, report: object) -> None:
-        """Take a report."""
+        """Record the health in a report on the primary."""
         if report.member == "a":
             self.seen.append(report.health.value)
 
     async def return_leases(self, leases: tuple[ConnectionLease, ...]) -> None:
-        """Take leases back."""
+        """Ignore returned leases."""
 
 
 @then("statement path: a was reported {healths}")
@@ -49,9 +49,9 @@
     assert MemberHealth.UNREACHABLE.value not in context.healths.seen, context.healths.seen
 
 
-@step("statement path: the members are watched from now on")
-def step_watched_on(context):
-    context.healths = context.path.groups.reporter = _Healths()
+@step("statement path: the members are monitored from now on")
+def step_monitored_on(context):
+    context.healths = context.path.groups.reporter = _HealthReporter()
     run(context, curio.spawn, _watch_members, context.path.groups)
 
 
@@ -59,20 +59,20 @@
     await groups.watch()
 
 
-@given("statement path: {name:w} takes {count:d} connection and {way}")
+@given("statement path: {name:w} accepts {count:d} connection and {way}")
 def step_full(context, name, count, way):
     member = context.path.group.members[name]
     member.connection_limit = count
     member.faults.resets_when_full = way == "resets any others"
 
 
-@then("statement path: {name:w} is thought unreachable")
+@then("statement path: {name:w} counts as unreachable")
 def step_unreachable(context, name):
     observed = context.path.groups.groups[GROUP].pools[name].observed
     assert observed.health is MemberHealth.UNREACHABLE, observed
 
 
-@then("statement path: {name:w} is thought reachable")
+@then("statement path: {name:w} counts as reachable")
 def step_reachable(context, name):
     observed = context.path.groups.groups[GROUP].pools[name].observed
     assert observed.health is MemberHealth.REACHABLE, observed
@@ -97,7 +97,7 @@
         assert run(context, client.ask, "ROLLBACK") == "done I"
 
 
-@when("statement path: {count:d} clients hold transactions that read open at {name:w}")
+@when("statement path: {count:d} clients hold read transactions open at {name:w}")
 def step_hold_reads(context, count, name):
     async def hold():
         for _ in range(count):
@@ -141,8 +141,8 @@
     assert context.path.groups.groups[GROUP].pools["a"].opened == count
 
 
-@when("statement path: pools are looked after")
-def step_look_after(context):
+@when("statement path: pools close idle connections")
+def step_close_idle(context):
     for pool in context.path.groups.groups[GROUP].pools.values():
         run(context, pool.close_idle, time.monotonic())
 
@@ -165,40 +165,40 @@
 
 
 class Reporter:
-    """Keeps what a proxy gives back."""
+    """Records the leases that a proxy returns."""
 
     def __init__(self) -> None:
         self.returned: list[ConnectionLease] = []
 
     async def report_member(self, report: object) -> None:
-        """Take a report."""
+        """Ignore a report."""
 
     async def return_leases(self, leases: tuple[ConnectionLease, ...]) -> None:
-        """Take what is given back."""
+        """Record returned leases."""
         self.returned.extend(leases)
 
 
-@when("statement path: all leases are taken back")
-def step_taken_back(context):
+@when("statement path: all leases are revoked")
+def step_revoked(context):
     context.reporter = context.path.groups.reporter = Reporter()
     run(context, context.path.groups.leases_changed, (), float("inf"))
 
 
-@then("statement path: nothing is given back yet")
-def step_nothing_back(context):
+@then("statement path: no lease is returned yet")
+def step_nothing_returned(context):
     assert not context.reporter.returned, context.reporter.returned
 
 
-@when("statement path: the members are watched for {milliseconds:d} ms")
-def step_watched(context, milliseconds):
+@when("statement path: the members are monitored for {milliseconds:d} ms")
+def step_monitored(context, milliseconds):
     async def watch() -> None:
         await curio.ignore_after(milliseconds / 1_000, context.path.groups.watch)
 
     run(context, watch)
 
 
-@then("statement path: {count:d} connections of each are given back")
-def step_given_back(context, count):
+@then("statement path: leases of {count:d} connections are returned")
+def step_returned(context, count):
     assert context.reporter.returned == [ConnectionLease(GROUP, "shared", count)], (
         context.reporter.returned
     )
--- a/limedyke/proxy/statements/homes/home_service.py
+++ b/limedyke/proxy/statements/homes/home_service.py
@@ -1,4 +1,4 @@
-"""Runs statements that other proxies forward to this one as a home proxy of their group."""
+"""Runs statements that other proxies forward to this home proxy."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 MS_PER_S = 1_000.0
 CROWDED_WAIT_S = 0.1
-"""A longer wait than a round trip to a home proxy of another region and back (0.08 s at 20 ms one
-way) and some work makes that one the better place."""
+"""Expected wait, in seconds, from which another home proxy is the better choice, even one in
+another region: a round trip there and back takes 0.08 s at 20 ms one way."""
 
 
 @dataclass(slots=True)
-class _HeldTransaction:
-    """A transaction of another proxy's client, between two of its statements."""
+class _OpenForwardedTransaction:
+    """An open transaction of another proxy's client, between two of its statements."""
 
     session: StatementSession
     pinned: PinnedConnection
@@ -46,7 +46,7 @@
 def refuse_unit(
     unit: StatementUnit, code: ResultCode, detail: str = "", retry_after_ms: int = 0
 ) -> StatementUnitEnd:
-    """Return the end of a unit that did not run; its transaction is not open here."""
+    """Return the answer to a unit that did not run and whose transaction is not open here."""
     status = TransactionStatus.FAILED if unit.transaction else TransactionStatus.IDLE
     return StatementUnitEnd(unit.stream, refusal(code, detail, retry_after_ms), status)
 
@@ -54,10 +54,10 @@
 class StatementHomeService:
     """Executor of forwarded statements (see ``HomeExecutor``).
 
-    :param groups: with the members' pools
+    :param groups: the groups with their connection pools
     :param runner: runs statements on members
-    :param log: gets a line for each statement that is not served
-    :param stop: whether the proxy was asked to stop, and until when it does what
+    :param log: receives each statement that is not served
+    :param stop: state and schedule of a planned stop
     """
 
     def __init__(
@@ -73,14 +73,14 @@
         self._runner = runner
         self._log = log
         self._metrics = metrics
-        self._held: dict[WorkKey, _HeldTransaction] = {}
+        self._open_transactions: dict[WorkKey, _OpenForwardedTransaction] = {}
         self._running: dict[WorkKey, curio.Task] = {}
         self._loads = HomeLoads()
 
     @property
     def has_work(self) -> bool:
         """Whether a unit runs or a transaction is open here."""
-        return bool(self._held or self._running)
+        return bool(self._open_transactions or self._running)
 
     @property
     def under_way(self) -> int:
@@ -89,11 +89,11 @@
 
     def has_transaction(self, key: WorkKey) -> bool:
         """Tell whether a transaction is open here."""
-        return key in self._held
+        return key in self._open_transactions
 
     def has_transactions_of(self, origin: str) -> bool:
         """Tell whether a transaction that came over a link is open here."""
-        return any(key.origin == origin for key in self._held)
+        return any(key.origin == origin for key in self._open_transactions)
 
     async def run(self, unit: StatementUnit, relay: Relay, origin: str) -> StatementUnitEnd:
         """Run a unit; return the end of its answer."""
@@ -114,49 +114,51 @@
 
     async def _run(self, unit: StatementUnit, key: WorkKey) -> StatementUnitEnd:
         group = self._groups.groups.get(unit.database.group)
-        held = self._held.pop(key, None)
+        held = self._open_transactions.pop(key, None)
         if held is None and unit.transaction and unit.begin is None:
-            return refuse_unit(unit, ResultCode.TRANSACTION_LOST, "it is not open here")
+            return refuse_unit(
+                unit, ResultCode.TRANSACTION_LOST, "the transaction is not open here"
+            )
         if held is None and (group is None or group.limit == 0):
             return refuse_unit(unit, ResultCode.NO_LEASE)
-        if held is None and unit.may_decline and self._is_leaving():
+        if held is None and unit.may_decline and self._refuses_units():
             return refuse_unit(unit, ResultCode.DRAINING)
-        if held is None and _is_for_another_home(unit, group):
+        if held is None and _lacks_reachable_primary(unit, group):
             return refuse_unit(unit, ResultCode.PRIMARY_UNREACHED, group.primary)
-        if held is None and unit.may_decline and _waits_long_here(unit, group):
+        if held is None and unit.may_decline and _would_wait_long(unit, group):
             return refuse_unit(unit, ResultCode.HOME_CROWDED, group.primary)
         session = held.session if held is not None else _new_session(unit)
-        _renew(session, unit)
+        _update_session(session, unit)
         session.begin_statement(self._stop.schedule.answers_until)
         run = RunOnMember(unit.statement, unit.begin, unit.writes, unit.prepared)
         pinned = held.pinned if held is not None else None
         try:
-            placed = await self._runner.run(session, run, group, pinned)
+            outcome = await self._runner.run(session, run, group, pinned)
         except curio.CancelledError:
             if held is not None:
                 await held.pinned.abandon()
             raise
-        if placed.place is not None:
-            self._held[key] = _HeldTransaction(session, placed.place)
-        return StatementUnitEnd(unit.stream, placed.answer, session.status, session.written)
+        if outcome.location is not None:
+            self._open_transactions[key] = _OpenForwardedTransaction(session, outcome.location)
+        return StatementUnitEnd(unit.stream, outcome.answer, session.status, session.written)
 
-    def _is_leaving(self) -> bool:
-        """Tell whether units go to another home proxy, if there is one that takes them."""
+    def _refuses_units(self) -> bool:
+        """Tell whether the planned stop has reached the phase that refuses forwarded units."""
         return time.monotonic() >= self._stop.schedule.transactions_until
 
     async def abandon(self, work: AbandonWork, origin: str) -> None:
-        """Stop a unit, or roll a transaction back."""
+        """Cancel a unit, or roll a transaction back."""
         task = self._running.get(WorkKey(origin, work.stream))
         if task is not None:
             await task.cancel(blocking=False)
-        held = self._held.pop(WorkKey(origin, work.transaction), None)
+        held = self._open_transactions.pop(WorkKey(origin, work.transaction), None)
         if held is not None:
             await held.pinned.roll_back()
 
     async def abandon_origin(self, origin: str) -> None:
-        """Roll back all transactions that came over a link that has ended."""
-        for key in [key for key in self._held if key.origin == origin]:
-            held = self._held.pop(key, None)
+        """Roll back all transactions that came over a closed link."""
+        for key in [key for key in self._open_transactions if key.origin == origin]:
+            held = self._open_transactions.pop(key, None)
             if held is not None:
                 await held.pinned.roll_back()
 
@@ -171,16 +173,16 @@
     return session
 
 
-def _renew(session: StatementSession, unit: StatementUnit) -> None:
-    """Take what the unit says of its session; its time left is the statement's whole time."""
+def _update_session(session: StatementSession, unit: StatementUnit) -> None:
+    """Update the session from a unit; the unit's remaining time becomes the statement timeout."""
     session.database = dataclasses.replace(unit.database, statement_timeout_ms=unit.deadline_ms)
     session.settings = {setting.name: setting.value for setting in unit.settings}
 
 
-def _waits_long_here(unit: StatementUnit, group: StatementGroup) -> bool:
+def _would_wait_long(unit: StatementUnit, group: StatementGroup) -> bool:
     """Tell whether a unit that needs the primary would wait long for a connection to it here.
 
-    Home proxies hold equal shares of a group's connections, but the clients near them differ.
+    Home proxies hold equal shares of a group's connections, but not all are equally loaded.
     """
     pool = group.primary_pool()
     if pool is None or not _needs_primary(unit, group):
@@ -195,15 +197,15 @@
     return unit.writes or begins_to_write or not group.is_surely_primary(group.primary)
 
 
-def _is_for_another_home(unit: StatementUnit, group: StatementGroup) -> bool:
-    """Tell whether a unit needs the primary, which this home proxy can't reach."""
+def _lacks_reachable_primary(unit: StatementUnit, group: StatementGroup) -> bool:
+    """Tell whether to return a unit because it needs the primary, which can't be reached here."""
     if not group.has_unreachable_primary():
         return False
-    return _needs_primary(unit, group) or not _may_run_at_replica(unit, group)
+    return _needs_primary(unit, group) or not _replica_ready_soon(unit, group)
 
 
-def _may_run_at_replica(unit: StatementUnit, group: StatementGroup) -> bool:
-    """Tell whether a read had better wait for a replica here than go to another home proxy."""
+def _replica_ready_soon(unit: StatementUnit, group: StatementGroup) -> bool:
+    """Tell whether a replica here is expected to serve a read sooner than another home proxy."""
     database = unit.database
     if database.consistency is Consistency.PRIMARY:
         return False
--- a/limedyke/proxy/statements/members/checked_out_connections.py
+++ b/limedyke/proxy/statements/members/checked_out_connections.py
@@ -1,41 +1,42 @@
-"""Connections of a pool that are in use, and how soon they come back."""
+"""The connections of a pool that are checked out."""
 
 from __future__ import annotations
 
 from limedyke.core.queueing.queued_request import QueuedRequest
 from limedyke.proxy.statements.members.member_connection import MemberConnection
 
-HELD_S = 0.25
-HELD_FACTOR = 8.0
-"""A connection lent for so long, and so many times as long as usual, rests in a transaction: it is
-not counted on."""
-CHANGE_SMOOTHING = 0.2
+LONG_HELD_S = 0.25
+LONG_HELD_FACTOR = 8.0
+"""A connection that is checked out for longer than both ``LONG_HELD_S`` seconds and
+``LONG_HELD_FACTOR`` times the usual time is taken to be held by an idle transaction; its return is
+not expected."""
+REOPEN_SHARE_SMOOTHING = 0.2
 
 
 class CheckedOutConnections:
-    """Which request has which connection, and how often one is replaced for another tenant.
+    """Tracks which request has which connection, and how often a turn needs a new connection.
 
-    :ivar change_share: share of the turns for which a connection had to be opened anew
+    :ivar reopen_share: smoothed share of turns that replaced a connection with another tenant's
     """
 
     def __init__(self) -> None:
-        self.change_share = 0.0
+        self.reopen_share = 0.0
         self._requests: dict[MemberConnection, QueuedRequest] = {}
 
-    def lend(self, connection: MemberConnection, request: QueuedRequest, now: float) -> None:
-        """Note who has a connection from now on."""
-        connection.lent_at = now
+    def check_out(self, connection: MemberConnection, request: QueuedRequest, now: float) -> None:
+        """Record that a request checked out a connection."""
+        connection.checked_out_at = now
         self._requests[connection] = request
 
-    def take_back(self, connection: MemberConnection) -> QueuedRequest | None:
-        """Return who had a connection; None where it was lent for a question."""
+    def check_in(self, connection: MemberConnection) -> QueuedRequest | None:
+        """Record a return; return the request that had the connection, None for a status query."""
         return self._requests.pop(connection, None)
 
-    def held(self, usual_s: float, now: float) -> int:
-        """Return how many are in use for so long that nobody knows when they come back."""
-        limit_s = max(HELD_S, HELD_FACTOR * usual_s)
-        return sum(now - connection.lent_at > limit_s for connection in self._requests)
+    def count_long_held(self, usual_s: float, now: float) -> int:
+        """Return how many are checked out for so long that their return can't be predicted."""
+        limit_s = max(LONG_HELD_S, LONG_HELD_FACTOR * usual_s)
+        return sum(now - connection.checked_out_at > limit_s for connection in self._requests)
 
-    def turned_over(self, changed: bool) -> None:
-        """Note whether a turn needed a new connection."""
-        self.change_share += CHANGE_SMOOTHING * (float(changed) - self.change_share)
+    def record_turn(self, changed: bool) -> None:
+        """Record whether a turn needed a new connection."""
+        self.reopen_share += REOPEN_SHARE_SMOOTHING * (float(changed) - self.reopen_share)
--- a/limedyke/proxy/statements/members/member_connector.py
+++ b/limedyke/proxy/statements/members/member_connector.py
@@ -1,4 +1,4 @@
-"""Opens connections to one member; what each attempt shows is kept in ``ObservedMember``."""
+"""Opens connections to one member and records the outcomes in ``ObservedMember``."""
 
 from __future__ import annotations
 
@@ -14,7 +14,6 @@
 from limedyke.event_log import EventLog
 from limedyke.messages.statements import AnswerKind
 from limedyke.messages.work import LogPosition
-from limedyke.proxy.statements.members import present_time
 from limedyke.proxy.statements.members.member_codec import MemberCodec
 from limedyke.proxy.statements.members.member_connection import (
     ConnectionLostError,
@@ -22,6 +21,7 @@
     MemberConnection,
 )
 from limedyke.proxy.statements.members.member_traffic import MemberTraffic
+from limedyke.proxy.statements.members.present_time import call_with_timeout
 
 EVENTS = EventLog("pools")
 Opened = Result[MemberConnection, ConnectionLostError | ConnectionRefusedByMemberError]
@@ -30,10 +30,10 @@
 class MemberConnector:
     """Opens connections to exactly one member.
 
-    :param observed: learns from each attempt
-    :param make_codec: makes the codec of a connection
-    :param source_ip: from where; empty for any
-    :param connect_timeout_s: an attempt is given up after so long, unless the member takes longer
+    :param observed: records the outcome of each attempt
+    :param make_codec: creates the codec of a connection
+    :param source_ip: local address; empty for any
+    :param connect_timeout_s: timeout of an attempt; longer if the member is known to be slower
     :param traffic: counts the bytes of all its connections
     """
 
@@ -52,19 +52,19 @@
         self._traffic = traffic
 
     async def open(self, tenant: str) -> Opened:
-        """Open a connection on a tenant's behalf.
+        """Open a connection for a tenant.
 
-        It is tried again when this process stood still meanwhile.
+        A timeout is ignored and the attempt repeated if this process was paused meanwhile.
         """
         observed = self._observed
         limit_s = max(self.connect_timeout_s, observed.opening.longest_s)
         while True:
             asked_at = time.monotonic()
-            told = observed.told
+            reported = observed.told
             try:
-                connection = await present_time.within(limit_s, self._connect, tenant)
-                connection.opened_in_s = observed.awaited_s(asked_at, time.monotonic())
-                return await self._check_log(connection, told)
+                connection = await call_with_timeout(limit_s, self._connect, tenant)
+                connection.open_s = observed.awaited_s(asked_at, time.monotonic())
+                return await self._check_log(connection, reported)
             except curio.TaskTimeout:
                 if observed.answer_timed_out(asked_at, limit_s, time.monotonic()):
                     return Err(ConnectionLostError("no answer to a connection attempt"))
@@ -81,7 +81,7 @@
                 return Err(error)
 
     async def check_address(self, timeout_s: float) -> None:
-        """See whether anything answers at the member's address, when no connection is free."""
+        """Check whether the member's address accepts TCP; used when no connection is free."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         asked_at = time.monotonic()
         try:
@@ -106,15 +106,17 @@
             tenant,
         )
 
-    async def _check_log(self, connection: MemberConnection, told: LogPosition) -> Opened:
-        """Give up a new connection to a primary that has lost the log that it had told of."""
+    async def _check_log(self, connection: MemberConnection, reported: LogPosition) -> Opened:
+        """Close a new connection to a primary that lost the log it reported before."""
         observed = self._observed
         had_lost_log = observed.has_lost_log
-        observed.opened_at(connection.opened_at, told)
+        observed.opened_at(connection.opening_position, reported)
         if not observed.has_lost_log:
             return Ok(connection)
         if not had_lost_log:
             identity = observed.record.identity
-            EVENTS.warning("primary-lost-log", member=identity, at=connection.opened_at, told=told)
+            EVENTS.warning(
+                "primary-lost-log", member=identity, at=connection.opening_position, told=reported
+            )
         await connection.close()
         return Err(ConnectionLostError("the member has lost its log"))
