--- a/features/support/careless_back_end.py
+++ b/features/support/careless_back_end.py
@@ -66,7 +66,7 @@
     (AnswerReader, "_next_piece_is_callers", _callers_next),
     (BackendConnection, "_feed", _feed),
     (BackendConnection, "check_idle", lambda self: not self.broken),
-    (BackendConnection, "_refuse_stray", lambda self, received: None),
+    (BackendConnection, "_reject_unexpected", lambda self, received: None),
 )
 _PATCHES = {
     "answers": _ANSWERS,
--- a/limedyke/proxy/members/connection.py
+++ b/limedyke/proxy/members/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a member, on curio: login, exchanges, own statements, cancel."""
+"""A curio connection to a member: login, batches, the proxy's own statements and cancel."""
 
 from __future__ import annotations
 
@@ -26,15 +26,18 @@
 RECEIVE_BYTES = 64 * 1024
 MAXIMUM_FRAME_BYTES = 256 * 1024 * 1024
 CANCEL_TIMEOUT_S = 2.0
-MARKS = 1_000
-"""Marks come round again, so that a member may cache the few texts they make."""
+MARK_COUNT = 1_000
+"""Position queries carry a mark from 1 to this number.
+
+Marks are reused so that a member can cache the limited set of query texts.
+"""
 _IDLE_KINDS = frozenset({frames.NOTICE, frames.PARAMETER_STATUS, frames.NOTIFICATION})
 
 
 class ConnectionLostError(Exception):
-    """The connection broke, or was shut because the member or the caller is gone.
+    """The connection broke, or was shut down because the member or the caller is gone.
 
-    :param nothing_sent: known that no byte of the batch was handed to the network
+    :param nothing_sent: true if no byte of the batch was handed to the network
     """
 
     def __init__(self, detail: str, nothing_sent: bool = False) -> None:
@@ -44,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberEndpoint:
-    """Where a member is reached, and from which local address."""
+    """Address of a member, and the local address to connect from (empty for any)."""
 
     name: str
     address: str
@@ -54,7 +57,7 @@
 async def open_socket(endpoint: MemberEndpoint) -> socket.socket:
     """Connect to a member.
 
-    :raises OSError: when it is refused
+    :raises OSError: when the connection cannot be opened
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -71,11 +74,12 @@
 class BackendConnection:
     """A logged-in connection to a member.
 
-    One exchange is in flight at a time.  Any doubt about an answer makes the
-    connection ``broken``; it is then closed and never used again.
+    One exchange is in flight at a time.  An answer that may not belong to the
+    exchange marks the connection ``broken``; it is then closed and never reused.
 
-    :ivar round_trip_s: time that the first answer to the login took, which no statement at
-        the member delays; 0 once it was taken note of
+    :ivar known: the member's last known term and log position
+    :ivar round_trip_s: round-trip time of the first login message, which running statements
+        do not delay; 0 after it has been recorded
     """
 
     def __init__(self, sock: socket.socket, endpoint: MemberEndpoint) -> None:
@@ -97,7 +101,7 @@
     async def open(
         cls, endpoint: MemberEndpoint, credentials: MemberCredentials, timeout_s: float
     ) -> Result[BackendConnection, Failure]:
-        """Connect, log in, and ask for the member's term and position."""
+        """Connect, log in, and query the member's term and position."""
         try:
             async with curio.timeout_after(timeout_s):
                 sock = await open_socket(endpoint)
@@ -136,12 +140,12 @@
         return None
 
     def next_mark(self) -> int:
-        """Return a mark for a position check, not used lately on this connection."""
-        self._mark = self._mark % MARKS + 1
+        """Return a mark for a position query that was not used recently on this connection."""
+        self._mark = self._mark % MARK_COUNT + 1
         return self._mark
 
     async def send(self, data: bytes) -> None:
-        """Send bytes.
+        """Send all bytes.
 
         :raises ConnectionLostError: when the connection is broken
         """
@@ -157,9 +161,9 @@
             raise ConnectionLostError(str(error), nothing_sent=sent == 0) from error
 
     async def receive(self) -> tuple[Frame, ...]:
-        """Return the next frames, at least one.
+        """Wait for data and return at least one frame.
 
-        :raises ConnectionLostError: at the end of the connection
+        :raises ConnectionLostError: when the connection ends
         """
         if self._put_back:
             received, self._put_back = self._put_back, ()
@@ -191,10 +195,10 @@
         return received
 
     async def ask_position(self) -> PositionAnswer:
-        """Ask for term and position, and remember them for this connection.
+        """Query the member's term and position, and record them for this connection.
 
-        :raises ConnectionLostError: when the connection is broken, or the answer is not one
-            of this query
+        :raises ConnectionLostError: when the connection is broken, or the answer does not
+            match this query
         """
         mark = self.next_mark()
         reader = AnswerReader(mark_before=mark)
@@ -210,7 +214,7 @@
         return answer
 
     def learn(self, answer: PositionAnswer) -> None:
-        """Remember what this connection answered about its member."""
+        """Record the position and role that the member reported on this connection."""
         self.known = answer.place
         self.is_replica = answer.is_replica
 
@@ -223,18 +227,18 @@
             raise
 
     async def execute(self, sql: str) -> OwnAnswer:
-        """Run a statement of the proxy itself and return its whole answer.
+        """Run one of the proxy's own statements and return its complete answer.
 
         :raises ConnectionLostError: when the connection breaks
         """
         await self.send(frames.query(sql))
         answer = await self.read_own()
-        self._refuse_stray(self._put_back)
+        self._reject_unexpected(self._put_back)
         self._put_back = ()
         return answer
 
     async def read_own(self) -> OwnAnswer:
-        """Read the answer to one query of the proxy itself; others may be pipelined behind it.
+        """Read the answer to one of the proxy's own queries; further answers may follow it.
 
         :raises ConnectionLostError: when the connection breaks
         """
@@ -247,21 +251,21 @@
                     self._put_back = received[index + 1 :]
                     return answer
 
-    def _refuse_stray(self, received: tuple[Frame, ...]) -> None:
+    def _reject_unexpected(self, received: tuple[Frame, ...]) -> None:
         if any(kind not in _IDLE_KINDS for kind, _ in received):
             self.broken = True
             raise ConnectionLostError("messages after the end of the answer")
 
     async def receive_into(self, reader: AnswerReader) -> None:
-        """Wait for more of the answer and pass it to the reader.
+        """Receive more frames of an answer and pass them to the reader.
 
-        :raises AnswerViolationError: when it does not fit
+        :raises AnswerViolationError: when a frame does not belong to the answer
         :raises ConnectionLostError: when the connection breaks
         """
         await self._feed(reader)
 
     def check_idle(self) -> bool:
-        """Tell whether nothing unexpected arrived while the connection was idle."""
+        """Return whether the idle connection is still open and received nothing unexpected."""
         self.broken = self.broken or bool(self._put_back)
         while not self.broken:
             try:
@@ -270,10 +274,10 @@
                 return True
             except OSError:
                 data = b""
-            self._take_idle(data)
+            self._check_idle_data(data)
         return False
 
-    def _take_idle(self, data: bytes) -> None:
+    def _check_idle_data(self, data: bytes) -> None:
         if not data:
             self.broken = True
             return
@@ -285,17 +289,17 @@
             self.broken = True
 
     async def evict_prepared(self) -> None:
-        """Close the statements used longest ago, down to the limit.
+        """Close the least recently used prepared statements above the limit.
 
         :raises ConnectionLostError: when the connection breaks
         """
-        await self.send(self.state.take_evicted())
+        await self.send(self.state.evict_statements())
         await self.read_own()
-        self._refuse_stray(self._put_back)
+        self._reject_unexpected(self._put_back)
         self._put_back = ()
 
     async def apply_settings(self, settings: tuple[SessionSetting, ...]) -> Failure | None:
-        """Make the connection hold just these settings.
+        """Replace the session settings of the connection.
 
         :raises ConnectionLostError: when the connection breaks
         """
@@ -308,7 +312,7 @@
         return None
 
     def shut(self) -> None:
-        """Break the connection at once; whoever waits on it sees ConnectionLostError."""
+        """Shut the connection down; tasks that wait on it get ConnectionLostError."""
         self.broken = True
         try:
             self._socket._socket.shutdown(plain_socket.SHUT_RDWR)
@@ -316,7 +320,7 @@
             return
 
     async def cancel(self) -> None:
-        """Ask the member to cancel the running statement, over a connection of its own."""
+        """Send a cancel request for the running statement over a separate connection."""
         if self._backend_key is None:
             return
         request = element3.CancelRequest(*self._backend_key).bytes()
@@ -329,7 +333,7 @@
             return
 
     async def close(self) -> None:
-        """Say goodbye when possible, and close; safe to call twice."""
+        """Send Terminate if the connection is usable, and close it; safe to call twice."""
         if not self.broken:
             self.broken = True
             with contextlib.suppress(OSError):
--- a/limedyke/proxy/members/connection_state.py
+++ b/limedyke/proxy/members/connection_state.py
@@ -1,4 +1,4 @@
-"""What a connection to a member holds of sessions: settings and prepared statements; sans-IO."""
+"""Session state left on a connection to a member: settings, prepared statements; sans-IO."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 class BackendState:
     """State that sessions left on a connection.
 
-    :ivar settings: the settings made on it, as the last session that had any wanted them
-    :ivar tainted: it may hold other state; everything is discarded before another unit
+    :ivar settings: session settings that are set on the connection
+    :ivar tainted: true if it may hold other state; DISCARD ALL then runs before the next unit
     """
 
     def __init__(self) -> None:
@@ -23,9 +23,9 @@
         self.tainted = False
 
     def prepare(self, statements: tuple[PreparedStatement, ...]) -> tuple[bytes, int]:
-        """Return messages that make ``statements`` known here, and the number of Parse messages.
+        """Return the Parse messages for ``statements`` that are missing here, and their number.
 
-        Their answers have to be dropped; see ``AnswerReader``.
+        The answers to them must be dropped; see ``AnswerReader``.
         """
         if not statements:
             return b"", 0
@@ -37,11 +37,11 @@
 
     @property
     def has_too_many_prepared(self) -> bool:
-        """Whether more statements are prepared here than should be kept."""
+        """Whether the number of prepared statements exceeds ``PREPARED_LIMIT``."""
         return len(self._prepared) > PREPARED_LIMIT
 
-    def take_evicted(self) -> bytes:
-        """Forget the statements used longest ago, down to the limit; return what closes them."""
+    def evict_statements(self) -> bytes:
+        """Drop the least recently used statements above the limit; return the Close messages."""
         closing = []
         while self.has_too_many_prepared:
             name, _ = self._prepared.popitem(last=False)
@@ -49,7 +49,7 @@
         return b"".join(closing) + frames.SYNC
 
     def settings_sql(self, wanted: tuple[SessionSetting, ...]) -> str:
-        """Return statements that lead from the present settings to ``wanted``."""
+        """Return the SQL that changes the current settings to ``wanted``."""
         names = {setting.name for setting in wanted}
         statements = [
             f"RESET {frames.quote_identifier(setting.name)}"
@@ -64,8 +64,8 @@
         ]
         return "; ".join(statements)
 
-    def discarded(self) -> None:
-        """Note that DISCARD ALL ran."""
+    def reset_session(self) -> None:
+        """Record that DISCARD ALL ran on the connection."""
         self._prepared.clear()
         self.settings = ()
         self.tainted = False
--- a/limedyke/proxy/members/gate.py
+++ b/limedyke/proxy/members/gate.py
@@ -1,4 +1,4 @@
-"""Entry to one member: slots, the queue in front of them, and the tenants' pools."""
+"""Admission control for one member: statement slots, the request queue and tenant pools."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 QUEUE_WAIT_LIMIT_S = 3.0
 RECOUNT_INTERVAL_S = 0.02
-"""What waits is counted again so often as units end."""
+"""Minimum time between two checks for queued requests that can no longer be served in time."""
 MS_PER_S = 1_000.0
 
 
 @dataclass(slots=True, eq=False)
 class Grant:
-    """A slot, and a connection unless the request brought its own."""
+    """A granted slot, with a connection unless the request already has one."""
 
     request: QueuedRequest
     connection: BackendConnection | None
@@ -38,7 +38,7 @@
 
 
 class _Waiter(QueuedRequest):
-    """A queued request and the task that waits for it."""
+    """A queued request, with the event that wakes its waiting task."""
 
     __slots__ = ("event", "failure", "grant", "settings")
 
@@ -55,8 +55,8 @@
 class MemberGate:
     """Admits units to one member.
 
-    :param state: the member's state in the group view; its load counts are kept here
-    :param on_trouble: told the member's name when a connection to it broke or was refused
+    :param state: the member's state in the group view; this class updates its load counts
+    :param on_trouble: called with the member's name when a connection broke or was refused
     """
 
     def __init__(
@@ -85,7 +85,7 @@
         self.slot_use.state = state
 
     def add_tenant(self, tenant: str, credentials: MemberCredentials, weight: int) -> None:
-        """Declare a tenant; its pool starts with limit 0."""
+        """Set a tenant's weight and create its pool, with limit 0, if it has none."""
         self._queue.set_weight(tenant, weight)
         if tenant in self.pools:
             return
@@ -97,7 +97,7 @@
         self.pools[tenant] = pool
 
     async def remove_tenant(self, tenant: str) -> None:
-        """Forget a tenant; its connections close as they become idle."""
+        """Remove a tenant; its connections close as they become idle."""
         pool = self.pools.pop(tenant, None)
         if pool is None:
             return
@@ -116,10 +116,12 @@
             connection = pool.getconn(unit.settings)
             if connection is not None:
                 return Ok(self._grant(request, connection, now))
-        cut_off_s = pool.cut_off_s(now)
-        if cut_off_s > 0.0:
+        reconnect_delay_s = pool.reconnect_delay_s(now)
+        if reconnect_delay_s > 0.0:
             detail = f"{self.endpoint.name} takes no connections"
-            return Err(Failure(ResultCode.NO_MEMBER, detail, math.ceil(cut_off_s * MS_PER_S)))
+            return Err(
+                Failure(ResultCode.NO_MEMBER, detail, math.ceil(reconnect_delay_s * MS_PER_S))
+            )
         waiter = _Waiter(request, unit.settings)
         answer = self._queue.push(waiter, now, self._drain(pool.limit))
         if isinstance(answer, Refused):
@@ -127,15 +129,15 @@
         return await self._wait(unit, waiter, time_left)
 
     def take_slot(self, unit: WorkUnit) -> Grant:
-        """Take a slot only, for a unit of an open transaction, also beyond this proxy's share.
+        """Take a slot for a unit of an open transaction, even above this proxy's share.
 
-        The transaction may hold locks that the units in the slots wait for; waiting for them
-        would stop all writes of the member.  Its connection's lease bounds how many there are.
+        The transaction may hold locks that the running units wait for; making it wait for a slot
+        would block all writes of the member.  Connection leases bound the number of such units.
         """
         return self._grant(QueuedRequest(unit.tenant, unit.priority, 0.0), None, time.monotonic())
 
     async def release(self, grant: Grant, keep_connection: bool = False) -> None:
-        """Give the slot back, and the connection unless a transaction keeps it."""
+        """Release the slot, and return the connection unless a transaction keeps it."""
         tenant = grant.request.tenant
         now = time.monotonic()
         used_s = now - grant.started_at
@@ -147,7 +149,7 @@
             await self._dispatch()
 
     async def give_back(self, tenant: str, connection: BackendConnection) -> None:
-        """Return a connection to its pool, or close it when the pool is gone."""
+        """Return a connection to its pool; close it if the pool was removed."""
         if connection.broken:
             await self._on_trouble(self.endpoint.name)
         pool = self.pools.get(tenant)
@@ -159,7 +161,7 @@
             await self._dispatch()
 
     async def set_limits(self, slots: int, leases: dict[str, int]) -> None:
-        """Take new slots and leases into force; tenants without one get 0."""
+        """Apply new slots and leases; tenants without a lease get limit 0."""
         self.slot_use.set_slots(slots)
         for tenant, pool in list(self.pools.items()):
             await pool.set_limit(leases.get(tenant, 0))
@@ -169,30 +171,30 @@
         await self._dispatch()
 
     async def fail_waiting(self, failure: Failure) -> None:
-        """Wake all that wait with a failure."""
+        """Fail all queued requests."""
         await self._fail(self._queue.drain(), failure)
 
     def shut_all(self) -> None:
-        """Break every connection to the member at once."""
+        """Shut down every connection to the member."""
         for pool in self.pools.values():
             pool.shut_all()
 
     async def check(self) -> None:
-        """Look after the idle connections of all pools."""
+        """Check the idle connections of all pools."""
         for pool in list(self.pools.values()):
             await pool.check()
 
     def _drain(self, connections: int) -> QueueDrain:
-        """Return how fast the queue gets shorter for a tenant with so many connections."""
+        """Return the rate at which the queue drains for a tenant with ``connections``."""
         return QueueDrain(max(1.0, float(self.state.in_flight_limit)), connections)
 
     def _grant(
         self, request: QueuedRequest, connection: BackendConnection | None, now: float
     ) -> Grant:
         self._queue.started(request)
-        return self._count(request, connection, now)
+        return self._start_unit(request, connection, now)
 
-    def _count(
+    def _start_unit(
         self, request: QueuedRequest, connection: BackendConnection | None, now: float
     ) -> Grant:
         self.slot_use.started(request.tenant, now)
@@ -202,7 +204,7 @@
         return Grant(request, connection, now)
 
     async def cancel(self, unit: WorkUnit) -> None:
-        """Let a unit wait no longer, if it does."""
+        """Cancel a unit's wait if it is queued."""
         waiter = self._waiters.get(id(unit))
         if waiter is not None and waiter.grant is None and self._queue.remove(waiter):
             await self._fail([waiter], Failure(ResultCode.CANCELLED))
@@ -245,7 +247,7 @@
         return Failure(ResultCode.QUEUE_TIMEOUT, "", after)
 
     async def _forget(self, waiter: _Waiter) -> None:
-        """Undo the wait of a cancelled task."""
+        """Dequeue the request of a cancelled task, or release what it was granted."""
         if waiter.grant is not None:
             await self.release(waiter.grant)
         elif self._queue.remove(waiter):
@@ -263,14 +265,14 @@
                 self._queue.finished(waiter, 0.0)
                 self._queue.place(waiter, now)
                 continue
-            waiter.grant = self._count(waiter, connection, now)
+            waiter.grant = self._start_unit(waiter, connection, now)
             await waiter.event.set()
         await self._recount(now)
         self.state.waiting = len(self._queue)
         await self._demand()
 
     async def _recount(self, now: float) -> None:
-        """Tell those that can't have their turn in time any more; not too often."""
+        """Refuse queued requests that can no longer be served before their deadline."""
         if not self._queue or now < self._recount_at:
             return
         self._recount_at = now + RECOUNT_INTERVAL_S
@@ -303,12 +305,12 @@
         self.state.waiting = len(self._queue)
 
     def _over_budget(self, priority: int, refused: Refused) -> Failure:
-        """Return the failure of a unit that may not wait, or wait on."""
+        """Return the failure for a unit that is refused a place in the queue or removed from it."""
         retry_after_ms = self._retry_after_ms(priority, refused.retry_after_ms / MS_PER_S)
         return Failure(ResultCode.OVER_BUDGET, "", retry_after_ms)
 
     def _retry_after_ms(self, priority: int, ready_in_s: float) -> int:
-        """Return when one that is refused may come back, and keep the time for it."""
+        """Return when a refused caller should retry, and reserve that time for it."""
         gap_s = self._queue.usual_cost_s / max(1, self.state.in_flight_limit)
         now = time.monotonic()
         return math.ceil(MS_PER_S * self._returns.retry_after_s(priority, ready_in_s, now, gap_s))
--- a/limedyke/proxy/members/pool.py
+++ b/limedyke/proxy/members/pool.py
@@ -1,4 +1,4 @@
-"""Pool of connections to one member for one tenant: transaction pooling under a lease."""
+"""Connection pool for one tenant and one member: transaction pooling within a lease."""
 
 from __future__ import annotations
 
@@ -47,20 +47,20 @@
 
 
 class ConnectLimit:
-    """How many connections to one member may be opened at once."""
+    """Limits the connections to one member that are being opened at the same time."""
 
     def __init__(self, limit: int = CONCURRENT_CONNECTS) -> None:
         self._free = limit
 
     def take(self) -> bool:
-        """Take a place when there is one."""
+        """Take a permit; return False if none is free."""
         if self._free == 0:
             return False
         self._free -= 1
         return True
 
     def give_back(self) -> None:
-        """Give a place back."""
+        """Return a permit."""
         self._free += 1
 
 
@@ -68,10 +68,10 @@
     """Connections of one tenant to one member.
 
     Every connection counts against ``limit`` from before it is opened until it
-    is closed.  Connections of one pool are never handed to another.
+    is closed.  Connections never move to another pool.
 
-    :param connect_limit: shared by the pools of the member
-    :param on_ready: called when an idle connection came or an attempt to open one failed
+    :param connect_limit: shared by all pools of the member
+    :param on_ready: called when a connection became idle, or with the failure to open one
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         self._backoff = Backoff(CONNECT_BACKOFF_BASE_S, CONNECT_BACKOFF_LIMIT_S)
         self._idle: list[BackendConnection] = []
         self._busy: set[BackendConnection] = set()
-        self._doomed: list[BackendConnection] = []
+        self._to_close: list[BackendConnection] = []
         self._opening = 0
         self._opened = 0
         self._failed = 0
@@ -96,16 +96,16 @@
 
     @property
     def size(self) -> int:
-        """Connections that count against the limit."""
-        return len(self._idle) + len(self._busy) + len(self._doomed) + self._opening
+        """Number of connections that count against the limit."""
+        return len(self._idle) + len(self._busy) + len(self._to_close) + self._opening
 
     @property
     def has_idle(self) -> bool:
-        """Whether a connection is free now."""
+        """Whether a connection is idle."""
         return bool(self._idle)
 
-    def cut_off_s(self, now: float) -> float:
-        """Return for how long no connection will come, since none could be opened; else 0."""
+    def reconnect_delay_s(self, now: float) -> float:
+        """Return the remaining backoff in seconds if there is no connection, else 0."""
         return max(0.0, self._backoff.ready_at - now) if self.size == 0 else 0.0
 
     @property
@@ -114,14 +114,17 @@
         return (*self._idle, *self._busy)
 
     def getconn(self, settings: tuple[SessionSetting, ...] = ()) -> BackendConnection | None:
-        """Take the connection used last, preferring one that holds ``settings``; or None."""
+        """Return the most recently used idle connection, preferring one with ``settings``.
+
+        Returns None if no idle connection is usable.
+        """
         while self._idle:
             index = self._best_index(settings)
             connection = self._idle.pop(index)
             if connection.check_idle():
                 self._busy.add(connection)
                 return connection
-            self._doomed.append(connection)
+            self._to_close.append(connection)
         return None
 
     def _best_index(self, settings: tuple[SessionSetting, ...]) -> int:
@@ -133,12 +136,12 @@
                 return index
         return last
 
-    async def _close_doomed(self) -> None:
-        while self._doomed:
-            await self._doomed.pop().close()
+    async def _close_unusable(self) -> None:
+        while self._to_close:
+            await self._to_close.pop().close()
 
     async def putconn(self, connection: BackendConnection) -> None:
-        """Take a connection back; close it when it is broken or over the limit."""
+        """Return a connection to the pool; close it if it is broken or above the limit."""
         if connection.broken or self.size > self.limit:
             self._busy.discard(connection)
             await connection.close()
@@ -154,7 +157,7 @@
         self._idle.append(connection)
 
     async def _clean(self, connection: BackendConnection, clean: Clean) -> None:
-        """Remove state from a connection, then take it back; it counts as busy meanwhile."""
+        """Clear the state of a connection, which counts as busy until it is back in the pool."""
         try:
             async with curio.timeout_after(CLEAN_TIMEOUT_S):
                 await clean(connection)
@@ -166,14 +169,14 @@
     async def _discard(self, connection: BackendConnection) -> None:
         answer = await connection.execute("DISCARD ALL")
         connection.broken = connection.broken or bool(answer.sqlstate)
-        connection.state.discarded()
+        connection.state.reset_session()
 
     async def _evict(self, connection: BackendConnection) -> None:
         await connection.evict_prepared()
 
     async def demand(self, wanted: int) -> None:
-        """Open connections so that ``wanted`` more requests could run, within all limits."""
-        await self._close_doomed()
+        """Open connections for ``wanted`` waiting requests, within all limits."""
+        await self._close_unusable()
         missing = wanted - len(self._idle) - self._opening
         for _ in range(missing):
             if not self._may_open() or not self._connect_limit.take():
@@ -212,7 +215,7 @@
         await self._on_ready(None)
 
     async def set_limit(self, limit: int) -> None:
-        """Change the limit; idle connections above it close now, busy ones when returned."""
+        """Change the limit; excess idle connections close now, busy ones when returned."""
         self.limit = limit
         while self._idle and self.size > limit:
             await self._idle.pop(0).close()
@@ -220,8 +223,8 @@
             await self.demand(min(WARM_CONNECTIONS, limit))
 
     async def check(self) -> None:
-        """Close idle connections that broke or were unused for long, and keep some warm."""
-        await self._close_doomed()
+        """Close broken and long unused idle connections, and keep some open."""
+        await self._close_unusable()
         now = time.monotonic()
         kept = []
         for index, connection in enumerate(self._idle):
@@ -240,12 +243,12 @@
         await self.set_limit(0)
 
     def shut_all(self) -> None:
-        """Break every connection at once."""
+        """Shut down every connection."""
         for connection in self.connections:
             connection.shut()
 
     def get_stats(self) -> PoolStats:
-        """Return counts."""
+        """Return the pool's current counts."""
         return PoolStats(
             len(self._idle),
             len(self._busy),
