--- a/features/steps/failover_monitor_steps.py
+++ b/features/steps/failover_monitor_steps.py
@@ -174,7 +174,7 @@
         return None
 
     if safeguard == "off":
-        context.lab.proxies["p1"]._groups["g"].look_at_traffic = nothing
+        context.lab.proxies["p1"]._groups["g"].probe_stalled_members = nothing
 
 
 @when("monitor: member a is frozen and a write is sent")
--- a/limedyke/proxy/back_ends.py
+++ b/limedyke/proxy/back_ends.py
@@ -257,7 +257,7 @@
             await curio.sleep(DEADLINE_SWEEP_S)
             await self._local.enforce_deadlines()
             for name in self._leased_groups & self._groups.keys():
-                await self._groups[name].look_at_traffic()
+                await self._groups[name].probe_stalled_members()
             await self._report_pauses()
             if self._unreturned:
                 await self._return_leases()
@@ -308,5 +308,5 @@
             group = self._groups.get(name)
             if group is not None:
                 await group.check()
-            if group is None or not group.holds_anything:
+            if group is None or not group.holds_leases_or_connections:
                 self._leased_groups.discard(name)
--- a/limedyke/proxy/members/group.py
+++ b/limedyke/proxy/members/group.py
@@ -1,4 +1,4 @@
-"""A group as this proxy serves it: view, a gate per member, the monitor, and its changes."""
+"""A group served by this proxy: its view, a gate per member and the health monitor."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 
 
 class BackendGroup:
-    """One group: its view, the gates to its members, and the watch over them.
+    """One group: its view, the gates to its members, and their health monitor.
 
-    :param report: passes what the monitor sees to the controllers
-    :param on_unreachable: told of a member that was found unreachable
+    :param report: sends member reports of the monitor to the controllers
+    :param on_unreachable: called with the endpoint of a member that became unreachable
     """
 
     def __init__(
@@ -73,15 +73,15 @@
         return self.declared.name
 
     def holds_lease(self, tenant: str) -> bool:
-        """Tell whether this proxy may connect to the members for a tenant."""
+        """Return whether this proxy may connect to the members for a tenant."""
         return self._leases.get(tenant, 0) > 0
 
     def may_serve(self, tenant: str) -> bool:
-        """Tell whether units of a tenant that begin here can be served here."""
+        """Return whether this proxy can serve new units of a tenant itself."""
         return self._is_home and self.holds_lease(tenant)
 
     @property
-    def holds_anything(self) -> bool:
+    def holds_leases_or_connections(self) -> bool:
         """Whether this proxy holds a lease or a connection of the group."""
         pools = (pool for gate in self.gates.values() for pool in gate.pools.values())
         return bool(self._leases) or any(pool.size for pool in pools)
@@ -89,7 +89,7 @@
     async def declare(
         self, group: Group, primary: GroupPrimary | None, homes: tuple[str, ...]
     ) -> None:
-        """Take a declaration, the recorded primary and the home proxies into force."""
+        """Apply a declaration, the recorded primary and the home proxies."""
         before = set(self.gates)
         old_primary = self.view.primary
         declared_anew = group is not self.declared
@@ -111,7 +111,7 @@
             await self._announce_change()
 
     def _make_gates(self) -> list[MemberGate]:
-        """Create missing gates; return those of members that are gone."""
+        """Create missing gates; return the gates of members that were removed."""
         removed = [gate for name, gate in self.gates.items() if not self._is_current(name, gate)]
         for gate in removed:
             del self.gates[gate.endpoint.name]
@@ -119,7 +119,7 @@
             if member.name not in self.gates:
                 endpoint = MemberEndpoint(member.name, member.address, self._settings.source_ip)
                 state = self.view.members[member.name]
-                self.gates[member.name] = MemberGate(endpoint, state, self._disturbed)
+                self.gates[member.name] = MemberGate(endpoint, state, self._on_connection_trouble)
         for gate in self.gates.values():
             gate.state = self.view.members[gate.endpoint.name]
             self._add_tenants(gate)
@@ -140,12 +140,15 @@
         await gate.set_limits(1, {})
 
     async def _leave_primary(self, gate: MemberGate) -> None:
-        """Let nothing wait for a replaced primary; cut what runs there when it is gone."""
+        """Fail the requests queued for a replaced primary.
+
+        Its connections are shut down if it is unreachable or this is no home proxy any more.
+        """
         await gate.fail_waiting(Failure(ResultCode.NO_MEMBER, "primary was replaced"))
         if gate.state.health is MemberHealth.UNREACHABLE or not self._is_home:
             gate.shut_all()
 
-    # The watch over the members
+    # Health monitoring
 
     async def _watch(self) -> None:
         await self._monitor.watch(self.make_probes() if self._is_home else {})
@@ -168,22 +171,22 @@
                 gate.shut_all()
         await self._announce_change()
 
-    async def _disturbed(self, name: str) -> None:
-        await self._monitor.disturbed(name)
+    async def _on_connection_trouble(self, name: str) -> None:
+        await self._monitor.request_failed(name)
 
-    async def look_at_traffic(self) -> None:
-        """Look at once at each member whose requests get no answers."""
-        await self._monitor.look_at_traffic()
+    async def probe_stalled_members(self) -> None:
+        """Probe each member whose requests get no answers."""
+        await self._monitor.probe_stalled_members()
 
     async def confirm_primary(self, deadline_at: float) -> Result[LogPosition, Failure]:
-        """Return the primary's present position, proved not to be a replaced primary's.
+        """Return the primary's current position after a majority confirmed its leadership.
 
-        While no primary can be confirmed, a promotion is awaited until ``deadline_at``; a
-        proxy that is no home proxy any more watches no members, and says NO_MEMBER at once.
+        While no primary can be confirmed, this waits for a promotion until ``deadline_at``.  A
+        proxy that is not a home proxy monitors no members and returns NO_MEMBER at once.
         """
         while True:
             if not self._is_home:
-                return Err(Failure(ResultCode.NO_MEMBER, "no home proxy of the group any more"))
+                return Err(Failure(ResultCode.NO_MEMBER, "not a home proxy of the group"))
             confirmed = await self._monitor.confirm_primary()
             if not isinstance(confirmed, Err) or not await self.wait_change(deadline_at):
                 return confirmed
@@ -196,40 +199,40 @@
     # Leases and slots
 
     async def set_leases(self, leases: dict[str, int]) -> None:
-        """Take the leases held for this group into force: connections by tenant."""
+        """Apply the leases held for this group: number of connections by tenant."""
         if leases != self._leases:
             self._leases = leases
             await self._apply_limits()
             await self._announce_change()
 
     async def _apply_limits(self) -> None:
-        slots = self.own_slots()
+        slots = self.slot_share()
         for name, gate in self.gates.items():
             leaves = gate.state.leaving and name != self.view.primary
             await gate.set_limits(slots, {} if leaves else self._leases)
 
-    def own_slots(self) -> int:
-        """Return this proxy's share of the slots; the shares of all home proxies make the slots.
+    def slot_share(self) -> int:
+        """Return this proxy's share of the group's slots, at least 1.
 
-        A group with fewer slots than home proxies has more shares than slots; the member
-        itself makes the statements beyond its slots wait.
+        The shares of all home proxies add up to the slots of the group.  With fewer slots than
+        home proxies the sum is larger; the member then queues the excess statements itself.
         """
         return max(1, budget_share(self.declared.slots, self._homes, self._settings.name))
 
     def connections_held(self, tenant: str) -> int:
-        """Return the most connections that any member has for a tenant from here."""
+        """Return the largest number of connections of a tenant from this proxy to one member."""
         pools = [gate.pools[tenant] for gate in self.gates.values() if tenant in gate.pools]
         return max((pool.size for pool in pools), default=0)
 
     # Waiting for changes
 
     async def _announce_change(self) -> None:
-        """Wake all that wait for a change of the group."""
+        """Wake all tasks that wait for a change of the group."""
         changed, self._changed = self._changed, curio.Event()
         await changed.set()
 
     async def wait_change(self, deadline_at: float) -> bool:
-        """Wait for a change of the group; False when the deadline passed first."""
+        """Wait for a change of the group; return False if the deadline passed first."""
         left = deadline_at - time.monotonic()
         if left <= 0:
             return False
@@ -237,23 +240,23 @@
         return time.monotonic() < deadline_at
 
     async def cancel_wait(self, unit: WorkUnit) -> None:
-        """Let a unit wait no longer, neither for a slot nor for a primary."""
+        """Cancel a unit's wait for a slot or a primary."""
         for gate in self.gates.values():
             await gate.cancel(unit)
         await self._announce_change()
 
     async def check(self) -> None:
-        """Look after idle connections."""
+        """Check idle connections."""
         for gate in list(self.gates.values()):
             await gate.check()
 
     def shut_all(self) -> None:
-        """Break every connection to the members at once."""
+        """Shut down every connection to the members."""
         for gate in self.gates.values():
             gate.shut_all()
 
     async def close(self) -> None:
-        """Close everything at once."""
+        """Stop monitoring, fail queued requests and shut down all connections."""
         await self._monitor.close()
         for gate in self.gates.values():
             await self._retire(gate)
--- a/limedyke/proxy/members/monitor.py
+++ b/limedyke/proxy/members/monitor.py
@@ -1,4 +1,4 @@
-"""Watches the members of a group from a home proxy and reports changes to the controllers."""
+"""Monitors the members of a group from a home proxy and reports changes to the controllers."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from limedyke.proxy.members.probe import MemberProbe, is_overload, is_silence
 from limedyke.result_codes import Failure, ResultCode
 
-TRAFFIC_SILENCE_S = 0.1
+STALLED_REQUEST_S = 0.1
 CONFIRM_TIMEOUT_S = 2.0
 MAXIMUM_PROBES = 3
-PROBE_LIFETIME = 2.0
-"""How long a probe waits for its answer, in silence limits: late answers are signs of life."""
+PROBE_TIMEOUT_FACTOR = 2.0
+"""Probe timeout as a multiple of the silence limit; late answers still show a live member."""
 
 _log = EventLog("monitor")
 
@@ -31,11 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _Reported:
-    """What the controllers were told of a member.
+    """The last state of a member that was reported to the controllers.
 
-    :param recorded_term: term for which the member was recorded as the primary then; else 0.
-        The leader forgets what it was told of a member when it records it as the primary, so
-        that has to be told again: the member may be a replica again, as it was before.
+    :param recorded_term: term for which the member was recorded as primary at that time, else 0.
+        The leader discards a member's reports when it records the member as primary.  A change
+        of this term therefore triggers a new report, even if the member is a replica as before.
     """
 
     health: MemberHealth
@@ -45,11 +45,12 @@
 
 
 class _Watch:
-    """One member under watch.
+    """One monitored member.
 
-    :ivar wanted: counts the probes that the tasks of the watch are to send
-    :ivar tasks: the judging task and the probing ones, all started with the watch
-    :ivar confirming: questions of leadership rounds without an answer yet
+    :ivar wanted: number of probes that the probing tasks have yet to send
+    :ivar probes_out: probes without an answer yet
+    :ivar confirming: queries of leadership rounds without an answer yet
+    :ivar tasks: the judging task and the probing tasks, all started with the watch
     """
 
     def __init__(self, probe: MemberProbe, judge: MemberHealthJudge) -> None:
@@ -64,7 +65,7 @@
 
 
 class _ConfirmRound:
-    """One proof of the primary's leadership, shared by those that wait for it."""
+    """One leadership check of the primary, shared by all callers that wait for it."""
 
     def __init__(self) -> None:
         self.done = curio.Event()
@@ -72,13 +73,13 @@
 
 
 def _is_stalled(state: MemberState, now: float) -> bool:
-    return state.outstanding > 0 and now - state.progress_at > TRAFFIC_SILENCE_S
+    return state.outstanding > 0 and now - state.progress_at > STALLED_REQUEST_S
 
 
 class MemberMonitor:
     """Probes the members of one group.
 
-    :param report: passes a changed judgement on to the controllers
+    :param report: sends a changed member state to the controllers
     :param on_change: called when the health of a member changed
     """
 
@@ -98,7 +99,7 @@
         self._round_running = False
 
     async def watch(self, probes: dict[str, MemberProbe]) -> None:
-        """Watch just these members; others are let go."""
+        """Monitor exactly these members; stop monitoring all others."""
         for name in list(self._watches):
             known = self._watches[name].probe.endpoint
             if name not in probes or probes[name].endpoint != known:
@@ -112,8 +113,8 @@
     async def _start(self, name: str, watch: _Watch) -> None:
         """Start all tasks of a watch.
 
-        The probing tasks live as long as the watch.  A task for each probe would let one be
-        started while the kernel cancels the others at its end, which leaves it running.
+        The probing tasks live as long as the watch.  With one task per probe, a task could be
+        spawned while the kernel cancels all others at shutdown, and would be left running.
         """
         watch.tasks = [await curio.spawn(self._run, name, watch, daemon=True)]
         for _ in range(MAXIMUM_PROBES):
@@ -125,15 +126,15 @@
         await watch.probe.close()
 
     def probes(self) -> dict[str, MemberProbe]:
-        """Return the probes of the watched members, with the connections they keep."""
+        """Return the probes of the monitored members, with their kept connections."""
         return {name: watch.probe for name, watch in self._watches.items()}
 
     async def close(self) -> None:
-        """Stop watching."""
+        """Stop monitoring all members."""
         await self.watch({})
 
-    async def disturbed(self, name: str) -> None:
-        """Note trouble that requests had with a member: look at it now."""
+    async def request_failed(self, name: str) -> None:
+        """Record a failed request to a member, and probe it at once."""
         watch = self._watches.get(name)
         if watch is not None:
             watch.judge.disturbed(time.monotonic())
@@ -142,7 +143,7 @@
     async def _run(self, name: str, watch: _Watch) -> None:
         while True:
             now = time.monotonic()
-            self._take_sign_of_life(name, watch, now)
+            self._count_request_answer(name, watch, now)
             if watch.judge.wants_probe(now) and watch.probes_out < MAXIMUM_PROBES:
                 watch.judge.probe_sent(now)
                 watch.probes_out += 1
@@ -153,11 +154,11 @@
             wait_s = watch.judge.wait_s(now)
             await curio.ignore_after(max(wait_s, 0.001), watch.wake.wait)
 
-    async def look_at_traffic(self) -> None:
-        """Look at once at each member whose requests get no answers.
+    async def probe_stalled_members(self) -> None:
+        """Probe each member whose requests get no answers.
 
-        One periodic task of the proxy calls this for all groups: a timer for each member would
-        cost more than its probes do.
+        One periodic task of the proxy calls this for all groups, because a timer for each member
+        would cost more than its probes.
         """
         now = time.monotonic()
         for name, watch in self._watches.items():
@@ -166,8 +167,8 @@
                 watch.judge.disturbed(now)
                 await watch.wake.set()
 
-    def _take_sign_of_life(self, name: str, watch: _Watch, now: float) -> None:
-        """Take a request that was answered since the probes are silent as an answer."""
+    def _count_request_answer(self, name: str, watch: _Watch, now: float) -> None:
+        """Count a request that was answered while probes got no answer as an answered probe."""
         state = self._view.members.get(name)
         silent_since = watch.judge.silent_since
         if state is not None and silent_since is not None and state.seen_at > silent_since:
@@ -186,7 +187,7 @@
 
     async def _probe(self, name: str, watch: _Watch) -> None:
         asked_at = time.monotonic()
-        result = await watch.probe.ask(PROBE_LIFETIME * watch.judge.silence_limit_s)
+        result = await watch.probe.ask(PROBE_TIMEOUT_FACTOR * watch.judge.silence_limit_s)
         now = time.monotonic()
         if isinstance(result, Ok):
             watch.judge.take_role(result.ok_value.position.is_replica)
@@ -206,7 +207,7 @@
         self._view.observed(name, answer.place, answer.is_replica, asked_at, now)
 
     async def _publish(self, name: str, watch: _Watch) -> None:
-        """Report the member when the judgement, its term or its role changed, as recorded too."""
+        """Report the member when its health, term, role or recorded term changed."""
         state = self._view.members.get(name)
         if state is None or not watch.judge.judged:
             return
@@ -228,12 +229,12 @@
         await self._report(report)
 
     async def confirm_primary(self) -> Result[LogPosition, Failure]:
-        """Prove that the recorded primary leads, and return its present position.
+        """Verify that the recorded primary leads, and return its current position.
 
-        All members are asked after this call.  A commit under a higher term needs a
-        majority, of which each member shows that term from then on; so while a
-        majority shows the recorded term, no commit under a higher one has been
-        acknowledged.  Calls that come while a round is under way share the next one.
+        All members are queried after this call.  A commit under a higher term needs a
+        majority, and each member of it reports that term from then on.  While a
+        majority reports the recorded term, no commit under a higher term has been
+        acknowledged.  Calls made during a round share the next round.
         """
         self._next_round = self._next_round or _ConfirmRound()
         shared = self._next_round
@@ -243,7 +244,7 @@
         return shared.result
 
     async def _run_rounds(self) -> None:
-        """Run rounds until nobody waits for one; cancelling a caller ends no round."""
+        """Run rounds while callers wait, in a separate task that a cancelled caller can't end."""
         self._round_running = True
         await curio.spawn(self._run_rounds_in_task, daemon=True)
 
@@ -283,7 +284,7 @@
         answers: dict[str, PositionAnswer],
         changed: curio.Event,
     ) -> None:
-        """Ask one member for a round; few questions wait at a member that doesn't answer."""
+        """Query one member for a round; ``confirming`` limits the unanswered queries."""
         asked_at = time.monotonic()
         watch.confirming += 1
         try:
