--- a/limedyke/proxy/members/held_leases.py
+++ b/limedyke/proxy/members/held_leases.py
@@ -1,6 +1,6 @@
-"""Connection leases as their holder sees them; sans-IO.
+"""Connection leases on the side of their holder; sans-IO.
 
-A lease runs out by the holder's own clock, counted from the moment it sent
+A lease expires by the holder's own clock, counted from the moment it sent
 the heartbeat whose answer renewed it.
 """
 
@@ -13,7 +13,7 @@
 
 
 class HeldLeases:
-    """The leases of one proxy, what it still uses of those taken back, and when all end."""
+    """The leases of one proxy, connections it has yet to return, and the common expiry time."""
 
     def __init__(self) -> None:
         self._granted: dict[LeaseKey, int] = {}
@@ -22,38 +22,38 @@
         self.expires_at = 0.0
 
     def leases(self) -> tuple[ConnectionLease, ...]:
-        """Return the leases that may be used."""
-        return _as_leases(self._granted)
+        """Return the granted leases."""
+        return _to_leases(self._granted)
 
     def holdings(self) -> tuple[ConnectionLease, ...]:
-        """Return what the proxy may still hold, including shares not given back yet."""
-        return _as_leases(self._holding)
+        """Return what the proxy may still hold, including revoked shares not yet returned."""
+        return _to_leases(self._holding)
 
     def report(self) -> tuple[ConnectionLease, ...]:
-        """Return what a leader is told on a new link, and takes for what it has granted.
+        """Return the leases to report on a new link; the leader treats them as granted by itself.
 
-        A share that an earlier leader took back counts as granted again until this one takes it
-        back: a return of it that were on its way meanwhile might be taken for the answer to
-        another one, of a share that has grown in between.
+        A share that an earlier leader revoked counts as granted until the new leader revokes it.
+        Otherwise a return message still in flight could be mistaken for the return of a later
+        revocation, after the share had grown in between.
         """
         self._granted = {key: held for key, held in self._holding.items() if held}
         return self.holdings()
 
     def heartbeat_sent(self, sequence: int, now: float) -> None:
-        """Remember when a heartbeat was sent."""
+        """Record when a heartbeat was sent."""
         self._sent_at[sequence] = now
         self._sent_at.pop(sequence - UNANSWERED_HEARTBEATS_KEPT, None)
 
     def renewed(self, sequence: int, duration_s: float) -> None:
-        """Prolong the leases by the answer to a heartbeat of this process."""
+        """Extend the leases after the answer to a heartbeat of this process."""
         sent_at = self._sent_at.pop(sequence, None)
         if sent_at is not None:
             self.expires_at = max(self.expires_at, sent_at + duration_s)
 
     def update(self, leases: tuple[ConnectionLease, ...], now: float) -> bool:
-        """Take the leader's word for some leases; shares taken back stay held until returned.
+        """Apply a lease update of the leader; revoked shares stay held until they are returned.
 
-        :returns: False when all leases have run out, so that the word is too old to be used
+        :returns: False if all leases have expired, so that the update is too old to apply
         """
         if now >= self.expires_at:
             return False
@@ -66,7 +66,7 @@
         return True
 
     def returned(self, leases: tuple[ConnectionLease, ...]) -> tuple[ConnectionLease, ...]:
-        """Note that the proxy holds no more than these; return what the leader may reissue."""
+        """Record that the proxy holds no more than these; return what the leader may reissue."""
         confirmed = []
         for lease in leases:
             key = (lease.group, lease.tenant)
@@ -78,7 +78,7 @@
         return tuple(confirmed)
 
     def expire(self, now: float) -> bool:
-        """Drop everything when the leases have run out; tell whether there was anything."""
+        """Drop all leases if they have expired; return whether any were dropped."""
         if now < self.expires_at or not self._holding:
             return False
         self._granted.clear()
@@ -92,5 +92,5 @@
             self._holding.pop(key, None)
 
 
-def _as_leases(connections: dict[LeaseKey, int]) -> tuple[ConnectionLease, ...]:
+def _to_leases(connections: dict[LeaseKey, int]) -> tuple[ConnectionLease, ...]:
     return tuple(ConnectionLease(g, t, count) for (g, t), count in connections.items())
