--- a/limedyke/proxy/members/probe.py
+++ b/limedyke/proxy/members/probe.py
@@ -1,4 +1,4 @@
-"""Probes of one member over connections of the ``limedyke_admin`` login."""
+"""Probes one member over connections of the ``limedyke_admin`` login."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 ADMIN_USER = "limedyke_admin"
 ADMIN_DATABASE = "postgres"
 KEPT_CONNECTIONS = 2
-KEPT_ANSWER_S = 0.5
-"""A statement without an answer for this long over a kept connection goes over a fresh one too."""
+KEPT_CONNECTION_TIMEOUT_S = 0.5
+"""A statement unanswered for this long on a kept connection is also sent on a new one."""
 OVERLOADED_SQLSTATE = "53300"
 
 
@@ -31,8 +31,8 @@
 class ProbeAnswer:
     """A member's answer to a probe.
 
-    :param round_trip_s: from the question to the answer; None over a fresh connection, where
-        the login came first
+    :param round_trip_s: seconds from query to answer; None for a new connection, where the
+        time includes the login
     """
 
     position: PositionAnswer
@@ -41,10 +41,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _Attempt:
-    """One statement over a kept and a fresh connection.
+    """One statement on a kept and a new connection.
 
-    :param kept_lost: the kept connection will give no answer
-    :param failures: of both, in order
+    :param kept_lost: set when the kept connection failed
+    :param failures: failures on both connections, in order
     """
 
     kept_lost: curio.Event
@@ -52,7 +52,7 @@
 
 
 class MemberProbe:
-    """Asks one member for its position, and runs statements of the admin login."""
+    """Queries one member for its position, and runs statements with the admin login."""
 
     def __init__(self, endpoint: MemberEndpoint, password: str, timeout_s: float) -> None:
         self.endpoint = endpoint
@@ -61,9 +61,9 @@
         self._idle: list[BackendConnection] = []
 
     async def ask(self, timeout_s: float | None = None) -> Result[ProbeAnswer, Failure]:
-        """Ask for term and position, over a kept connection or else a fresh one.
+        """Query term and position, on a kept connection if there is one.
 
-        :param timeout_s: longest wait for the answer; None for the usual one
+        :param timeout_s: how long to wait for the answer; None for the default of this probe
         """
         timeout_s = self._timeout_s if timeout_s is None else timeout_s
         connection = await self._take()
@@ -101,13 +101,13 @@
         return Ok(ProbeAnswer(answer, round_trip_s))
 
     async def execute(self, sql: str, timeout_s: float) -> Result[OwnAnswer, Failure]:
-        """Run one statement that may run twice, over a kept connection or else a fresh one.
+        """Run one idempotent statement, on a kept connection if there is one.
 
-        A kept connection saves the round trips of a login.  When it is lost, or stays without
-        an answer for ``KEPT_ANSWER_S``, the statement is sent over a fresh one too, and the
-        first answer counts.
+        A kept connection saves the round trips of a login.  When it is lost, or does not answer
+        within ``KEPT_CONNECTION_TIMEOUT_S``, the statement is also sent on a new connection, and
+        the first answer is returned.
 
-        :param timeout_s: longest wait, for both together
+        :param timeout_s: how long to wait in total
         """
         ends_at = time.monotonic() + timeout_s
         kept = await self._take()
@@ -132,7 +132,7 @@
         return None
 
     async def _try_fresh(self, sql: str, ends_at: float, attempt: _Attempt) -> Ok[OwnAnswer] | None:
-        await curio.ignore_after(KEPT_ANSWER_S, attempt.kept_lost.wait)
+        await curio.ignore_after(KEPT_CONNECTION_TIMEOUT_S, attempt.kept_lost.wait)
         answer = await self._execute_fresh(sql, ends_at)
         if isinstance(answer, Ok):
             return answer
@@ -190,10 +190,10 @@
 
 
 def is_overload(failure: Failure) -> bool:
-    """Tell whether a member refused a login for want of connections."""
+    """Return whether a member refused a login because it has no free connections."""
     return OVERLOADED_SQLSTATE in failure.detail
 
 
 def is_silence(failure: Failure) -> bool:
-    """Tell whether a probe failed because no answer came in time."""
+    """Return whether a probe failed because it timed out."""
     return failure.code is ResultCode.QUEUE_TIMEOUT or "timeout" in failure.detail
