--- a/limedyke/proxy/members/promotion_executor.py
+++ b/limedyke/proxy/members/promotion_executor.py
@@ -1,4 +1,4 @@
-"""Carries out a ``PromoteOrder`` on the members of a group."""
+"""Executes a ``PromoteOrder`` on the members of a group."""
 
 from __future__ import annotations
 
@@ -18,21 +18,22 @@
 from limedyke.result_codes import Failure, ResultCode
 
 ORDER_TIMEOUT_S = 1.4
-"""An order ends within this time; the controllers give it to another proxy soon after."""
-STEP_SHARE = 0.65
-"""Part of an order's time that its promises, or one promotion, may take at most."""
-MORE_PROMISES_S = 0.1
+"""Default time limit of an order; the controllers send it to another proxy soon after."""
+STEP_TIMEOUT_SHARE = 0.65
+"""Largest fraction of an order's time for collecting promises, and for one promotion."""
+LATE_PROMISE_WAIT_S = 0.1
+"""How long to wait for further promises once a majority has promised."""
 MS_PER_S = 1_000.0
 
 _log = EventLog("promotion")
 
 
 @dataclass(slots=True)
-class _Round:
-    """Collects promises from tasks that ask in parallel.
+class _PromiseRound:
+    """Collects promises from tasks that query members in parallel.
 
-    :param ends_at: when the order must have been carried out, in monotonic seconds
-    :param step_s: longest time for the promises, and for one promotion
+    :param ends_at: deadline of the order, in monotonic seconds
+    :param step_s: time limit for collecting promises, and for one promotion
     """
 
     promotion: Promotion
@@ -43,14 +44,14 @@
 
     @property
     def left_s(self) -> float:
-        """Time left for the order."""
+        """Seconds left for the order."""
         return max(0.0, self.ends_at - time.monotonic())
 
 
 class PromotionExecutor:
     """Obtains promises from a majority and promotes the most advanced member.
 
-    :param promoter: this proxy's name; a promise may be asked again by the same promoter
+    :param promoter: this proxy's name; the same promoter may request a promise again
     :param probes: one per declared member
     """
 
@@ -59,53 +60,55 @@
         self._probes = probes
 
     async def run(self, order: PromoteOrder) -> PromoteResult:
-        """Promote a member; ``primary`` of the result is empty when that failed."""
+        """Promote a member; ``primary`` of the result is empty if that failed."""
         promotion = Promotion(tuple(self._probes), order.preferred, order.planned)
         timeout_s = order.timeout_ms / MS_PER_S or ORDER_TIMEOUT_S
         ends_at = time.monotonic() + timeout_s
-        collected = _Round(promotion, curio.Event(), [], ends_at, STEP_SHARE * timeout_s)
-        await self._collect(order, collected)
-        while collected.left_s and (chosen := promotion.choose()):
-            limit_s = min(collected.left_s, collected.step_s)
+        promises = _PromiseRound(
+            promotion, curio.Event(), [], ends_at, STEP_TIMEOUT_SHARE * timeout_s
+        )
+        await self._collect(order, promises)
+        while promises.left_s and (chosen := promotion.choose()):
+            limit_s = min(promises.left_s, promises.step_s)
             promoted = await self._promote(order, chosen, limit_s)
             if isinstance(promoted, Ok):
                 _log.info("promoted", group=order.group, member=chosen, term=order.term)
                 return PromoteResult(order.group, order.term, chosen, "")
-            collected.reasons.append(promoted.err_value.detail)
+            promises.reasons.append(promoted.err_value.detail)
             promotion.promotion_failed(chosen)
         if not promotion.has_majority:
-            collected.reasons.append("no majority of members promised the term")
-        reason = "; ".join(collected.reasons) or "no time was left"
+            promises.reasons.append("no majority of members promised the term")
+        reason = "; ".join(promises.reasons) or "the order timed out"
         _log.warning("promotion-failed", group=order.group, term=order.term, reason=reason)
         return PromoteResult(order.group, order.term, "", reason)
 
-    async def _collect(self, order: PromoteOrder, collected: _Round) -> None:
-        """Ask all members at once; wait for a majority, and a little longer for the others."""
+    async def _collect(self, order: PromoteOrder, promises: _PromiseRound) -> None:
+        """Query all members in parallel; wait for a majority, then briefly for the others."""
         for name, probe in self._probes.items():
-            await curio.spawn(self._ask, order, name, probe, collected, daemon=True)
+            await curio.spawn(self._ask, order, name, probe, promises, daemon=True)
         started_at = time.monotonic()
-        ends_at = started_at + collected.step_s
-        while not collected.promotion.is_settled:
+        ends_at = started_at + promises.step_s
+        while not promises.promotion.is_settled:
             left = ends_at - time.monotonic()
             if left <= 0:
                 return
-            await curio.ignore_after(left, collected.changed.wait)
-            collected.changed.clear()
-            if collected.promotion.has_majority:
-                ends_at = min(ends_at, time.monotonic() + MORE_PROMISES_S)
+            await curio.ignore_after(left, promises.changed.wait)
+            promises.changed.clear()
+            if promises.promotion.has_majority:
+                ends_at = min(ends_at, time.monotonic() + LATE_PROMISE_WAIT_S)
 
     async def _ask(
-        self, order: PromoteOrder, name: str, probe: MemberProbe, collected: _Round
+        self, order: PromoteOrder, name: str, probe: MemberProbe, promises: _PromiseRound
     ) -> None:
         sql = f"SELECT group_promise({order.term}, {quote_literal(self._promoter)})"
-        answer = await probe.execute(sql, collected.step_s)
+        answer = await probe.execute(sql, promises.step_s)
         promise = _read_promise(name, answer)
         if isinstance(promise, Ok):
-            collected.promotion.promised(promise.ok_value)
+            promises.promotion.promised(promise.ok_value)
         else:
-            collected.promotion.refused(name)
-            collected.reasons.append(promise.err_value.detail)
-        await collected.changed.set()
+            promises.promotion.refused(name)
+            promises.reasons.append(promise.err_value.detail)
+        await promises.changed.set()
 
     async def _promote(
         self, order: PromoteOrder, member: str, limit_s: float
@@ -120,7 +123,7 @@
 
 
 def _read_promise(member: str, answer: Result[OwnAnswer, Failure]) -> Result[Promised, Failure]:
-    """Read ``last_log_term,X/Y``."""
+    """Parse ``last_log_term,X/Y``, the answer to ``group_promise``."""
     if isinstance(answer, Err):
         return answer
     own = answer.ok_value
