--- a/limedyke/proxy/members/__init__.py
+++ b/limedyke/proxy/members/__init__.py
@@ -1,1 +1,1 @@
-"""Members that speak PostgreSQL: connections under leases, watching, promotion."""
+"""PostgreSQL members: leased connections, health monitoring and promotion."""
--- a/limedyke/proxy/members/pool_gauges.py
+++ b/limedyke/proxy/members/pool_gauges.py
@@ -1,4 +1,4 @@
-"""Brings the metrics of the pools up to date from counts that the back ends keep anyway."""
+"""Updates the pool metrics from the counts of the back ends."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class PoolGauges:
-    """Sets the gauges, and adds to the counters what has come since the last time."""
+    """Sets the gauges, and adds the increase since the last refresh to the counters."""
 
     def __init__(self, metrics: ProxyMetrics) -> None:
         self._metrics = metrics
@@ -15,7 +15,10 @@
         self._failed = 0
 
     def refresh(self, stats: BackEndStats) -> None:
-        """Take the present counts; those of pools that are gone are no longer in them."""
+        """Update the metrics.
+
+        Counts may decrease because pools that were removed are no longer included.
+        """
         metrics = self._metrics
         metrics.backend_connections.labels("idle").set(stats.idle)
         metrics.backend_connections.labels("busy").set(stats.busy)
