--- a/features/mutants/simulator_safeguards.py
+++ b/features/mutants/simulator_safeguards.py
@@ -23,7 +23,7 @@
 from limedyke.core.agreement.lease import LeaderLease
 from limedyke.core.control import lease_table
 from limedyke.core.control.plan_store import PlanStore
-from limedyke.core.control.state import Applied, ControlState
+from limedyke.core.control.state import ApplyResult, ControlState
 from limedyke.core.group_view import GroupView
 from limedyke.core.promotion import Promotion
 from limedyke.messages.control import ControlSnapshot
@@ -157,11 +157,11 @@
 def _older_state_taken() -> tuple[Replacement, ...]:
     """Controllers lose what they confirmed, and proxies follow them back."""
 
-    async def take_snapshot(intake: ControlStateReceiver, snapshot: ControlSnapshot) -> None:
+    async def apply_snapshot(intake: ControlStateReceiver, snapshot: ControlSnapshot) -> None:
         intake._unsaved_snapshot = True
-        await intake._accept(intake._stored.builder.take_snapshot(snapshot))
+        await intake._accept(intake._stored.builder.apply_snapshot(snapshot))
 
-    return (*_unsynced_log(), (ControlStateReceiver, "take_snapshot", take_snapshot))
+    return (*_unsynced_log(), (ControlStateReceiver, "apply_snapshot", apply_snapshot))
 
 
 def _ignored_once_key() -> tuple[Replacement, ...]:
@@ -225,13 +225,13 @@
     """Return the replacement that brings each plan into force as soon as it is recorded."""
     apply = ControlState.apply
 
-    def apply_plan(state: ControlState, index: int, entry: object) -> Applied:
+    def apply_plan(state: ControlState, index: int, entry: object) -> ApplyResult:
         applied = apply(state, index, entry)
         plan = state.plans.plan(getattr(entry, "plan_id", ""))
         if plan is None or plan.base_revision != state.revision:
             return applied
         _, update = state._bring_into_force(index, plan, entry)
-        return Applied(applied.answer, update)
+        return ApplyResult(applied.answer, update)
 
     return ((ControlState, "apply", apply_plan),)
 
@@ -320,7 +320,7 @@
     ),
     SimulatedMutant(
         "a proxy takes an older state",
-        "ControlStateReceiver.take_snapshot",
+        "ControlStateReceiver.apply_snapshot",
         "revision-monotonic",
         _older_state_taken,
         POWER_CUTS,
--- a/features/support/leaders_world.py
+++ b/features/support/leaders_world.py
@@ -135,7 +135,7 @@
         for proxy in self.proxies:
             self._keep_linked(proxy)
         if self._leader is not None:
-            self._leader.known_share(1 - len(self._unreported) / self._registered, self.now)
+            self._leader.set_connected_share(1 - len(self._unreported) / self._registered, self.now)
             self._leader.tick(self.now)
         serving = [proxy for proxy in self.proxies if proxy.has_power and not proxy.former]
         wanted = dict.fromkeys(range(len(serving)), 0)
@@ -161,18 +161,18 @@
             self._link(proxy)
         if self.now - proxy.heard_at >= HEARTBEAT_S:
             proxy.heard_at = self.now
-            self._leader.heard(proxy.name, self.now)
+            self._leader.proxy_contacted(proxy.name, self.now)
 
     def _link(self, proxy: Proxy) -> None:
         """Have a proxy come to the leader: it says what it holds, and what it ran."""
         proxy.is_linked = True
         if proxy.former:
-            self._leader.ended(proxy.former, self.now, proxy.name)
+            self._leader.proxy_ended(proxy.former, self.now, proxy.name)
             self._unreported.discard(proxy.former)
             proxy.former = ""
         self._unreported.discard(proxy.name)
         proxy.heard_at = self.now
-        self._leader.heard(proxy.name, self.now)
+        self._leader.proxy_contacted(proxy.name, self.now)
         self.messages += 1
         if self.proxies.index(proxy) >= self.telling:
             return
--- a/limedyke/controller/leading/leader_service.py
+++ b/limedyke/controller/leading/leader_service.py
@@ -18,13 +18,13 @@
 from limedyke.controller.replica import Replica
 from limedyke.core.control.events import (
     AnswerHeartbeat,
-    AskAuthority,
     AuthorityAnswered,
     DisconnectProxy,
     LeaderCommand,
     LeaderEvent,
-    NoteDecision,
+    LogDecision,
     Propose,
+    RequestPromotion,
     SendToProxy,
     TimePassed,
     UpdateApplied,
@@ -52,7 +52,7 @@
     :param source_ip: local address to connect to the platform from, or empty
     :param metrics: counts what is heard and decided; None keeps it from view
     :param authority: promotes members that announce themselves; None where there is none
-    :param other_began_at: when the leader before began to lead, as far as this controller knows
+    :param last_lead_began_at: when the leader before began to lead, as far as this controller knows
 
     :ivar started_at: when this controller began to lead
     """
@@ -66,7 +66,7 @@
         source_ip: str = "",
         metrics: ControllerMetrics | None = None,
         authority: PromotionAuthority | None = None,
-        other_began_at: float = float("-inf"),
+        last_lead_began_at: float = float("-inf"),
     ) -> None:
         self._replica = replica
         self._authority = authority
@@ -87,7 +87,7 @@
             Random(),
             boot_seconds(),
             replica.homes,
-            other_began_at,
+            last_lead_began_at,
         )
 
     async def run(self) -> None:
@@ -140,12 +140,12 @@
                 await self._replica.propose_without_answer(command.entry)
             case DisconnectProxy():
                 await self.sessions.disconnect(command.proxy, command.reason)
-            case NoteDecision():
+            case LogDecision():
                 EVENTS.info("decision", group=command.group, text=command.text)
-            case AskAuthority():
+            case RequestPromotion():
                 await curio.spawn(self._ask_authority, command, daemon=True)
 
-    async def _ask_authority(self, command: AskAuthority) -> None:
+    async def _ask_authority(self, command: RequestPromotion) -> None:
         """Call the promotion authority, only under the leader lease."""
         if self._authority is None or not self._replica.leads:
             return
--- a/limedyke/core/control/primaries/authority_failover.py
+++ b/limedyke/core/control/primaries/authority_failover.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 
 from limedyke.core.control.announcements import AnnouncementTracker
-from limedyke.core.control.events import AskAuthority, AuthorityOutcome, NoteDecision, Propose
+from limedyke.core.control.events import AuthorityOutcome, LogDecision, Propose, RequestPromotion
 from limedyke.core.control.lease_table import reissue_after_s
 from limedyke.core.control.membership import ProxyMembership
 from limedyke.core.control.primaries.authority_group_state import (
@@ -20,7 +20,7 @@
     AuthorityStep,
     is_of_former,
 )
-from limedyke.core.control.primaries.authority_judgement import AuthorityJudgement
+from limedyke.core.control.primaries.primary_evaluator import PrimaryEvaluator
 from limedyke.core.control.proposal_batch import ProposalBatch
 from limedyke.core.control.timing import ControlTiming
 from limedyke.core.home import HomeDirectory
@@ -59,7 +59,7 @@
         timing: ControlTiming,
         now: float,
     ) -> None:
-        self._judgement = AuthorityJudgement(members, proxies, book, membership, homes, timing, now)
+        self._judgement = PrimaryEvaluator(members, proxies, book, membership, homes, timing, now)
         self._primaries = primaries
         self._members = members
         self._proxies = proxies
@@ -70,7 +70,7 @@
         self._started_at = now
         self._cares: dict[str, AuthorityGroupState] = {}
         self._proposals = ProposalBatch()
-        self._commands: list[AskAuthority | NoteDecision] = []
+        self._commands: list[RequestPromotion | LogDecision] = []
 
     def step_of(self, group: str) -> AuthorityStep | None:
         """Return where a group stands."""
@@ -168,7 +168,7 @@
             else:
                 self._look_at(group, care, now)
 
-    def take_commands(self) -> list[Propose | AskAuthority | NoteDecision]:
+    def take_commands(self) -> list[Propose | RequestPromotion | LogDecision]:
         """Return the collected proposals and calls."""
         commands = [*self._proposals.take(), *self._commands]
         self._commands = []
@@ -284,7 +284,7 @@
         care.target_started_at_ms = able[0].started_at_ms
         care.promoted_at = NEVER
         fence = self._recorded(group).fence
-        self._commands.append(AskAuthority(group, care.target, fence))
+        self._commands.append(RequestPromotion(group, care.target, fence))
         care.enter(AuthorityStep.CALLING, now + self._timing.authority_timeout_s)
 
     def _follow_promoted(self, group: str, care: AuthorityGroupState, now: float) -> None:
@@ -326,4 +326,4 @@
                 self._back_off(care, now)
 
     def _note(self, group: str, text: str) -> None:
-        self._commands.append(NoteDecision(group, text))
+        self._commands.append(LogDecision(group, text))
--- a/limedyke/proxy/control/client.py
+++ b/limedyke/proxy/control/client.py
@@ -341,13 +341,13 @@
         }
 
     async def _take_snapshot(self, snapshot: ControlSnapshot) -> None:
-        await self._intake.take_snapshot(snapshot)
+        await self._intake.apply_snapshot(snapshot)
         self._learn_controllers()
         await self._view_check.view_changed()
 
     async def _take_update(self, update: ControlUpdate) -> None:
         """Take a change; a change of primaries is confirmed at once, for a promotion waits."""
-        await self._intake.take_update(update)
+        await self._intake.apply_update(update)
         self._learn_controllers()
         await self._view_check.view_changed()
         link = self._link
