--- a/limedyke/proxy/server.py
+++ b/limedyke/proxy/server.py
@@ -145,7 +145,7 @@
                 serve_status, settings.status_listen, self._registry, lambda: True, self._ready
             )
             await tasks.spawn(self._watch.run)
-            await tasks.spawn(self._bridge.keep_leases, LEASE_CHECK_S)
+            await tasks.spawn(self._bridge.forward_lease_renewals, LEASE_CHECK_S)
             await tasks.spawn(ReloadOnHangup(self._tls).run)
             await tasks.spawn(self._refresh_gauges)
             await tasks.spawn(self._await_stop_signal)
