--- a/limedyke/proxy/control/handler.py
+++ b/limedyke/proxy/control/handler.py
@@ -1,4 +1,4 @@
-"""What the control client asks of the proxy."""
+"""Interface through which the control client notifies the proxy."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class ControlHandler(Protocol):
-    """What the proxy does with the news from the controllers."""
+    """Handles views, leases and promotion orders from the controllers."""
 
     async def control_changed(self, view: ControlView) -> None:
-        """Take a newer view into force; it is synced already."""
+        """Apply a newer view, which is already synced to disk."""
 
     async def leases_changed(self, leases: tuple[ConnectionLease, ...], expires_at: float) -> None:
-        """Take the leases that may be used until ``expires_at``; called on change and expiry.
+        """Use these leases until ``expires_at``; called when they change and when they expire.
 
-        Shares above these are to be given up and reported by ``ControlClient.return_leases``.
-        Renewals alone change ``ControlClient.leases_expire_at`` without a call.
+        Connections above them must be closed and reported with ``ControlClient.return_leases``.
+        A renewal only changes ``ControlClient.leases_expire_at``, without a call.
         """
 
     async def promote(self, order: PromoteOrder) -> PromoteResult:
-        """Carry out a promotion; runs in a task of its own."""
+        """Execute a promotion; called in a separate task."""
--- a/limedyke/proxy/control/settings.py
+++ b/limedyke/proxy/control/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a proxy that concern its link to the controllers."""
+"""The settings that the control client of a proxy uses."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ControlClientSettings(Protocol):
-    """Settings of any kind of proxy; see docs/SETTINGS.md for their meaning."""
+    """Settings that every kind of proxy has; docs/SETTINGS.md describes them."""
 
     name: str
     zone: str
--- a/limedyke/proxy/control/store.py
+++ b/limedyke/proxy/control/store.py
@@ -1,7 +1,7 @@
-"""The proxy's small disk: its incarnation and the last control state it accepted.
+"""Persistent state of a proxy: its incarnation and the last control state it accepted.
 
-The state is a journal of checksummed frames, a snapshot first and the updates
-after it.  It is synced before it is used, so a restarted proxy never goes back.
+The state is a journal of checksummed frames: a snapshot followed by updates.
+It is synced before it is used, so a restarted proxy never returns to an older state.
 """
 
 from __future__ import annotations
@@ -35,12 +35,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredControl:
-    """What the disk held at the start.
+    """State read from disk at the start.
 
-    :param builder: builds on the last whole state; its view is None when there was none
-    :param intact: the journal ended cleanly, so its state is the last one accepted
-    :param incarnation: number of this start, already synced; grows at each start
-    :param folder_id: made with the folder, and kept as long as it lasts
+    :param builder: holds the last complete state; its view is None if there was none
+    :param intact: the journal has no torn or corrupt tail, so its state is the last one accepted
+    :param incarnation: number of this start, already synced; larger at each start
+    :param folder_id: random id created with the data folder
     """
 
     builder: ControlViewBuilder
@@ -54,8 +54,8 @@
     return _FRAME.pack(len(data), google_crc32c.value(data)) + data
 
 
-def _read_frames(data: bytes) -> tuple[list[object], bool]:
-    """Return the whole messages at the start of ``data``, and whether nothing else follows."""
+def _decode_frames(data: bytes) -> tuple[list[object], bool]:
+    """Return the valid messages at the start of ``data``, and whether they make up all of it."""
     messages: list[object] = []
     offset = 0
     while offset + _FRAME.size <= len(data):
@@ -80,7 +80,7 @@
 
 
 def _replace_file(path: Path, data: bytes) -> None:
-    """Replace a file so that after a crash it holds either the old or the new bytes."""
+    """Replace a file atomically: after a crash it holds either the old or the new bytes."""
     temporary = path.with_suffix(path.suffix + ".new")
     with open(temporary, "wb") as file:
         file.write(data)
@@ -98,9 +98,9 @@
 
 
 class ControlStore:
-    """Keeps the control state of one proxy under its data folder.
+    """Stores the control state of one proxy in its data folder.
 
-    :param folder: the data folder; made when absent, and locked against a second process
+    :param folder: the data folder; created if absent, and locked against a second process
     """
 
     def __init__(self, folder: Path) -> None:
@@ -128,18 +128,18 @@
             self._lock_descriptor = None
 
     async def save_snapshot(self, snapshot: ControlSnapshot) -> None:
-        """Replace the journal by a snapshot, synced.
+        """Replace the journal by a snapshot and sync it.
 
-        :raises OSError: when the disk refuses
+        :raises OSError: when it cannot be written
         """
         data = _frame(snapshot)
         await curio.run_in_thread(_replace_file, self._folder / JOURNAL_FILE, data)
         self._updates_since_snapshot = 0
 
     async def append_updates(self, updates: Sequence[ControlUpdate]) -> None:
-        """Add updates to the journal, synced once.
+        """Append updates to the journal with one sync.
 
-        :raises OSError: when the disk refuses
+        :raises OSError: when they cannot be written
         """
         data = b"".join(_frame(update) for update in updates)
         await curio.run_in_thread(_append_file, self._folder / JOURNAL_FILE, data)
@@ -147,7 +147,7 @@
 
     @property
     def wants_snapshot(self) -> bool:
-        """Tell whether the journal has grown enough to be replaced by a snapshot."""
+        """Whether the journal has grown enough to be replaced by a snapshot."""
         return self._updates_since_snapshot >= REWRITE_AFTER_UPDATES
 
     def _lock(self) -> None:
@@ -160,7 +160,7 @@
         self._lock_descriptor = descriptor
 
     def _read_folder_id(self) -> str:
-        """Return the id of the folder; a new folder gets a random one, synced."""
+        """Return the id of the folder; create and sync a random one for a new folder."""
         path = self._folder / FOLDER_ID_FILE
         try:
             return path.read_text()
@@ -182,7 +182,7 @@
             data = (self._folder / JOURNAL_FILE).read_bytes()
         except FileNotFoundError:
             return builder, True
-        messages, intact = _read_frames(data)
+        messages, intact = _decode_frames(data)
         for message in messages:
             if isinstance(message, ControlSnapshot):
                 builder.apply_snapshot(message)
@@ -193,5 +193,5 @@
 
 
 def view_of(stored: StoredControl) -> ControlView | None:
-    """Return the stored state when it may be used before a controller is heard."""
+    """Return the stored view if it may be used before a controller has confirmed it, else None."""
     return stored.builder.view if stored.intact else None
--- a/limedyke/proxy/control/view.py
+++ b/limedyke/proxy/control/view.py
@@ -1,4 +1,4 @@
-"""The controllers' state as a proxy holds it: an immutable view, replaced at each update."""
+"""The control state on a proxy: an immutable view, replaced at each update."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlView:
-    """What a proxy knows from the controllers at one index of their log.
+    """The control state at one index of the controllers' log.
 
-    :param control_index: place in the controllers' log; only grows
+    :param control_index: index in the controllers' log; only grows
     :param revision: revision of the declaration; only grows
     :param tenants: tenants by name
     :param groups: groups by name
     :param token_keys: session-token keys, as declared
-    :param primaries: term and primary by group; a group without one is not known yet
+    :param primaries: term and primary by group; a group without an entry has none known yet
     :param proxies: proxies by name
     :param intents: declared state of proxies by name
-    :param homes: home proxies by group, the heaviest first
+    :param homes: home proxies by group, in order of preference
     :param databases: databases by name
     :param announced: announced members by identity
     :param controllers: addresses of the controllers; empty when the log holds none
@@ -50,15 +50,15 @@
     controllers: tuple[str, ...] = ()
 
     def home_proxies(self, group: str) -> tuple[str, ...]:
-        """Return the names of the group's home proxies, the heaviest first."""
+        """Return the names of the group's home proxies, in order of preference."""
         return self.homes.get(group, ())
 
     def is_home(self, group: str, proxy: str) -> bool:
-        """Tell whether a proxy is a home proxy of a group."""
+        """Return whether a proxy is a home proxy of a group."""
         return proxy in self.homes.get(group, ())
 
     def is_draining(self, proxy: str) -> bool:
-        """Tell whether the declaration asks a proxy to leave service."""
+        """Return whether the declaration asks a proxy to drain."""
         intent = self.intents.get(proxy)
         return intent is not None and intent.draining
 
@@ -71,7 +71,7 @@
         self._homes = HomeDirectory(count=0)
 
     def apply_snapshot(self, snapshot: ControlSnapshot) -> ControlView:
-        """Replace everything by a snapshot."""
+        """Replace the view by that of a snapshot."""
         declaration = snapshot.declaration
         limits = connection_limits(declaration.groups)
         count = snapshot.home_proxies_per_group
@@ -95,7 +95,7 @@
         return self.view
 
     def apply_update(self, update: ControlUpdate) -> ControlView | None:
-        """Apply an update that follows the present view; return None when it does not follow."""
+        """Apply an update; return None if it is not based on the current view."""
         view = self.view
         if view is None or update.base_index != view.control_index:
             return None
@@ -128,7 +128,7 @@
 
 
 def snapshot_of(view: ControlView) -> ControlSnapshot:
-    """Return a view as the snapshot that would build it."""
+    """Return the snapshot that corresponds to a view."""
     declaration = Declaration(
         tenants=tuple(view.tenants.values()),
         groups=tuple(view.groups.values()),
@@ -163,7 +163,7 @@
 
 
 def _changed(items: Mapping, replaced: tuple, removed: tuple[str, ...]) -> Mapping:
-    """Return ``items`` without the removed names, then with whole items replaced."""
+    """Return ``items`` after dropping the removed names and inserting the replaced items."""
     if not replaced and not removed:
         return items
     result = dict(items)
