--- a/limedyke/proxy/control/client.py
+++ b/limedyke/proxy/control/client.py
@@ -1,8 +1,8 @@
-"""The proxy's side of control: one link to the controllers' leader, kept up by retries.
+"""The proxy's control client: one link to the leading controller, reopened when it breaks.
 
-The client receives the control state, syncs it before it hands it on, sends
-heartbeats, keeps the connection leases, and passes promotion orders to the
-proxy.  Times are seconds of ``time.monotonic()``.
+The client receives the control state and syncs it to disk before passing it
+on, sends heartbeats, holds the connection leases, and passes promotion orders
+to the proxy.  Times are seconds of ``time.monotonic()``.
 """
 
 from __future__ import annotations
@@ -38,14 +38,14 @@
 from limedyke.proxy.control.handler import ControlHandler
 from limedyke.proxy.control.leader_search import FoundLeader, LeaderSearch
 from limedyke.proxy.control.leases import ControlLeases
-from limedyke.proxy.control.quorum_stamp_tracker import QuorumWatch
+from limedyke.proxy.control.quorum_stamp_tracker import QuorumStampTracker
 from limedyke.proxy.control.reports import ControlReports
 from limedyke.proxy.control.settings import ControlClientSettings
 from limedyke.proxy.control.state_receiver import ControlStateReceiver
-from limedyke.proxy.control.status_messages import ControlAnnouncements
+from limedyke.proxy.control.status_messages import ProxyStatusMessages
 from limedyke.proxy.control.store import ControlStore, StoredControl
 from limedyke.proxy.control.view import ControlView
-from limedyke.proxy.control.view_check import ViewCheck
+from limedyke.proxy.control.view_check import ViewFreshnessCheck
 from limedyke.proxy.limits.operation_limiter import OperationLimiter
 from limedyke.settings.secrets import Secrets
 from limedyke.transport.link import Link, LinkClosedError, LinkIdentity
@@ -55,23 +55,23 @@
 Demands = Callable[[bool], tuple[ConnectionDemand, ...] | None]
 
 
-def tells_no_demand(whole: bool) -> None:
-    """Stand for the demand of a proxy that tells none."""
+def no_demands(whole: bool) -> None:
+    """Report no demands, for a proxy that does not measure them."""
     del whole
 
 
 class ControlClient:
-    """Keeps a proxy in touch with the controllers' leader.
+    """Maintains the connection of a proxy to the leading controller.
 
     :param settings: the proxy's settings
     :param secrets: holds the cluster key
-    :param store: the proxy's disk
-    :param handler: gets views, leases and promotion orders
-    :param meter: counts what is sent to the controllers
-    :param demands: gives the connections that the proxy has use for: all, or those that changed;
-        None where it tells none
+    :param store: persists the control state
+    :param handler: receives views, leases and promotion orders
+    :param meter: counts the bytes sent to the controllers
+    :param demands: returns the connection demands of the proxy, all if its argument is true and
+        else those that changed; None for no report
 
-    :ivar limits: lets operations of tenants with a limit run
+    :ivar limits: admits operations of tenants with an operation limit
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         store: ControlStore,
         handler: ControlHandler,
         meter: TrafficMeter = NO_METER,
-        demands: Demands = tells_no_demand,
+        demands: Demands = no_demands,
     ) -> None:
         self._demands = demands
         key = (secrets.get(settings.cluster_key) or "").encode()
@@ -91,10 +91,12 @@
         self._handler = handler
         self._state_receiver = ControlStateReceiver(store, handler.control_changed)
         longest_pause_s = settings.control_retry_limit_ms / 1000
-        self._choice = ControllerSelector(settings.controllers, random.Random(), longest_pause_s)
-        self._announcements = ControlAnnouncements(settings)
-        self._quorum = QuorumWatch()
-        self._view_check = ViewCheck(self._ask_leader, self._index_in_force)
+        self._controllers = ControllerSelector(
+            settings.controllers, random.Random(), longest_pause_s
+        )
+        self._status_messages = ProxyStatusMessages(settings)
+        self._quorum_stamp = QuorumStampTracker()
+        self._view_confirmation = ViewFreshnessCheck(self._ask_leader, self._applied_index)
         self._reports = ControlReports()
         self._leases = ControlLeases(
             settings.name, handler.leases_changed, lambda: self._link is not None
@@ -104,7 +106,7 @@
         self._address = ""
         self._silence_limit_s = settings.control_silence_limit_ms / 1000
         self._search = LeaderSearch(
-            identity, settings.source_ip, self._choice, self._hello, self._silence_limit_s
+            identity, settings.source_ip, self._controllers, self._hello, self._silence_limit_s
         )
         self._primary_lease_ends_at = 0.0
         self._heartbeats_sent_at: dict[int, float] = {}
@@ -118,52 +120,52 @@
         return self.view.tenants if self.view is not None else {}
 
     def _count_homes(self) -> int:
-        """Return how many proxies are home proxies of any group."""
+        """Return the number of proxies that are a home proxy of any group."""
         homes = self.view.homes.values() if self.view is not None else ()
         return len({proxy for proxies in homes for proxy in proxies})
 
     @property
     def view(self) -> ControlView | None:
-        """The newest view in force, or None before the first one."""
-        return self._state_receiver.in_force
+        """The applied view, or None before the first one."""
+        return self._state_receiver.current
 
     @property
     def view_confirmed(self) -> bool:
-        """Whether a leader has said that the view in force is current, since the start."""
+        """Whether a leader has confirmed the applied view since the start."""
         return self._state_receiver.confirmed
 
     @property
     def connected(self) -> bool:
-        """Whether a leader with a live quorum was heard within the silence limit."""
-        is_silent = self._quorum.silent_s(time.monotonic()) >= self._silence_limit_s
+        """Whether the leader's quorum stamp advanced within the silence limit."""
+        is_silent = self._quorum_stamp.silent_s(time.monotonic()) >= self._silence_limit_s
         return self._link is not None and not is_silent
 
     @property
     def leases(self) -> tuple[ConnectionLease, ...]:
-        """The leases that may be used at this moment."""
+        """The leases that are valid now."""
         return self._leases.in_use
 
     @property
     def leases_expire_at(self) -> float:
-        """The moment on the monotonic clock at which all leases end unless renewed."""
+        """Monotonic time at which all leases expire unless renewed."""
         return self._leases.held.expires_at
 
     @property
     def primary_lease_ends_at(self) -> float:
-        """Until when the recorded primaries of announced members are surely the only ones."""
+        """Until when no primary other than the recorded ones can exist among announced members."""
         return self._primary_lease_ends_at
 
     @property
     def holds_primary_lease(self) -> bool:
-        """Whether the recorded primaries of announced members are surely the only ones now."""
+        """Whether the primary lease is valid (see ``primary_lease_ends_at``)."""
         return time.monotonic() < self._primary_lease_ends_at
 
     def settings_changed(self, controllers: tuple[str, ...]) -> None:
-        """Take the controllers that changed settings name."""
-        self._choice.replace_first(controllers)
+        """Use the controller addresses of reloaded settings."""
+        self._controllers.set_configured(controllers)
 
     async def run(self) -> None:
-        """Stay in touch with the controllers until cancelled.
+        """Maintain the link to the leader until cancelled.
 
         :raises RuntimeError: when the data folder cannot be used
         """
@@ -177,34 +179,34 @@
             await tasks.spawn(self._leases.watch_expiry)
 
     async def report_member(self, report: MemberReport) -> None:
-        """Report what is seen of a member; kept and sent again after reconnecting."""
+        """Report the state of a member; the report is kept and repeated on a new link."""
         self._reports.keep(report)
         await self._send(report)
-        await self._expect_answer()
+        await self._request_answer()
 
-    async def _expect_answer(self) -> None:
-        """Have the leader show that it is alive, unless it was asked to already."""
+    async def _request_answer(self) -> None:
+        """Send a heartbeat for the leader to answer, unless an answer is already awaited."""
         link = self._link
-        if link is None or self._reports.is_answer_due:
+        if link is None or self._reports.is_awaiting_answer:
             return
-        await self._reports.expect_answer()
+        await self._reports.report_sent()
         try:
             await self._send_heartbeat(link, ())
         except LinkClosedError:
             return
 
     async def confirm_view(self, limit_s: float) -> bool:
-        """Wait until all that the leader's state held at this moment is in force here.
+        """Wait until the leader's state as of this call is applied here.
 
-        :returns: False when no leader has said so in time
+        :returns: False if no leader confirmed it within ``limit_s`` seconds
         """
-        return await self._view_check.confirm(limit_s)
+        return await self._view_confirmation.confirm(limit_s)
 
-    def _index_in_force(self) -> int:
+    def _applied_index(self) -> int:
         return self.view.control_index if self.view is not None else 0
 
     async def _ask_leader(self) -> int | None:
-        """Send a heartbeat out of turn; return its sequence, None while no leader is linked."""
+        """Send an extra heartbeat; return its sequence, or None while no leader is linked."""
         link = self._link
         if link is None:
             return None
@@ -214,30 +216,30 @@
             return None
 
     async def forget_group(self, group: str) -> None:
-        """Stop repeating reports about a group, when it is no longer watched here."""
+        """Drop the kept reports about a group that is no longer monitored here."""
         self._reports.forget_group(group)
 
     async def return_leases(self, leases: tuple[ConnectionLease, ...]) -> None:
-        """Tell that no more than these connections are held for these groups and tenants."""
+        """Report that no more than these connections are held for these groups and tenants."""
         returned = self._leases.held.returned(leases)
         if returned:
             await self._send(LeaseReturned(returned))
 
     async def report_writes_paused(self, group: str, term: int) -> None:
-        """Tell that no write of a group in planned switchover is in flight here."""
+        """Report that no write of a group in planned switchover is in flight here."""
         await self._send(WritesPaused(group, term))
 
     async def leave(self, done: bool) -> None:
-        """Tell that the proxy drains, and later that it is done.
+        """Report that the proxy drains, or that it has finished draining.
 
-        :param done: nothing is left and no lease is held
+        :param done: no work is left and no lease is held
         """
-        await self._send(self._announcements.leave(done))
+        await self._send(self._status_messages.leave(done))
 
     async def _send(self, message: object) -> bool:
-        """Send to the leader; tell whether one is linked.
+        """Send a message to the leader; return False if there is no usable link.
 
-        A message lost with the link is repeated by the next hello.
+        State lost with a link is reported again at the start of the next link.
         """
         link = self._link
         if link is None:
@@ -258,10 +260,10 @@
             finally:
                 self._link = None
                 await found.link.close()
-            await curio.sleep(self._choice.pause_s())
+            await curio.sleep(self._controllers.pause_s())
 
     def _hello(self) -> ProxyHello:
-        return self._announcements.hello(self._stored, self._state_receiver.newest)
+        return self._status_messages.hello(self._stored, self._state_receiver.latest)
 
     async def _serve_link(self, found: FoundLeader) -> None:
         link = found.link
@@ -270,7 +272,7 @@
         self._leases.link_opened()
         EVENTS.info("control-connected", controller=found.address, name=link.peer_name)
         self.links_opened += 1
-        self._quorum.link_opened(time.monotonic())
+        self._quorum_stamp.link_opened(time.monotonic())
         async with curio.TaskGroup(wait=any) as tasks:
             await tasks.spawn(until_closed, self._receive_all, link, found.first)
             await tasks.spawn(until_closed, self._send_heartbeats, link)
@@ -279,24 +281,24 @@
         raise LinkClosedError(tasks.completed.result)
 
     async def _send_heartbeats(self, link: Link) -> None:
-        """Send a heartbeat each interval; give up the link when the quorum stamp stands still."""
+        """Send a heartbeat each interval; close the link when the quorum stamp does not advance."""
         interval_s = self._settings.heartbeat_interval_ms / 1000
         await self._send_first_heartbeat(link)
         while True:
             await curio.sleep(interval_s)
-            if self._quorum.silent_s(time.monotonic()) > self._silence_limit_s:
+            if self._quorum_stamp.silent_s(time.monotonic()) > self._silence_limit_s:
                 raise LinkClosedError("the quorum stamp does not advance")
             await self._send_heartbeat(link, ())
 
     async def _send_first_heartbeat(self, link: Link) -> None:
-        """Report all that is held, before anything else can be granted on this link."""
+        """Report all held leases before the leader can grant anything on this link."""
         await self._leases.check_expiry()
         await self._send_heartbeat(link, self._leases.held.report(), is_first=True)
         self._link = link
         await self.limits.link_opened()
         for report in self._reports.all():
             await link.send(report)
-        leaving = self._announcements.leaving()
+        leaving = self._status_messages.leaving()
         if leaving is not None:
             await link.send(leaving)
 
@@ -305,10 +307,10 @@
     ) -> int:
         """Send a heartbeat; return its sequence.
 
-        :param is_first: on its link
+        :param is_first: whether it is the first heartbeat on its link
         """
         demands = self._demands(is_first)
-        heartbeat = self._announcements.next_heartbeat(
+        heartbeat = self._status_messages.next_heartbeat(
             self.view, self.clients, leases, demands if is_first else demands or None
         )
         now = time.monotonic()
@@ -331,33 +333,33 @@
     def _receivers(self) -> dict[type, Callable[..., Awaitable[None]]]:
         return {
             ControlTarget: self._state_receiver.take_target,
-            ControlSnapshot: self._take_snapshot,
-            ControlUpdate: self._take_update,
-            QuorumStamp: self._take_stamp,
+            ControlSnapshot: self._handle_snapshot,
+            ControlUpdate: self._handle_update,
+            QuorumStamp: self._handle_stamp,
             LeaseUpdate: self._leases.take,
-            PromoteOrder: self._take_order,
-            NotLeader: self._take_not_leader,
+            PromoteOrder: self._handle_order,
+            NotLeader: self._handle_not_leader,
             OperationsGranted: self.limits.granted,
         }
 
-    async def _take_snapshot(self, snapshot: ControlSnapshot) -> None:
+    async def _handle_snapshot(self, snapshot: ControlSnapshot) -> None:
         await self._state_receiver.apply_snapshot(snapshot)
         self._learn_controllers()
-        await self._view_check.view_changed()
+        await self._view_confirmation.view_changed()
 
-    async def _take_update(self, update: ControlUpdate) -> None:
-        """Take a change; a change of primaries is confirmed at once, for a promotion waits."""
+    async def _handle_update(self, update: ControlUpdate) -> None:
+        """Apply an update; acknowledge a new primary at once, since a promotion waits for it."""
         await self._state_receiver.apply_update(update)
         self._learn_controllers()
-        await self._view_check.view_changed()
+        await self._view_confirmation.view_changed()
         link = self._link
         if link is not None and any(primary.fence for primary in update.primaries):
             await self._send_heartbeat(link, ())
 
     def _learn_controllers(self) -> None:
-        view = self._state_receiver.in_force
+        view = self._state_receiver.current
         if view is not None and view.controllers:
-            self._choice.learn(view.controllers)
+            self._controllers.learn(view.controllers)
 
     def _renew_primary_lease(self, stamp: QuorumStamp) -> None:
         sent_at = self._heartbeats_sent_at.pop(stamp.sequence, None)
@@ -367,23 +369,23 @@
             ends_at = sent_at + stamp.primary_lease_ms / 1000
             self._primary_lease_ends_at = max(self._primary_lease_ends_at, ends_at)
 
-    async def _take_stamp(self, stamp: QuorumStamp) -> None:
-        if self._quorum.is_outdated(stamp):
-            raise LinkClosedError("the quorum stamp is older than one already seen")
+    async def _handle_stamp(self, stamp: QuorumStamp) -> None:
+        if self._quorum_stamp.is_older(stamp):
+            raise LinkClosedError("the quorum stamp is older than one received before")
         self._reports.heard()
-        if self._quorum.advance(stamp, time.monotonic()):
-            self._choice.accepted(self._address)
+        if self._quorum_stamp.advance(stamp, time.monotonic()):
+            self._controllers.accepted(self._address)
             await self._leases.renew(stamp.sequence, stamp.lease_duration_ms / 1000)
             self._renew_primary_lease(stamp)
-        await self._view_check.heard(stamp)
+        await self._view_confirmation.heard(stamp)
 
-    async def _take_order(self, order: PromoteOrder) -> None:
+    async def _handle_order(self, order: PromoteOrder) -> None:
         await curio.spawn(self._promote, order, daemon=True)
 
     async def _promote(self, order: PromoteOrder) -> None:
         result = await self._handler.promote(order)
         await self._send(result)
 
-    async def _take_not_leader(self, answer: NotLeader) -> None:
-        self._choice.redirect(answer.leader)
-        raise LinkClosedError("the controller leads no longer")
+    async def _handle_not_leader(self, answer: NotLeader) -> None:
+        self._controllers.redirect(answer.leader)
+        raise LinkClosedError("the controller is no longer the leader")
--- a/limedyke/proxy/control/controller_selector.py
+++ b/limedyke/proxy/control/controller_selector.py
@@ -1,8 +1,8 @@
-"""Which controller a proxy dials next, and how long it waits before; sans-IO.
+"""Selects the controller that a proxy dials next, and the pause before; sans-IO.
 
-Answers the load of a whole system that starts at once: controllers refuse while they load, and the
-leader serves nobody before every proxy has come to it.  So pauses grow with the rounds of all
-controllers, not with each refusal.
+When a whole system starts at once, controllers refuse connections while they load, and the leader
+grants nothing before every proxy has connected.  Pauses therefore grow with each round of all
+controllers and not with each refusal.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 
 FIRST_PAUSE_S = 0.02
 LONGEST_PAUSE_S = 1.0
-PAUSE_GROWTH = 1.4
-"""With each round of all controllers."""
-MOST_GROWTHS = 20
+PAUSE_GROWTH_PER_ROUND = 1.4
+"""Factor by which the pause grows with each round of all controllers."""
+MAXIMUM_GROWTH_ROUNDS = 20
 
 
 class ControllerSelector:
-    """Follows redirects to the leader, else goes round the controllers with growing pauses.
+    """Follows redirects to the leader, else tries all controllers in turn with growing pauses.
 
-    :param addresses: the controllers of the settings
-    :param generator: source of the jitter
-    :param longest_pause_s: the pause grows up to this
+    :param addresses: controller addresses from the settings
+    :param generator: source of the first position and the jitter
+    :param longest_pause_s: maximum pause in seconds
     """
 
     def __init__(
@@ -38,13 +38,13 @@
         self._attempts = 0
         self._first_addresses = addresses
 
-    def replace_first(self, addresses: tuple[str, ...]) -> None:
-        """Take the controllers that changed settings name."""
+    def set_configured(self, addresses: tuple[str, ...]) -> None:
+        """Use the controller addresses of reloaded settings."""
         self._first_addresses = addresses
         self.learn(self._addresses)
 
     def learn(self, addresses: tuple[str, ...]) -> None:
-        """Take the present controllers; those of the settings are kept as a last resort."""
+        """Use the current controllers of the cluster, with those of the settings as a fallback."""
         known = tuple(dict.fromkeys((*addresses, *self._first_addresses)))
         if known != self._addresses:
             self._addresses = known
@@ -60,22 +60,22 @@
         return self._addresses[self._position]
 
     def redirect(self, leader: str) -> None:
-        """Note which controller was named as the leader; empty when none is known."""
+        """Dial the controller named as the leader next; empty if no leader is known."""
         self._redirected = leader
         if leader:
             self._attempts = 0
 
     def accepted(self, address: str) -> None:
-        """Note that a controller served as the leader; when its link ends, the next one is tried.
+        """Record that a controller served as the leader; after it, the next one is dialled.
 
-        A controller that only believes that it leads would be dialled for ever otherwise.
+        Otherwise a controller that wrongly believes to be the leader would be dialled forever.
         """
         self._attempts = 0
         if address in self._addresses:
             self._position = self._addresses.index(address)
 
     def pause_s(self) -> float:
-        """Return how long to wait before the next dial, with jitter."""
-        rounds = min(self._attempts // len(self._addresses), MOST_GROWTHS)
-        longest = min(self._longest_pause_s, FIRST_PAUSE_S * PAUSE_GROWTH**rounds)
+        """Return the pause before the next dial, with jitter."""
+        rounds = min(self._attempts // len(self._addresses), MAXIMUM_GROWTH_ROUNDS)
+        longest = min(self._longest_pause_s, FIRST_PAUSE_S * PAUSE_GROWTH_PER_ROUND**rounds)
         return longest * self._generator.uniform(0.5, 1.0)
--- a/limedyke/proxy/control/leader_search.py
+++ b/limedyke/proxy/control/leader_search.py
@@ -1,4 +1,4 @@
-"""Finds the controller that leads: dials one after the other, and the next one when one is slow."""
+"""Finds the leading controller: dials the controllers in turn, the next one if one is slow."""
 
 from __future__ import annotations
 
@@ -16,11 +16,14 @@
 from limedyke.transport.link import Link, LinkClosedError, LinkIdentity, dial
 
 DIAL_TIMEOUT_S = 0.4
-"""A machine that is off answers nothing, and there are other controllers to dial."""
-SLOW_S = 0.15
-"""A controller that has not answered for so long has no leader to name yet, is off or hangs: two
-round trips to another region and some work."""
-ATTEMPTS_AT_ONCE = 2
+"""Short, because a machine that is off does not answer and other controllers can be dialled."""
+SLOW_CONTROLLER_S = 0.15
+"""After this time without an answer, the next controller is dialled as well.
+
+It allows for two round trips to another region and some processing.  A slower controller knows no
+leader yet, is off or hangs.
+"""
+CONCURRENT_ATTEMPTS = 2
 EVENTS = EventLog("control_client")
 
 
@@ -28,7 +31,7 @@
 class FoundLeader:
     """An open link to a controller that answered as the leader.
 
-    :param first: its first message
+    :param first: the first message that it sent
     """
 
     link: Link
@@ -39,24 +42,24 @@
 class LeaderSearch:
     """Searches for the leader whenever the proxy has none.
 
-    :param identity: proves this proxy on its links
+    :param identity: authenticates this proxy on its links
     :param source_ip: local address to connect from, or empty
-    :param choice: which controller is dialled next
-    :param hello: makes the first message on a link
-    :param answer_limit_s: how long a controller may take to answer it
+    :param controllers: selects the controller to dial next
+    :param hello: builds the first message on a link
+    :param answer_limit_s: how long a controller may take to answer the hello
     """
 
     def __init__(
         self,
         identity: LinkIdentity,
         source_ip: str,
-        choice: ControllerSelector,
+        controllers: ControllerSelector,
         hello: Callable[[], ProxyHello],
         answer_limit_s: float,
     ) -> None:
         self._identity = identity
         self._source_ip = source_ip
-        self._choice = choice
+        self._controllers = controllers
         self._hello = hello
         self._answer_limit_s = answer_limit_s
         self._dialling: set[str] = set()
@@ -69,7 +72,7 @@
             async with curio.TaskGroup() as attempts:
                 while found is None:
                     await self._begin_attempt(attempts)
-                    found = await self._next_found(attempts)
+                    found = await self._wait_for_attempt(attempts)
                 await attempts.cancel_remaining()
         finally:
             for link in self._links - {found.link if found is not None else None}:
@@ -79,29 +82,29 @@
         return found
 
     async def _begin_attempt(self, attempts: curio.TaskGroup) -> None:
-        if len(self._dialling) >= ATTEMPTS_AT_ONCE:
+        if len(self._dialling) >= CONCURRENT_ATTEMPTS:
             return
-        address = self._choice.next_address()
+        address = self._controllers.next_address()
         if address not in self._dialling:
             self._dialling.add(address)
             await attempts.spawn(self._attempt, address)
 
-    async def _next_found(self, attempts: curio.TaskGroup) -> FoundLeader | None:
-        """Wait for an attempt to end, a short time; return the leader if it found one."""
+    async def _wait_for_attempt(self, attempts: curio.TaskGroup) -> FoundLeader | None:
+        """Wait up to ``SLOW_CONTROLLER_S`` for an attempt to end; return the leader if found."""
         ended = None
-        async with curio.ignore_after(SLOW_S):
+        async with curio.ignore_after(SLOW_CONTROLLER_S):
             ended = await attempts.next_done()
         return ended.result if ended is not None else None
 
     async def _attempt(self, address: str) -> FoundLeader | None:
-        """Ask one controller; after a pause return None if it does not lead."""
+        """Dial one controller; if it does not lead, return None after a pause."""
         try:
             found = await self._ask(address)
         except LinkClosedError as error:
             EVENTS.info("control-link-closed", controller=address, reason=error)
             found = None
         if found is None:
-            await curio.sleep(self._choice.pause_s())
+            await curio.sleep(self._controllers.pause_s())
             self._dialling.discard(address)
         return found
 
@@ -117,14 +120,14 @@
             return FoundLeader(link, address, first)
         await link.close()
         if isinstance(first, NotLeader):
-            self._choice.redirect(first.leader)
+            self._controllers.redirect(first.leader)
         else:
             EVENTS.warning("control-refused", controller=address, reason=first.detail)
             await curio.sleep(random.uniform(0.5, 1.0) * first.retry_after_ms / 1_000)
         return None
 
     async def _greet(self, link: Link) -> object:
-        """Say hello; return the first answer.
+        """Send the hello; return the first answer.
 
         :raises LinkClosedError: when the controller does not answer in time
         """
--- a/limedyke/proxy/control/leases.py
+++ b/limedyke/proxy/control/leases.py
@@ -1,4 +1,4 @@
-"""The connection leases of a proxy: taken from the leader, and out of use when they run out."""
+"""The connection leases that the leader granted to a proxy, and their expiry."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class ControlLeases:
-    """Holds the leases by the clock of ``time.monotonic()``, in seconds.
+    """Holds the leases; times are seconds of ``time.monotonic()``.
 
     :param proxy: the proxy's name
-    :param leases_changed: called with the leases in use and the moment at which all end
-    :param is_linked: whether the leader counts the leases on a link that is up
+    :param leases_changed: called with the valid leases and their common expiry time
+    :param is_linked: returns whether the leases were reported on the current link
     """
 
     def __init__(
@@ -36,29 +36,29 @@
 
     @property
     def in_use(self) -> tuple[ConnectionLease, ...]:
-        """The leases that may be used at this moment."""
+        """The leases that are valid now."""
         return self.held.leases() if time.monotonic() < self.held.expires_at else ()
 
     def link_opened(self) -> None:
-        """Note that a leader has accepted a new link."""
+        """Record that a leader has accepted a new link."""
         self._lost.clear()
 
     async def renew(self, sequence: int, duration_s: float) -> None:
-        """Prolong the leases by the answer to a heartbeat."""
+        """Extend the leases after the answer to a heartbeat."""
         self.held.renewed(sequence, duration_s)
         await self._wakeup.set()
 
     async def take(self, update: LeaseUpdate) -> None:
-        """Take the leader's word for some leases.
+        """Apply a lease update of the leader.
 
-        :raises LinkClosedError: when all leases have run out
+        :raises LinkClosedError: when all leases have expired
         """
         if not self.held.update(update.leases, time.monotonic()):
             raise LinkClosedError("the leases have run out")
         await self._leases_changed(self.held.leases(), self.held.expires_at)
 
     async def check_expiry(self) -> None:
-        """Take all leases out of use if they have run out."""
+        """Drop all leases if they have expired."""
         if not self.held.expire(time.monotonic()):
             return
         EVENTS.warning("leases-expired", proxy=self._proxy)
@@ -67,7 +67,7 @@
         await self._leases_changed((), self.held.expires_at)
 
     async def watch_expiry(self) -> None:
-        """Take all leases out of use whenever they run out, until cancelled."""
+        """Drop all leases whenever they expire, until cancelled."""
         while True:
             remaining_s = self.held.expires_at - time.monotonic()
             self._wakeup.clear()
@@ -78,9 +78,9 @@
                 await self._wakeup.wait()
 
     async def watch_lost(self) -> None:
-        """Give up the link when leases have run out on it: the leader may still count them.
+        """Close the link after leases expired on it, since the leader may still count them.
 
-        :raises LinkClosedError: then
+        :raises LinkClosedError: when the leases have expired
         """
         await self._lost.wait()
         raise LinkClosedError("the leases have run out")
--- a/limedyke/proxy/control/quorum_stamp_tracker.py
+++ b/limedyke/proxy/control/quorum_stamp_tracker.py
@@ -1,12 +1,12 @@
-"""How long the leader's quorum stamp has stood still; sans-IO."""
+"""Tracks how long the leader's quorum stamp has not advanced; sans-IO."""
 
 from __future__ import annotations
 
 from limedyke.messages.control import QuorumStamp
 
 
-class QuorumWatch:
-    """Follows the stamp that only a leader with a live quorum can move on.
+class QuorumStampTracker:
+    """Tracks the quorum stamp, which only a leader with a live quorum can advance.
 
     Times are seconds of a monotonic clock.
     """
@@ -16,15 +16,15 @@
         self._advanced_at = 0.0
 
     def link_opened(self, now: float) -> None:
-        """Count the silence from now on: a new leader has accepted the link."""
+        """Restart the silence timer, as a new leader has accepted the link."""
         self._advanced_at = now
 
-    def is_outdated(self, stamp: QuorumStamp) -> bool:
-        """Tell whether a newer stamp was seen already, of this leader or another."""
+    def is_older(self, stamp: QuorumStamp) -> bool:
+        """Return whether a newer stamp was received before, from this leader or another."""
         return _order(stamp) < self._newest
 
     def advance(self, stamp: QuorumStamp, now: float) -> bool:
-        """Take a stamp; tell whether it is newer than all before."""
+        """Record a stamp; return whether it is newer than all before."""
         if _order(stamp) <= self._newest:
             return False
         self._newest = _order(stamp)
@@ -32,7 +32,7 @@
         return True
 
     def silent_s(self, now: float) -> float:
-        """Return for how many seconds no newer stamp has come."""
+        """Return the seconds since the stamp last advanced."""
         return now - self._advanced_at
 
 
--- a/limedyke/proxy/control/report_answer_timer.py
+++ b/limedyke/proxy/control/report_answer_timer.py
@@ -1,19 +1,20 @@
-"""Whether a proxy that has something urgent to say should try another controller; sans-IO.
+"""Timeout for the leader's answer to a member report; sans-IO.
 
-A leader that is cut off is left when its quorum stamp has stood still for the silence limit.
-That is long while a primary is lost: a report that is not answered within a second makes the
-proxy leave sooner.  It does so once in a while only, so that a leader who is slow under a storm
-of reports does not have to meet all proxies again and again.
+A proxy leaves a partitioned leader when its quorum stamp has not advanced for the silence limit.
+That is too long while a group has no primary, so a proxy also leaves a leader that does not answer
+a report within a second.  It does this at most once per interval, so that a leader that is slow
+under many reports does not have to accept new links of all proxies repeatedly.
 """
 
 from __future__ import annotations
 
 ANSWER_LIMIT_S = 1.0
 SHORTEST_INTERVAL_S = 10.0
+"""Minimum time between two links that are left because of an unanswered report."""
 
 
 class ReportAnswerTimer:
-    """Times one unanswered report after the other, in seconds of a monotonic clock."""
+    """Times the oldest unanswered report; times are seconds of a monotonic clock."""
 
     def __init__(self) -> None:
         self._reported_at: float | None = None
@@ -21,25 +22,25 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether a report was sent and the leader has not been heard since."""
+        """Whether a report was sent that the leader has not answered."""
         return self._reported_at is not None
 
     def reported(self, now: float) -> None:
-        """Note a report; the first one that is unanswered counts."""
+        """Record a sent report; the timeout runs from the first unanswered one."""
         if self._reported_at is None:
             self._reported_at = now
 
     def heard(self) -> None:
-        """Note that a heartbeat was answered, or that the link has ended."""
+        """Record that a heartbeat was answered, or that a new link was opened."""
         self._reported_at = None
 
     def remaining_s(self, now: float) -> float:
-        """Return how long the leader may still be silent; infinite when nothing is urgent."""
+        """Return the seconds left for an answer; infinite if no timeout is running."""
         if self._reported_at is None or now - self._left_at < SHORTEST_INTERVAL_S:
             return float("inf")
         return self._reported_at + ANSWER_LIMIT_S - now
 
     def left(self, now: float) -> None:
-        """Note that the leader was left for its silence."""
+        """Record that the link was closed because a report was not answered."""
         self._left_at = now
         self._reported_at = None
--- a/limedyke/proxy/control/reports.py
+++ b/limedyke/proxy/control/reports.py
@@ -1,4 +1,4 @@
-"""What a proxy has reported of members: kept for the next link, and watched for an answer."""
+"""Member reports of a proxy: kept for the next link, with a timeout for the leader's answer."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ControlReports:
-    """The newest report of each member, and whether the leader has been heard since one was sent.
+    """The latest report of each member, and the timeout for the leader's answer.
 
     Times are seconds of ``time.monotonic()``.
     """
@@ -23,12 +23,12 @@
         self._wakeup = curio.Event()
 
     @property
-    def is_answer_due(self) -> bool:
-        """Whether a report was sent and the leader has not been heard since."""
+    def is_awaiting_answer(self) -> bool:
+        """Whether a report was sent that the leader has not answered."""
         return self._silence.is_waiting
 
     def keep(self, report: MemberReport) -> None:
-        """Keep a report in place of an earlier one of the same member."""
+        """Keep a report, replacing an earlier one of the same member."""
         self._reports[(report.group, report.member)] = report
 
     def forget_group(self, group: str) -> None:
@@ -37,22 +37,22 @@
             del self._reports[key]
 
     def all(self) -> tuple[MemberReport, ...]:
-        """Return the newest report of each member."""
+        """Return the latest report of each member."""
         return tuple(self._reports.values())
 
-    async def expect_answer(self) -> None:
-        """Note that a report was sent to the leader."""
+    async def report_sent(self) -> None:
+        """Start the answer timeout, as a report was sent to the leader."""
         self._silence.reported(time.monotonic())
         await self._wakeup.set()
 
     def heard(self) -> None:
-        """Note that the leader was heard."""
+        """Stop the answer timeout, as the leader answered."""
         self._silence.heard()
 
     async def watch_silence(self) -> None:
-        """Give up the link when a report is not answered.
+        """Close the link when a report is not answered in time.
 
-        :raises LinkClosedError: then
+        :raises LinkClosedError: when the answer timeout has passed
         """
         self._silence.heard()
         while True:
--- a/limedyke/proxy/control/state_receiver.py
+++ b/limedyke/proxy/control/state_receiver.py
@@ -1,4 +1,4 @@
-"""What a proxy accepts from the controllers: synced first, never older, then in force."""
+"""Receives control state from the controllers: persists it, then applies it, never older state."""
 
 from __future__ import annotations
 
@@ -14,29 +14,32 @@
 
 
 class ControlStateReceiver:
-    """Takes snapshots and updates in, and puts the views they make into force.
+    """Persists snapshots and updates, and applies the resulting views.
 
-    :param store: the proxy's disk
-    :param put_in_force: takes a newer view into force; it is synced already
+    :param store: persists the control state
+    :param apply_view: applies a newer view, which is already synced to disk
+
+    :ivar current: the applied view
     """
 
     def __init__(
-        self, store: ControlStore, put_in_force: Callable[[ControlView], Awaitable[None]]
+        self, store: ControlStore, apply_view: Callable[[ControlView], Awaitable[None]]
     ) -> None:
         self._store = store
-        self._put_in_force = put_in_force
+        self._apply_view = apply_view
         self._stored: StoredControl | None = None
         self._target_index = 0
         self._unsaved_snapshot = False
-        self.in_force: ControlView | None = None
+        self.current: ControlView | None = None
         self.confirmed = False
-        """Whether a leader has confirmed or replaced the view that the disk held at the start.
+        """Whether a leader has confirmed or replaced the view that was stored at the start.
 
-        A stored view serves requests, but is no order to leave service: that may be over.
+        An unconfirmed stored view is used to serve requests, but not to start a drain, because
+        the order to drain may have been withdrawn since.
         """
 
     async def open(self) -> Result[StoredControl, Failure]:
-        """Open the disk, and put into force what it holds whole."""
+        """Open the store, and apply the stored view if it is intact."""
         opened = self._store.open()
         if isinstance(opened, Err):
             return opened
@@ -47,25 +50,25 @@
         return opened
 
     @property
-    def newest(self) -> ControlView | None:
-        """The newest view that was taken in, in force or not yet."""
+    def latest(self) -> ControlView | None:
+        """The latest view that was received, applied or not."""
         return self._stored.builder.view
 
     def link_opened(self) -> None:
-        """Forget what an earlier leader announced."""
+        """Reset the target index that an earlier leader sent."""
         self._target_index = 0
 
     async def take_target(self, target: ControlTarget) -> None:
-        """Hold back what is older than a leader's present state."""
+        """Apply no view that is older than this state of the leader."""
         self._target_index = target.control_index
 
     async def apply_snapshot(self, snapshot: ControlSnapshot) -> None:
-        """Take a whole state.
+        """Apply a complete state.
 
-        :raises LinkClosedError: when it is older than what was taken in before
-        :raises OSError: when the disk refuses
+        :raises LinkClosedError: when it is older than the latest view
+        :raises OSError: when it cannot be written to disk
         """
-        view = self.newest
+        view = self.latest
         if view is not None and snapshot.control_index < view.control_index:
             raise LinkClosedError(
                 f"snapshot {snapshot.control_index} is older than {view.control_index}"
@@ -74,14 +77,14 @@
         await self._accept(self._stored.builder.apply_snapshot(snapshot))
 
     async def apply_update(self, update: ControlUpdate) -> None:
-        """Take a change of the newest view; an empty one confirms it.
+        """Apply a change to the latest view; an empty update confirms the view.
 
-        :raises LinkClosedError: when it does not follow
-        :raises OSError: when the disk refuses
+        :raises LinkClosedError: when the update is not based on the latest view
+        :raises OSError: when it cannot be written to disk
         """
-        view = self.newest
+        view = self.latest
         if view is None or update.base_index != view.control_index:
-            raise LinkClosedError(f"update from {update.base_index} does not follow")
+            raise LinkClosedError(f"update is based on {update.base_index}, not on the latest view")
         if update.control_index == view.control_index:
             await self._confirm(view)
             return
@@ -90,12 +93,12 @@
         await self._accept(self._stored.builder.apply_update(update))
 
     async def _confirm(self, view: ControlView) -> None:
-        """Take a stored view into force, also again, once the leader says that it is current."""
+        """Apply a stored view, again if need be, after the leader confirmed that it is current."""
         if not self.confirmed or self._unsaved_snapshot:
             await self._accept(view)
 
     async def _accept(self, view: ControlView) -> None:
-        """Sync what is not synced yet and take a view into force, once it is new enough."""
+        """Persist and apply a view, unless it is older than the target index."""
         if view.control_index < self._target_index:
             return
         if self._unsaved_snapshot or self._store.wants_snapshot:
@@ -105,5 +108,5 @@
         await self._use(view)
 
     async def _use(self, view: ControlView) -> None:
-        self.in_force = view
-        await self._put_in_force(view)
+        self.current = view
+        await self._apply_view(view)
--- a/limedyke/proxy/control/status_messages.py
+++ b/limedyke/proxy/control/status_messages.py
@@ -1,4 +1,4 @@
-"""What a proxy tells the leader of itself: hello, heartbeat and that it leaves."""
+"""Builds the messages that report a proxy's own state: hello, heartbeat and leaving."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from limedyke.proxy.control.view import ControlView
 
 
-class ControlAnnouncements:
-    """Makes the messages in which a proxy speaks of itself.
+class ProxyStatusMessages:
+    """Builds the hello, heartbeat and leaving messages of one proxy.
 
-    :ivar sequence: number of the newest heartbeat of this process
+    :ivar sequence: number of the last heartbeat of this process
     """
 
     def __init__(self, settings: ControlClientSettings) -> None:
@@ -29,8 +29,8 @@
     def hello(self, stored: StoredControl, view: ControlView | None) -> ProxyHello:
         """Return the first message on a link.
 
-        :param stored: what the proxy's folder says of it
-        :param view: the newest view received, in force or not
+        :param stored: incarnation and folder id from the proxy's data folder
+        :param view: the latest view received, applied or not
         """
         return ProxyHello(
             name=self._settings.name,
@@ -52,10 +52,11 @@
     ) -> ProxyHeartbeat:
         """Return the next heartbeat.
 
-        :param view: the view in force
-        :param clients: how many clients are connected
-        :param leases: all that is held, on the first heartbeat of a link
-        :param demands: all of them on that one, what changed on others; None where none is told
+        :param view: the applied view
+        :param clients: number of connected clients
+        :param leases: all held leases on the first heartbeat of a link, else empty
+        :param demands: all demands on the first heartbeat of a link, else those that changed;
+            None for no report
         """
         self.sequence += 1
         return ProxyHeartbeat(
@@ -69,12 +70,12 @@
         )
 
     def leave(self, done: bool) -> ProxyLeaving:
-        """Note that the proxy drains, or is done with it, and return the message that says so."""
+        """Record that the proxy drains or has finished draining; return the message for it."""
         self._state = ProxyState.GONE if done else ProxyState.DRAINING
         return ProxyLeaving(done)
 
     def leaving(self) -> ProxyLeaving | None:
-        """Return the message that a new link needs when the proxy leaves."""
+        """Return the message to repeat on a new link if the proxy is leaving, else None."""
         if self._state is ProxyState.SERVING:
             return None
         return ProxyLeaving(self._state is ProxyState.GONE)
--- a/limedyke/proxy/control/view_check.py
+++ b/limedyke/proxy/control/view_check.py
@@ -1,4 +1,4 @@
-"""Finds out whether the view in force is the leader's newest."""
+"""Checks whether the applied view is the leader's latest."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 from limedyke.messages.control import QuorumStamp
 
 
-class ViewCheck:
-    """Asks by a heartbeat: its answer tells up to where the leader's state goes.
+class ViewFreshnessCheck:
+    """Sends a heartbeat, whose answer carries the index of the leader's state.
 
     :param ask: sends a heartbeat and returns its sequence; None while no leader is linked
-    :param in_force: returns the index of the view in force
+    :param applied_index: returns the control index of the applied view
     """
 
     def __init__(
-        self, ask: Callable[[], Awaitable[int | None]], in_force: Callable[[], int]
+        self, ask: Callable[[], Awaitable[int | None]], applied_index: Callable[[], int]
     ) -> None:
         self._ask = ask
-        self._in_force = in_force
+        self._applied_index = applied_index
         self._answered = 0
-        self._newest_index = 0
+        self._leader_index = 0
         self._changed = curio.Event()
 
     async def heard(self, stamp: QuorumStamp) -> None:
-        """Take the answer to a heartbeat."""
+        """Record the answer to a heartbeat."""
         self._answered = max(self._answered, stamp.sequence)
-        self._newest_index = max(self._newest_index, stamp.control_index)
+        self._leader_index = max(self._leader_index, stamp.control_index)
         await self.view_changed()
 
     async def view_changed(self) -> None:
-        """Have those that wait look again."""
+        """Wake the waiting tasks to check again."""
         event, self._changed = self._changed, curio.Event()
         await event.set()
 
     async def confirm(self, limit_s: float) -> bool:
-        """Wait until all that the leader's state held at this moment is in force.
+        """Wait until the leader's state as of this call is applied.
 
-        :returns: False when no leader has said so in time
+        :returns: False if no leader confirmed it within ``limit_s`` seconds
         """
         async with curio.ignore_after(limit_s):
             return await self._confirm()
@@ -49,6 +49,6 @@
         sequence = await self._ask()
         if sequence is None:
             return False
-        while self._answered < sequence or self._in_force() < self._newest_index:
+        while self._answered < sequence or self._applied_index() < self._leader_index:
             await self._changed.wait()
         return True
