--- a/limedyke/proxy/clients/__init__.py
+++ b/limedyke/proxy/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the PostgreSQL protocol: their connections, limits and logins."""
+"""Client side of the proxy: connections of PostgreSQL clients, their limits and logins."""
--- a/limedyke/proxy/clients/client_socket.py
+++ b/limedyke/proxy/clients/client_socket.py
@@ -1,4 +1,4 @@
-"""A client's socket: what is received, what waits to be sent, and how the connection ends."""
+"""The socket of one client, with an output buffer and the ways to end the connection."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class ClientGoneError(Exception):
-    """The client closed its connection, or it broke."""
+    """The client closed its side of the connection."""
 
 
 class ClientSocket:
-    """The socket of one client, with a buffer for answers that come in small parts.
+    """The socket of one client, with a buffer for answers that arrive in small parts.
 
     :param sock: the accepted socket
-    :ivar sending_since: monotonic seconds since when buffered bytes are being sent, 0 for not
-    :ivar closing_since: monotonic seconds since when the connection is being ended, 0 for not
+    :ivar sending_since: monotonic time at which the current send began, 0 for none
+    :ivar closing_since: monotonic time at which the close of the connection began, 0 for none
     """
 
     __slots__ = ("_output", "_output_bytes", "_socket", "closing_since", "sending_since")
@@ -36,18 +36,18 @@
 
     @property
     def file_number(self) -> int:
-        """The socket's file number, or -1 once it is closed."""
+        """The socket's file descriptor, or -1 once it is closed."""
         return self._socket.fileno()
 
     @property
-    def is_amid_answer(self) -> bool:
-        """Whether part of an answer waits or is on its way, so that nothing may come between."""
+    def is_sending_answer(self) -> bool:
+        """Whether part of an answer is buffered or being sent, so that nothing may interrupt it."""
         return bool(self.sending_since or self._output_bytes)
 
     async def receive(self) -> bytes:
-        """Return the next bytes that arrive.
+        """Wait for data and return it.
 
-        :raises ClientGoneError: when the client has ended its side
+        :raises ClientGoneError: when the client has closed its side
         """
         data = await self._socket.recv(RECEIVE_BYTES)
         if not data:
@@ -55,15 +55,18 @@
         return data
 
     async def start_tls(self, tls: ClientTls, timeout_s: float) -> None:
-        """Go on under TLS; raises ``OSError`` when the handshake fails."""
+        """Start TLS on the connection.
+
+        :raises OSError: when the handshake fails
+        """
         self._socket = await tls.wrap(self._socket, timeout_s)
 
     async def send_now(self, data: bytes) -> None:
-        """Send bytes past the buffer, during the login and for the last message."""
+        """Send bytes without buffering, for the login and the last message."""
         await self._socket.sendall(data)
 
     async def send(self, data: bytes) -> None:
-        """Put bytes into the buffer, and send it when it is full."""
+        """Add bytes to the buffer, and send the buffer when it is full."""
         if self._output is None:
             self._output = []
         self._output.append(data)
@@ -72,7 +75,7 @@
             await self.flush()
 
     async def flush(self) -> None:
-        """Send what the buffer holds."""
+        """Send the contents of the buffer."""
         if not self._output:
             return
         data = b"".join(self._output)
@@ -83,7 +86,10 @@
         self.sending_since = 0.0
 
     async def linger(self) -> None:
-        """Let the last answer reach the client: end our side and read until it ends its own."""
+        """Shut down the sending side and read until the client closes its own.
+
+        This lets the client receive the last answer before the socket is closed.
+        """
         await self.flush()
         self.closing_since = self.closing_since or time.monotonic()
         await self._socket.shutdown(socket.SHUT_WR)
@@ -91,16 +97,16 @@
             continue
 
     async def close(self) -> None:
-        """Close the socket, whatever state it is in."""
+        """Close the socket; errors are ignored."""
         try:
             await self._socket.close()
         except OSError:
             return
 
-    # From outside of the connection's task, without waiting
+    # Non-blocking calls from outside the connection's task
 
     def has_unread_input(self) -> bool:
-        """Tell whether something has arrived that the connection's task hasn't read yet."""
+        """Return whether data has arrived that the connection's task has not read yet."""
         if self.file_number < 0:
             return False
         poll = select.poll()
@@ -108,7 +114,7 @@
         return bool(poll.poll(0))
 
     def send_last(self, data: bytes) -> None:
-        """Send what ends an idle connection, and let its task see the end."""
+        """Send the last message of an idle connection, and shut down the sending side."""
         self.closing_since = time.monotonic()
         try:
             with self._socket.blocking() as plain:
@@ -116,10 +122,10 @@
                 plain.send(data)
                 plain.shutdown(socket.SHUT_WR)
         except OSError:
-            self.cut()
+            self.abort()
 
-    def cut(self) -> None:
-        """Break the connection; its task sees the end."""
+    def abort(self) -> None:
+        """Shut the connection down; its task gets the end of the stream or an error."""
         try:
             with self._socket.blocking() as plain:
                 plain.setblocking(False)
--- a/limedyke/proxy/clients/connection.py
+++ b/limedyke/proxy/clients/connection.py
@@ -1,8 +1,9 @@
-"""One client's connection: the curio shell around ``Frontend`` and ``Session``.
+"""A client connection: the curio I/O around ``Frontend`` and ``Session``.
 
-The only task of a connection reads, runs and answers in turn; while a unit
-runs, nothing is read.  What must happen meanwhile (a client that goes away, a
-limit reached, a drain) is done from ``ClientWatch``, one task for all.
+Each connection has one task that reads, runs and answers in turn; it does not
+read while a unit runs.  Events during a unit (a client that disconnects, an
+exceeded limit, a drain) are handled by ``ClientWatch``, one task for all
+connections.
 """
 
 from __future__ import annotations
@@ -39,11 +40,11 @@
 from limedyke.postgres.client_messages import failure_response
 from limedyke.postgres.frontend import Frontend, refuse
 from limedyke.proxy.clients.client_socket import ClientGoneError, ClientSocket
-from limedyke.proxy.clients.services import ClientServices, present_moment
+from limedyke.proxy.clients.services import ClientServices, current_moment
 from limedyke.result_codes import Failure, ResultCode
 
 LINGER_S = 2.0
-"""How long a client may take to read its last message and close, before it is cut."""
+"""How long a client may take to read its last message and close before it is disconnected."""
 NONCE_BYTES = 18
 LOG = EventLog("client")
 
@@ -52,10 +53,10 @@
     """A client's connection from accept to close.
 
     :param sock: the accepted socket
-    :ivar session: the session, or None before the login is done
-    :ivar cancel_key: what a request to cancel has to name; held while the client has a place
-    :ivar accepted_at: monotonic seconds of the accept
-    :ivar busy_since: monotonic seconds since when a unit runs, 0 for none
+    :ivar session: the session, or None before the login has finished
+    :ivar cancel_key: identifies this connection in cancel requests; None unless admitted
+    :ivar accepted_at: monotonic time of the accept
+    :ivar busy_since: monotonic time at which the running unit started, 0 for none
     """
 
     __slots__ = (
@@ -81,7 +82,7 @@
         self.busy_since = 0.0
 
     async def run(self) -> None:
-        """Serve the client until it leaves or is refused."""
+        """Serve the client until it disconnects or is refused."""
         registry = self._services.registry
         registry.connections.add(self)
         try:
@@ -90,7 +91,7 @@
         except (OSError, ClientGoneError) as error:
             LOG.debug("connection-ended", reason=error)
         except Exception as error:
-            # A defect must end this connection only; the client is told what it can rely on.
+            # A bug must end only this connection; the client gets INTERNAL_ERROR.
             LOG.error("client-task-failed", error=repr(error), trace=traceback.format_exc())
             self.send_last([*refuse(Failure(ResultCode.INTERNAL_ERROR))])
         finally:
@@ -98,29 +99,29 @@
 
     @property
     def file_number(self) -> int:
-        """The socket's file number, or -1 once it is closed."""
+        """The socket's file descriptor, or -1 once it is closed."""
         return self._socket.file_number
 
     @property
     def is_closing(self) -> bool:
-        """Whether the connection is on its way out."""
+        """Whether the connection is being closed."""
         return bool(self._socket.closing_since)
 
     # Login
 
     async def _log_in(self) -> bool:
-        """Take the client through its login; tell whether a session stands."""
+        """Run the login; return whether a session was opened."""
         nonce = secrets.token_urlsafe(NONCE_BYTES)
         self._frontend = Frontend(self._services.login_policy, nonce)
         while self.session is None:
             data = await self._socket.receive()
             for command in self._frontend.receive(data):
-                if not await self._do_login_command(command):
+                if not await self._run_login_command(command):
                     return False
         self._frontend = None
         return True
 
-    async def _do_login_command(self, command: object) -> bool:
+    async def _run_login_command(self, command: object) -> bool:
         match command:
             case SendToClient(data):
                 await self._socket.send_now(data)
@@ -132,12 +133,12 @@
             case LoginProved():
                 return await self._open_session(command)
             case CloseClient(reason):
-                self._count_login(reason)
+                self._record_refused_login(reason)
                 await self._socket.linger()
                 return False
         return True
 
-    def _count_login(self, reason: str) -> None:
+    def _record_refused_login(self, reason: str) -> None:
         if reason != "cancel request":
             LOG.info("login-refused", reason=reason)
             self._services.metrics.logins.labels(reason.split(":", maxsplit=1)[0][:6]).inc()
@@ -161,7 +162,7 @@
             failure = admitted.err_value
             return await self._refuse_login(failure_response(failure, "FATAL"), failure.code.label)
         self.cancel_key = admitted.ok_value
-        opened = open_session(services.context, login, self.cancel_key, present_moment())
+        opened = open_session(services.context, login, self.cancel_key, current_moment())
         if isinstance(opened, Err):
             services.registry.release(self.cancel_key, login.tenant)
             self.cancel_key = None
@@ -191,12 +192,12 @@
                 await self._socket.linger()
                 return
             if messages:
-                moment = present_moment()
-                await self._do(self.session.handle(ClientMessages(messages, moment)))
+                moment = current_moment()
+                await self._run_commands(self.session.handle(ClientMessages(messages, moment)))
         await self._socket.linger()
 
-    async def _do(self, commands: list[SessionCommand]) -> None:
-        """Carry out the session's commands, and those that their outcomes bring."""
+    async def _run_commands(self, commands: list[SessionCommand]) -> None:
+        """Execute the session's commands, and those that result from them."""
         waiting = deque(commands)
         while waiting:
             command = waiting.popleft()
@@ -205,7 +206,7 @@
                     await self._socket.send(data)
                 case RunUnit(unit):
                     end = await self._run_unit(unit)
-                    waiting.extend(self.session.handle(UnitEnded(end, present_moment())))
+                    waiting.extend(self.session.handle(UnitEnded(end, current_moment())))
                 case AbandonUnit(work):
                     await self._services.executor.abandon(work)
                 case CloseClient():
@@ -224,31 +225,34 @@
         return end
 
     async def _relay(self, chunk: AnswerChunk) -> None:
-        """Pass part of an answer on; raises when the client is gone."""
+        """Send part of an answer to the client.
+
+        :raises OSError: when the client is gone
+        """
         for command in self.session.handle(AnswerReceived(chunk)):
             await self._socket.send(command.data)
 
-    # From outside of the connection's task
+    # Calls from outside the connection's task
 
     @property
-    def may_pass_limit(self) -> bool:
-        """Whether ``tick`` has to be asked: not for the many that are logged in and idle."""
+    def needs_tick(self) -> bool:
+        """Whether ``tick`` must be called; false for logged-in idle clients, which are the most."""
         session = self.session
         if session is None or self.is_closing or self._socket.sending_since:
             return True
         return session.state.is_in_transaction
 
     def tick(self, moment: Moment) -> list[SessionCommand]:
-        """Return what a passed limit asks for."""
+        """Return the commands for an exceeded time limit; disconnect a stalled client."""
         closing_since, sending_since = self._socket.closing_since, self._socket.sending_since
         if closing_since:
             if moment.now - closing_since > LINGER_S:
-                self._socket.cut()
+                self._socket.abort()
             return []
         if sending_since:
             if moment.now - sending_since > self._services.stalled_client_s:
                 LOG.info("caller-stalled", after_s=moment.now - sending_since)
-                self._socket.cut()
+                self._socket.abort()
             return []
         if self.session is not None:
             return self.session.handle(Tick(moment))
@@ -257,36 +261,36 @@
         return []
 
     def ask_to_leave(self, failure: Failure) -> list[SessionCommand]:
-        """Ask for the end once nothing is under way; returns what an idle client is told.
+        """Ask the session to end when no work is under way; return the commands to end it now.
 
-        To be asked again until the connection closes: nothing is put between the parts
-        of an answer on its way.
+        The caller repeats this until the connection closes, because nothing may be sent
+        between the parts of an answer.
         """
-        if self.is_closing or self._socket.is_amid_answer:
+        if self.is_closing or self._socket.is_sending_answer:
             return []
         if self.session is None:
             return refuse(failure)
-        # What has arrived by now is served; what comes later is refused as an answer to it.
+        # Requests that have arrived by now are served; later ones are refused.
         if not self.session.is_leaving and self._has_unread_input():
             return []
-        return self.session.handle(LeaveAsked(failure, present_moment()))
+        return self.session.handle(LeaveAsked(failure, current_moment()))
 
     def _has_unread_input(self) -> bool:
-        """Tell whether a request has arrived that the connection's task hasn't read yet."""
+        """Return whether a request has arrived that the connection's task has not read yet."""
         return not self.busy_since and self._socket.has_unread_input()
 
     def end_now(self, failure: Failure) -> list[SessionCommand]:
-        """End the connection whatever is under way; an answer on its way is cut."""
+        """End the connection even with work under way; an answer being sent is truncated."""
         if self.session is None or self.is_closing:
             return []
         commands = self.session.end_now(failure)
-        if self._socket.is_amid_answer:
-            self._socket.cut()
+        if self._socket.is_sending_answer:
+            self._socket.abort()
             return [command for command in commands if isinstance(command, AbandonUnit)]
         return commands
 
     def send_last(self, commands: list[SessionCommand]) -> None:
-        """Send what ends an idle connection, without waiting, and let its task see the end."""
+        """Send the last message if ``commands`` close the connection, without waiting."""
         data = b"".join(command.data for command in commands if isinstance(command, SendToClient))
         if any(isinstance(command, CloseClient) for command in commands):
             self._socket.send_last(data)
--- a/limedyke/proxy/clients/login_directory.py
+++ b/limedyke/proxy/clients/login_directory.py
@@ -1,4 +1,4 @@
-"""Who may log in, by the declaration in force."""
+"""Logins and access rights of the applied declaration."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LoginDirectory:
-    """Logins and access rights, rebuilt when a newer view comes into force."""
+    """Logins and access rights, rebuilt when a newer view is applied."""
 
     def __init__(self) -> None:
         self._verifiers: dict[tuple[str, str], str] = {}
@@ -16,7 +16,7 @@
         self._tenants: dict[str, Tenant] = {}
 
     def update(self, view: ControlView) -> bool:
-        """Take a view; tell whether somebody who could log in before no longer can."""
+        """Apply a view; return whether it revokes any login or access right."""
         verifiers = {
             (tenant.name, user.name): user.verifier
             for tenant in view.tenants.values()
@@ -36,11 +36,11 @@
         return self._tenants.get(name)
 
     def is_allowed(self, tenant: str, group: str, user: str) -> bool:
-        """Tell whether a user is declared and its tenant may use the group."""
+        """Return whether a user is declared and its tenant may use the group."""
         return (tenant, user) in self._verifiers and (tenant, group) in self._access
 
     def find_verifier(self, tenant: str, group: str, user: str) -> Verifier | None:
-        """Return the verifier of a login; None when any part of it isn't declared."""
+        """Return the SCRAM verifier of a login; None if tenant, group or user is not declared."""
         if not self.is_allowed(tenant, group, user):
             return None
         return parse_verifier(self._verifiers[(tenant, user)])
--- a/limedyke/proxy/clients/registry.py
+++ b/limedyke/proxy/clients/registry.py
@@ -1,4 +1,4 @@
-"""The clients connected to this proxy: limits, cancel keys, and who is idle or busy."""
+"""The client connections of a proxy: limits, cancel keys and busy connections."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 class ClientRegistry:
     """All client connections of a proxy.
 
-    The process id given to a client holds some bits of a digest of the proxy's
-    name, so that a cancel request that arrives elsewhere is recognised.
+    The process id given to a client contains some bits of a digest of the proxy's
+    name, so that another proxy does not find a connection for its cancel request.
 
-    :param maximum_clients: most connections at once, logged in or not
+    :param maximum_clients: maximum number of connections, logged in or not
     :ivar connections: all connections
-    :ivar busy: those whose unit is under way
+    :ivar busy: connections with a running unit
     """
 
     def __init__(self, proxy_name: str, maximum_clients: int) -> None:
@@ -49,25 +49,25 @@
     def admit(
         self, connection: ClientConnection, tenant: str, limit: int
     ) -> Result[CancelKey, Failure]:
-        """Give a logged-in client its place and cancel key, or refuse it with TOO_MANY_CLIENTS."""
+        """Admit an authenticated client; return its cancel key, or TOO_MANY_CLIENTS."""
         count = self._count_by_tenant.get(tenant, 0)
         if count >= limit:
             detail = f"The tenant has {count} clients here."
             return Err(Failure(ResultCode.TOO_MANY_CLIENTS, detail, RETRY_AFTER_FULL_MS))
         self._count_by_tenant[tenant] = count + 1
-        process_id = self._free_process_id()
+        process_id = self._next_process_id()
         self._by_process_id[process_id] = connection
         return Ok(CancelKey(process_id, secrets.randbits(SECRET_BITS)))
 
     def release(self, key: CancelKey, tenant: str) -> None:
-        """Free the place of a client that was admitted."""
+        """Remove a client that was admitted."""
         self._by_process_id.pop(key.process_id, None)
         self._count_by_tenant[tenant] -= 1
         if not self._count_by_tenant[tenant]:
             del self._count_by_tenant[tenant]
 
     def find(self, key: CancelKey) -> ClientConnection | None:
-        """Return the connection of this cancel key; None for a wrong or foreign one."""
+        """Return the connection of a cancel key; None for a wrong key or one of another proxy."""
         connection = self._by_process_id.get(key.process_id)
         if connection is None or connection.cancel_key is None:
             return None
@@ -76,7 +76,7 @@
             return None
         return connection
 
-    def _free_process_id(self) -> int:
+    def _next_process_id(self) -> int:
         while True:
             self._next_client = (self._next_client + 1) % (1 << CLIENT_BITS)
             process_id = self._proxy_part << CLIENT_BITS | self._next_client
--- a/limedyke/proxy/clients/services.py
+++ b/limedyke/proxy/clients/services.py
@@ -1,4 +1,4 @@
-"""What all client connections of a proxy share, and the time they go by."""
+"""Services shared by all client connections of a proxy."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 @dataclass(slots=True)
 class ClientServices:
-    """Shared by all connections of a proxy.
-
-    :param tls: TLS towards clients, or None where it is not offered
-    :param startup_timeout_s: seconds from accept to a finished login
-    :param stalled_client_s: seconds that a client may leave an answer unread
-    :param maximum_message_bytes: longest message of a client
-    :param draining: the proxy is on its way out and takes no logins
-    :param unit_counters: counters by kind of access and tenant, looked up once
+    """Services shared by all connections of a proxy.
+
+    :param tls: TLS for client connections, or None if it is not offered
+    :param startup_timeout_s: time limit from accept to a finished login
+    :param stalled_client_s: how long a client may leave an answer unread
+    :param maximum_message_bytes: maximum size of a client message
+    :param draining: true while the proxy drains and refuses logins
+    :param unit_counters: cached counters by kind of access and tenant
     """
 
     context: SessionContext
@@ -45,7 +45,7 @@
     def count_unit(self, unit: WorkUnit, end: AnswerEnd, seconds: float) -> None:
         """Count a unit that has ended.
 
-        :param seconds: how long it ran, with its wait
+        :param seconds: its duration, including its wait
         """
         self.metrics.request_seconds.observe(seconds)
         if end.code in CODE_BY_NUMBER:
@@ -58,6 +58,6 @@
             counter.inc()
 
 
-def present_moment() -> Moment:
-    """Return the time of now."""
+def current_moment() -> Moment:
+    """Return the current monotonic and wall-clock time."""
     return Moment(time.monotonic(), int(time.time()))
--- a/limedyke/proxy/clients/tls.py
+++ b/limedyke/proxy/clients/tls.py
@@ -1,4 +1,4 @@
-"""TLS towards clients: begun in mid-connection, certificates read again on request."""
+"""TLS for client connections, with certificates that are reloaded on SIGHUP."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class ClientTls:
-    """The certificate in use; new connections take the one loaded last."""
+    """The certificate in use; new connections use the one loaded last."""
 
     def __init__(self, settings: TlsSettings) -> None:
         self._settings = settings
         self._context: CurioSSLContext | None = None
 
     def load(self) -> Result[None, Failure]:
-        """Read the certificate and key; on failure the ones in use stay."""
+        """Read the certificate and key; on failure the previous ones stay in use."""
         context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
         try:
@@ -39,9 +39,9 @@
         return Ok(None)
 
     async def wrap(self, sock: socket.socket, timeout_s: float) -> socket.socket:
-        """Begin TLS as the server.
+        """Start TLS as the server.
 
-        :param timeout_s: how long the handshake may take
+        :param timeout_s: time limit of the handshake
         :raises OSError: when the handshake fails or takes too long
         """
         wrapped = await self._context.wrap_socket(
@@ -57,9 +57,9 @@
 
 
 class ReloadOnHangup:
-    """Reads the certificate again after each SIGHUP.
+    """Reloads the certificate after each SIGHUP.
 
-    :param tls: None when there is nothing to read; SIGHUP is then ignored
+    :param tls: None if TLS is not configured; SIGHUP is then ignored
     """
 
     def __init__(self, tls: ClientTls | None) -> None:
@@ -71,7 +71,7 @@
         self._hangup = True
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Check for SIGHUP until cancelled."""
         while True:
             await curio.sleep(HANGUP_CHECK_S)
             if not self._hangup or self._tls is None:
--- a/limedyke/proxy/clients/watch.py
+++ b/limedyke/proxy/clients/watch.py
@@ -1,4 +1,4 @@
-"""Watches all clients from one task: clients that went away, limits, and the drain."""
+"""Monitors all client connections from one task: disconnected clients, time limits, drain."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from limedyke.core.sessions.client_exchange import AbandonUnit
 from limedyke.event_log import EventLog
 from limedyke.proxy.clients.connection import ClientConnection
-from limedyke.proxy.clients.services import ClientServices, present_moment
+from limedyke.proxy.clients.services import ClientServices, current_moment
 from limedyke.result_codes import Failure, ResultCode
 
 WATCH_INTERVAL_S = 0.1
-GONE_CHECK_AFTER_S = 0.1
-"""A unit that runs longer has its client's connection looked at; most units are shorter."""
+DISCONNECT_CHECK_AFTER_S = 0.1
+"""Clients of units that run longer are checked for a closed connection; most units are shorter."""
 TICK_INTERVAL_S = 0.5
 LOG = EventLog("client")
 _HANGUP = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 class ClientWatch:
-    """Does for all connections what can't wait for their next message."""
+    """Handles events of all connections that cannot wait for their next message."""
 
     def __init__(self, services: ClientServices) -> None:
         self._services = services
@@ -30,27 +30,27 @@
         self._is_allowed: Callable[[str, str, str], bool] | None = None
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Monitor the connections until cancelled."""
         while True:
             await curio.sleep(WATCH_INTERVAL_S)
-            moment = present_moment()
+            moment = current_moment()
             await self._abandon_for_gone_clients(moment.now)
             if moment.now - self._last_tick >= TICK_INTERVAL_S:
                 self._last_tick = moment.now
                 await self._tick_all()
 
     async def ask_all_to_leave(self, failure: Failure) -> None:
-        """Let every session end once nothing of it is under way; idle ones end at once."""
+        """Ask every session to end when it has no work under way; idle ones end at once."""
         for connection in list(self._services.registry.connections):
             await self._end(connection, connection.ask_to_leave(failure))
 
     async def end_all(self, failure: Failure) -> None:
-        """End every session whatever is under way."""
+        """End every session, even with work under way."""
         for connection in list(self._services.registry.connections):
             await self._end(connection, connection.end_now(failure))
 
     async def end_revoked(self, is_allowed: Callable[[str, str, str], bool]) -> None:
-        """Let the sessions end whose login is no longer declared, now and as they become idle."""
+        """Ask sessions whose login is no longer declared to end; repeated until all have ended."""
         failure = Failure(ResultCode.UNKNOWN_TENANT_OR_USER, "The login was withdrawn.")
         self._is_allowed = None
         for connection in list(self._services.registry.connections):
@@ -62,11 +62,11 @@
                 await self._end(connection, connection.ask_to_leave(failure))
 
     async def _abandon_for_gone_clients(self, now: float) -> None:
-        """Abandon the units of clients whose connection ended while theirs was running."""
+        """Abandon the running units of clients that have disconnected."""
         by_file: dict[int, ClientConnection] = {}
         poll = select.poll()
         for connection in self._services.registry.busy:
-            if now - connection.busy_since < GONE_CHECK_AFTER_S:
+            if now - connection.busy_since < DISCONNECT_CHECK_AFTER_S:
                 continue
             number = connection.file_number
             if number >= 0:
@@ -83,9 +83,9 @@
                 await self._services.executor.abandon(command.work)
 
     async def _tick_all(self) -> None:
-        moment = present_moment()
+        moment = current_moment()
         connections = self._services.registry.connections
-        for connection in [each for each in connections if each.may_pass_limit]:
+        for connection in [each for each in connections if each.needs_tick]:
             await self._end(connection, connection.tick(moment))
         if self._is_allowed is not None:
             await self.end_revoked(self._is_allowed)
