--- a/limedyke/proxy/members/connection.py
+++ b/limedyke/proxy/members/connection.py
@@ -210,10 +210,10 @@
             raise ConnectionLostError(str(error)) from error
         answer = reader.position_before
         assert answer is not None
-        self.learn(answer)
+        self.record_position(answer)
         return answer
 
-    def learn(self, answer: PositionAnswer) -> None:
+    def record_position(self, answer: PositionAnswer) -> None:
         """Record the position and role that the member reported on this connection."""
         self.known = answer.place
         self.is_replica = answer.is_replica
--- a/limedyke/proxy/unit_context.py
+++ b/limedyke/proxy/unit_context.py
@@ -1,4 +1,4 @@
-"""What running one unit needs: the unit, its group, its caller, and the running mark."""
+"""The context in which one unit runs: the unit, its group and its caller."""
 
 from __future__ import annotations
 
@@ -25,39 +25,42 @@
 _MAY_END_TRANSACTION = re.compile(
     rb"(?:Q.{4}|\b)(?:commit|end|rollback|abort|prepare)\b", re.IGNORECASE | re.DOTALL
 )
-"""The bytes of a Query's length may be letters, so that no word boundary follows them."""
+"""``Q.{4}`` matches the type and the length of a Query message.
+
+The length bytes may be letters, in which case no word boundary precedes the statement.
+"""
 _MAY_SET_TRANSACTION = re.compile(
     rb"(?:Q.{4}|[;\0]|^)\s*(?:begin|start|set)\b", re.IGNORECASE | re.DOTALL
 )
 
 
-def _texts(unit: WorkUnit) -> Iterator[bytes]:
-    """Return all that holds statements of a unit."""
+def _statement_texts(unit: WorkUnit) -> Iterator[bytes]:
+    """Yield the texts of a unit that may contain statements."""
     yield unit.data
     for statement in unit.prepared:
         yield statement.text.encode()
 
 
 def may_end_transaction(unit: WorkUnit) -> bool:
-    """Tell whether a unit may hold a statement that ends a transaction."""
-    return any(_MAY_END_TRANSACTION.search(text) for text in _texts(unit))
+    """Return whether a unit may contain a statement that ends a transaction."""
+    return any(_MAY_END_TRANSACTION.search(text) for text in _statement_texts(unit))
 
 
 def may_set_transaction(unit: WorkUnit) -> bool:
-    """Tell whether a unit may open a transaction or set its properties.
+    """Return whether a unit may open a transaction or set its properties.
 
-    No query may run behind such a batch, since SET TRANSACTION has to come
-    before the first query.
+    The proxy must not run a query of its own after such a batch, since
+    SET TRANSACTION is only allowed before the first query of a transaction.
     """
-    return any(_MAY_SET_TRANSACTION.search(text) for text in _texts(unit))
+    return any(_MAY_SET_TRANSACTION.search(text) for text in _statement_texts(unit))
 
 
 @dataclass(slots=True, eq=False)
 class UnitContext:
-    """One unit on its way.
+    """One running unit and the objects that it uses.
 
-    :param origin: the link the unit came over, or ``LOCAL_ORIGIN``
-    :param metrics: counts the decisions
+    :param origin: the link from which the unit came, or ``LOCAL_ORIGIN``
+    :param metrics: counts routing decisions and waits
     """
 
     settings: ProxySettings
@@ -71,7 +74,7 @@
 
     @property
     def deadline_at(self) -> float:
-        """When waiting and running end, in monotonic seconds."""
+        """Deadline for waiting and running, in monotonic seconds."""
         return self.running.deadline_at
 
     @property
@@ -85,9 +88,9 @@
         return WorkKey(self.origin, self.unit.transaction)
 
     async def prepare_connection(self, connection: BackendConnection) -> Failure | None:
-        """Give the connection the session's settings.
+        """Apply the session's settings to the connection.
 
-        :raises ConnectionLostError: when it breaks; nothing of the unit was sent
+        :raises ConnectionLostError: when it breaks; no part of the unit has been sent
         """
         if connection.state.settings == self.unit.settings:
             return None
@@ -128,7 +131,7 @@
     def keep_transaction(
         self, gate: MemberGate, connection: BackendConnection, term: int, status: TransactionStatus
     ) -> bool:
-        """Note a transaction that the unit left open; tell whether there is one."""
+        """Record a transaction that the unit left open; return whether there is one."""
         if status is TransactionStatus.IDLE:
             return False
         if self.unit.transaction == 0:
@@ -149,7 +152,7 @@
         return True
 
     async def execute(self, connection: BackendConnection, sql: str) -> OwnAnswer:
-        """Run a statement of the proxy itself as a part of the unit.
+        """Run one of the proxy's own statements as part of the unit.
 
         :raises ConnectionLostError: when the connection breaks
         """
@@ -163,7 +166,7 @@
             self.running.connection = None
 
     async def acquire(self, gate: MemberGate) -> Result[Grant, Failure]:
-        """Wait for a slot and a connection of the unit's tenant; the wait is measured."""
+        """Wait for a slot and a connection of the unit's tenant, and record the wait time."""
         asked_at = time.monotonic()
         acquired = await gate.acquire(self.unit, self.deadline_at)
         self.metrics.queue_wait_seconds.observe(time.monotonic() - asked_at)
@@ -172,13 +175,13 @@
     def answer_end(
         self, member: str, status: TransactionStatus, position: LogPosition, by_replica: bool
     ) -> AnswerEnd:
-        """Return the end of an answer that came whole."""
+        """Return the end of a complete answer."""
         return AnswerEnd(self.unit.stream, status, position, member, by_replica)
 
     def no_lease(self) -> AnswerEnd:
-        """Return the end for a unit whose tenant has no connections here: told at once.
+        """Return the end for a unit whose tenant has no lease here.
 
-        Another home proxy may have some.
+        The unit does not wait, because another home proxy may have a lease.
         """
         detail = f"no lease of {self.unit.tenant} here"
         retry_after_ms = jittered(NO_LEASE_RETRY_MS)
@@ -187,7 +190,7 @@
     def failed(
         self, failure: Failure, status: TransactionStatus = TransactionStatus.IDLE
     ) -> AnswerEnd:
-        """Return the end of an answer that failed."""
+        """Return the end of the answer to a unit that failed."""
         return AnswerEnd(
             self.unit.stream,
             status,
--- a/limedyke/proxy/unit_exchange.py
+++ b/limedyke/proxy/unit_exchange.py
@@ -1,4 +1,4 @@
-"""Runs one batch on one connection: sends it with its checks, holds the answer until it is sure."""
+"""Runs a batch on a connection: sends it with position checks and holds back the answer."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from limedyke.proxy.members.connection import BackendConnection, ConnectionLostError
 from limedyke.result_codes import Failure, ResultCode
 
-HOLD_BYTES = 64 * 1024
+MAXIMUM_HELD_BYTES = 64 * 1024
 
 Accept = Callable[[PositionAnswer], bool]
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangePlan:
-    """How a batch is checked.
-
-    :param accept_before: asks for the position ahead of the batch; the answer is relayed only
-        when this accepts it
-    :param check_after: asks for the position behind the batch
-    :param is_write: CommandComplete is held back until the check behind was answered
-    :param ahead: messages of the proxy itself sent ahead of the batch
-    :param read_ahead: reads their answers
+    """Position checks and extra messages of a batch.
+
+    :param accept_before: if given, the position is queried before the batch, and the answer to
+        the batch is relayed only if this accepts the position
+    :param check_after: whether the position is queried after the batch
+    :param is_write: whether CommandComplete is held back until the check after the batch
+    :param ahead: the proxy's own messages, sent before the batch
+    :param read_ahead: reads the answers to ``ahead``
     """
 
     accept_before: Accept | None
@@ -39,12 +39,14 @@
 
 
 class Exchange:
-    """One batch on one connection.
-
-    After ``run``: ``failure`` is None when the answer came whole.  ``sent`` tells
-    whether the member may have seen the batch, ``relayed`` whether the caller
-    has got a part of the answer, ``refused_before`` whether the member was not
-    far enough, so that nothing was relayed.
+    """One batch on one connection; the attributes hold the result of ``run``.
+
+    :ivar failure: None if the answer is complete
+    :ivar sent: whether the member may have received the batch
+    :ivar relayed: whether the caller has received part of the answer
+    :ivar refused_before: whether the position before the batch was not accepted; nothing was
+        relayed then
+    :ivar asked_at: monotonic time at which the batch was sent
     """
 
     def __init__(
@@ -63,22 +65,22 @@
         self.asked_at = 0.0
 
     async def run(self) -> None:
-        """Send the batch and take the answer; the end of it is still held."""
+        """Send the batch and read its answer, the end of which is held until ``finish``."""
         try:
             await self._send()
             if self._plan.read_ahead is not None:
                 await self._plan.read_ahead(self.connection)
             while not self.reader.done:
                 await self.connection.receive_into(self.reader)
-                self._judge_before()
-                if self.reader.pending_bytes > HOLD_BYTES:
-                    await self._spill()
+                self._check_position_before()
+                if self.reader.pending_bytes > MAXIMUM_HELD_BYTES:
+                    await self._relay_early()
         except ConnectionLostError as error:
             self.sent = self.sent or not error.nothing_sent
             self.failure = Failure(ResultCode.OUTCOME_UNKNOWN, f"connection lost: {error}")
         except AnswerViolationError as error:
             self.failure = Failure(error.code, str(error))
-        self._learn()
+        self._update_connection()
 
     async def _send(self) -> None:
         connection = self.connection
@@ -96,8 +98,8 @@
         await connection.send(b"".join(pieces))
         self.sent = True
 
-    def _judge_before(self) -> None:
-        """Decide, once the check ahead of the batch is answered, whether to relay anything."""
+    def _check_position_before(self) -> None:
+        """Decide whether to relay the answer, once the position before the batch is known."""
         answer = self.reader.position_before
         accept = self._plan.accept_before
         if self._accepted or self.refused_before or answer is None or accept is None:
@@ -105,41 +107,41 @@
         self._accepted = accept(answer)
         self.refused_before = not self._accepted
 
-    async def _spill(self) -> None:
-        """Relay what may go out before the answer is known to be whole."""
+    async def _relay_early(self) -> None:
+        """Relay the part of the held answer that may be sent before the answer is complete."""
         if self.refused_before:
             self.reader.take()
         elif self._plan.is_write:
-            await self._pass_on(self.reader.take_before_completion())
+            await self._relay_data(self.reader.take_before_completion())
         else:
-            await self._pass_on(self.reader.take())
+            await self._relay_data(self.reader.take())
 
-    async def replace_answer(self, data: bytes) -> None:
-        """Relay an answer of the proxy itself in place of the member's."""
+    async def relay_replacement(self, data: bytes) -> None:
+        """Relay an answer of the proxy instead of the member's answer."""
         self.reader.take()
-        await self._pass_on(data)
+        await self._relay_data(data)
 
     async def finish(self) -> None:
         """Relay the held end of the answer."""
-        await self._pass_on(self.reader.take())
+        await self._relay_data(self.reader.take())
 
-    async def _pass_on(self, data: bytes) -> None:
+    async def _relay_data(self, data: bytes) -> None:
         if not data:
             return
         self.relayed = True
         await self._relay(AnswerChunk(self._unit.stream, data))
 
-    def _learn(self) -> None:
+    def _update_connection(self) -> None:
         reader = self.reader
         answer = reader.position_after or reader.position_before
         if answer is not None:
-            self.connection.learn(answer)
+            self.connection.record_position(answer)
         failed_to_prepare = bool(reader.sqlstate) and bool(self._unit.prepared)
         if reader.session_changed or failed_to_prepare or self._unit.leaves_state:
             self.connection.state.tainted = True
 
     @property
     def checked(self) -> bool:
-        """Whether the member told its position in this exchange."""
+        """Whether the member reported its position in this exchange."""
         reader = self.reader
         return reader.position_after is not None or reader.position_before is not None
--- a/limedyke/proxy/unit_once.py
+++ b/limedyke/proxy/unit_once.py
@@ -1,10 +1,9 @@
-"""Requests that run at most once: a key row written in the transaction of the request.
+"""Requests that run at most once: a key row is written in the transaction of the request.
 
-Table ``limedyke_once`` in the tenant's database holds a row per key, with a
+Table ``limedyke_once`` in the tenant's database holds one row per key, with a
 digest of the request and the command tag of its answer.  The row and the
-request commit together or not at all, so a request sent again, through any
-proxy and after a change of primary too, finds the row if and only if the
-first attempt took effect.
+request commit atomically.  A repeated request therefore finds the row if and
+only if the first attempt took effect, through any proxy and after a failover.
 """
 
 from __future__ import annotations
@@ -30,7 +29,7 @@
 
 
 class KeyState(enum.Enum):
-    """What the key row told."""
+    """State of a key, as shown by its row."""
 
     NEW = "new"
     REPEATED = "repeated"
@@ -42,7 +41,11 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyAnswer:
-    """The state of a key; ``tag`` is the first answer's, ``detail`` says why it failed."""
+    """The state of a key.
+
+    :param tag: command tag of the first answer, for a repeated key
+    :param detail: reason of a failure
+    """
 
     state: KeyState
     tag: str = ""
@@ -53,7 +56,7 @@
     """The key row of one request.
 
     :param key: chosen by the caller
-    :param digest: of what the request executes
+    :param digest: digest of the statements of the request
     """
 
     def __init__(self, key: str, digest: str) -> None:
@@ -62,12 +65,12 @@
 
     @classmethod
     def of(cls, key: str, data: bytes, prepared: tuple) -> OnceKey:
-        """Return the key row of a unit."""
+        """Return the key row for a unit with this batch and these prepared statements."""
         return cls(key, batch_digest(data, prepared))
 
     @property
     def insert_sql(self) -> str:
-        """Writes the row; fails with a unique violation when the key was used."""
+        """SQL that inserts the row; it fails with a unique violation if the key was used."""
         digest = frames.quote_literal(self._digest)
         return (
             f"INSERT INTO {TABLE} (request_key, digest, command_tag, made_at) "
@@ -76,31 +79,31 @@
 
     @property
     def insert_if_new_sql(self) -> str:
-        """Writes the row unless the key was used."""
+        """SQL that inserts the row unless the key was used."""
         return f"{self.insert_sql} ON CONFLICT (request_key) DO NOTHING"
 
     @property
     def select_sql(self) -> str:
-        """Reads the row."""
+        """SQL that reads the row."""
         return f"SELECT digest, command_tag FROM {TABLE} WHERE request_key = {self._key}"
 
     def update_sql(self, tag: bytes) -> str:
-        """Completes the row with the command tag of the answer."""
+        """Return the SQL that stores the command tag of the answer in the row."""
         text = frames.quote_literal(tag.decode(errors="replace"))
         return f"UPDATE {TABLE} SET command_tag = {text} WHERE request_key = {self._key}"
 
     def judge_opening(self, answer: OwnAnswer) -> KeyAnswer:
-        """Tell from the answer to BEGIN and an insert whether the key is new.
+        """Return the state of the key from the answer to BEGIN and the insert.
 
-        A batch itself never begins a transaction, so the first tag shows that this is not
-        the answer to the batch behind.
+        A keyed batch never begins a transaction itself, so the tag of BEGIN shows that this
+        is not the answer to the batch that follows.
         """
         if not answer.sqlstate and (answer.rows or answer.tags != OPENING_TAGS):
-            return KeyAnswer(KeyState.FOREIGN, "", "the answer is that of another request")
+            return KeyAnswer(KeyState.FOREIGN, "", "the answer belongs to another request")
         return self.judge_insert(answer)
 
     def judge_insert(self, answer: OwnAnswer) -> KeyAnswer:
-        """Tell from the answer to an insert whether the key is new."""
+        """Return the state of the key from the answer to an insert."""
         if answer.sqlstate == UNDEFINED_TABLE_SQLSTATE:
             return KeyAnswer(KeyState.NO_TABLE)
         if answer.sqlstate == UNIQUE_VIOLATION_SQLSTATE or answer.tag == b"INSERT 0 0":
@@ -111,7 +114,7 @@
 
     @property
     def touch_sql(self) -> str:
-        """Writes the row as it is, so that its commit covers the commit of the first attempt."""
+        """SQL that rewrites the row unchanged; when it is committed, so is the first attempt."""
         return f"UPDATE {TABLE} SET command_tag = command_tag WHERE request_key = {self._key}"
 
     async def look_up(self, connection: BackendConnection) -> KeyAnswer:
@@ -121,7 +124,7 @@
         """
         answer = await connection.execute(self.select_sql)
         if answer.sqlstate or len(answer.rows) != 1:
-            return KeyAnswer(KeyState.FAILED, "", answer.message or "the key row is gone")
+            return KeyAnswer(KeyState.FAILED, "", answer.message or "the key row does not exist")
         digest, tag = answer.rows[0]
         if digest != self._digest.encode():
             return KeyAnswer(KeyState.CONFLICT)
@@ -129,7 +132,7 @@
 
 
 def key_failure(answer: KeyAnswer) -> Failure:
-    """Return the failure for a key that can't be used."""
+    """Return the failure for a key that cannot be used."""
     if answer.state is KeyState.CONFLICT:
         return Failure(ResultCode.ONCE_KEY_CONFLICT)
     return Failure(ResultCode.FEATURE_NOT_SUPPORTED, f"once-key: {answer.detail}")
--- a/limedyke/proxy/unit_once_write.py
+++ b/limedyke/proxy/unit_once_write.py
@@ -1,4 +1,4 @@
-"""Runs a write with a once-key outside of a transaction: key row and write commit together."""
+"""Runs a write with a once-key outside a transaction: key row and write commit together."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     OnceKey,
     key_failure,
 )
-from limedyke.proxy.unit_write import Executed, UnitWrite, settle_commit
+from limedyke.proxy.unit_write import Executed, UnitWrite, verify_commit
 from limedyke.result_codes import Failure, ResultCode
 
 ATTEMPTS = 2
@@ -25,8 +25,8 @@
 class UnitOnceWrite(UnitWrite):
     """One write with a once-key.
 
-    ``BEGIN`` and the key row are sent ahead of the batch; when the key was used
-    before, the row fails and the batch with it.
+    ``BEGIN`` and the insert of the key row are sent before the batch.  If the key was
+    used before, the insert fails and aborts the transaction, and with it the batch.
     """
 
     def __init__(self, context: UnitContext) -> None:
@@ -69,14 +69,14 @@
         self._inserted = await connection.read_own()
 
     async def _create_table(self, connection: BackendConnection) -> None:
-        """Create the table, after a batch that failed for want of it and did not run."""
+        """Create the key table, after a batch did not run because the table is missing."""
         await self._context.execute(connection, "ROLLBACK")
         await self._context.execute(connection, CREATE_TABLE_SQL)
 
     async def _complete(
         self, connection: BackendConnection, exchange: Exchange, term: int
     ) -> Executed:
-        """Commit the key row and the write, or roll a failed write back."""
+        """Commit the key row and the write, or roll back a failed write."""
         reader = exchange.reader
         if reader.sqlstate:
             await self._context.execute(connection, "ROLLBACK")
@@ -91,7 +91,7 @@
     async def _repeat(
         self, connection: BackendConnection, exchange: Exchange, term: int
     ) -> Executed:
-        """Answer as the first attempt was answered, once that is sure to be kept."""
+        """Repeat the answer of the first attempt, after a commit that proves it is durable."""
         found = await self._key.look_up(connection)
         if found.state is not KeyState.REPEATED:
             return Executed(exchange, key_failure(found))
@@ -114,11 +114,11 @@
             connection.broken = True
             detail = f"commit answered {answer.sqlstate}: {answer.message}"
             return Executed(exchange, Failure(ResultCode.OUTCOME_UNKNOWN, detail))
-        failure, position = await settle_commit(self._context, connection, term)
+        failure, position = await verify_commit(self._context, connection, term)
         return Executed(exchange, failure, position)
 
     def _failure_of(self, exchange: Exchange, failure: Failure) -> Failure:
-        """Tell what is known when the batch was not answered whole: it was not committed."""
+        """Return the failure for an incomplete answer; COMMIT has not been sent at that point."""
         if failure.code is ResultCode.FEATURE_NOT_SUPPORTED:
             return failure
         if may_end_transaction(self._unit):
--- a/limedyke/proxy/unit_read.py
+++ b/limedyke/proxy/unit_read.py
@@ -1,4 +1,4 @@
-"""Runs a read: on a replica that is far enough, else on the primary."""
+"""Runs a read on a replica that has reached the required position, else on the primary."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
 from limedyke.result_codes import Failure, ResultCode
 
 MS_PER_S = 1_000.0
-LOST_ATTEMPTS = 8
-"""A read that breaks its connection so often may itself be the cause."""
-LOOK_BASE_S = 0.05
-LOOK_LIMIT_S = 1.0
+MAXIMUM_LOST_ANSWERS = 8
+"""A read is not retried after this many lost answers, since it may itself break connections."""
+RECHECK_BASE_S = 0.05
+RECHECK_LIMIT_S = 1.0
 NO_PRIMARY_RETRY_MS = 500
 
 
 @dataclass(slots=True)
 class _Attempts:
-    """What earlier attempts of one read have shown.
+    """State of one read over its attempts.
 
-    :ivar excluded: members that were not far enough or failed; left out until the next look
-    :ivar lost: how often the answer was lost
-    :ivar sent: a member may have seen the read
-    :ivar look_s: how long to wait before all members are looked at again
+    :ivar excluded: members that were behind or failed; skipped until the next recheck
+    :ivar lost: number of lost answers
+    :ivar sent: whether a member may have received the read
+    :ivar recheck_s: how long to wait before all members are tried again
     """
 
     excluded: set[str] = field(default_factory=set)
     lost: int = 0
     sent: bool = False
-    look_s: float = LOOK_BASE_S
+    recheck_s: float = RECHECK_BASE_S
 
 
 class UnitRead:
-    """One read, over as many attempts as it takes."""
+    """One read, with retries on other members."""
 
     def __init__(self, context: UnitContext) -> None:
         self._context = context
@@ -68,7 +68,7 @@
             return self._context.failed(required.err_value)
         self._required = required.ok_value
         self._view.reached(self._required, time.monotonic())
-        while self._attempts.lost < LOST_ATTEMPTS:
+        while self._attempts.lost < MAXIMUM_LOST_ANSWERS:
             if self._context.running.cancelled:
                 return self._context.failed(Failure(ResultCode.CANCELLED))
             decision = self._choose()
@@ -86,27 +86,34 @@
             if self._context.expired:
                 break
         return self._context.failed(
-            Failure(ResultCode.NO_MEMBER, "no member could serve it", jittered(NO_PRIMARY_RETRY_MS))
+            Failure(
+                ResultCode.NO_MEMBER,
+                "no member could serve the read",
+                jittered(NO_PRIMARY_RETRY_MS),
+            )
         )
 
     async def _wait_for_member(self) -> bool:
-        """Wait for a change of the group or a while, then allow all members; False when late."""
+        """Wait for a change of the group or ``recheck_s``, then allow all members again.
+
+        :returns: False if the time for a failover has passed
+        """
         attempts = self._attempts
-        look_at = min(self._failover_at, time.monotonic() + attempts.look_s)
-        await self._context.group.wait_change(look_at)
-        attempts.look_s = min(2 * attempts.look_s, LOOK_LIMIT_S)
+        recheck_at = min(self._failover_at, time.monotonic() + attempts.recheck_s)
+        await self._context.group.wait_change(recheck_at)
+        attempts.recheck_s = min(2 * attempts.recheck_s, RECHECK_LIMIT_S)
         attempts.excluded.clear()
         return time.monotonic() < self._failover_at
 
     async def _find_required(self) -> Result[LogPosition, Failure]:
-        """Turn barrier and staleness bound into a position to reach."""
+        """Return the position that a replica must have reached, from barrier or staleness bound."""
         required = self._unit.required
         group = self._context.group
         if self._unit.barrier:
             confirmed = await group.confirm_primary(self._failover_at)
             if isinstance(confirmed, Err):
                 return confirmed
-            return Ok(_later(required, confirmed.ok_value))
+            return Ok(_latest(required, confirmed.ok_value))
         if self._unit.staleness_ms:
             since = time.monotonic() - self._unit.staleness_ms / MS_PER_S
             place = self._view.place_not_older(since)
@@ -115,7 +122,7 @@
                 if isinstance(confirmed, Err):
                     return confirmed
                 place = confirmed.ok_value
-            return Ok(_later(required, place))
+            return Ok(_latest(required, place))
         return Ok(required)
 
     def _choose(self) -> RoutingDecision:
@@ -128,7 +135,7 @@
         return choose_member(self._view, request, time.monotonic(), self._attempts.excluded)
 
     async def _attempt(self, decision: RoutingDecision) -> AnswerEnd | None:
-        """Try one member; None means that another may be tried."""
+        """Try one member; return None if another one may be tried."""
         gate = self._context.group.gates[decision.member]
         acquired = await self._context.acquire(gate)
         if isinstance(acquired, Err):
@@ -154,7 +161,7 @@
         return None
 
     async def _exchange(self, decision: RoutingDecision, grant: Grant) -> Exchange | Failure | None:
-        """Run the batch; None when the connection broke before it was sent."""
+        """Run the batch; return None if the connection broke before it was sent."""
         connection = grant.connection
         assert connection is not None
         try:
@@ -170,12 +177,14 @@
         known = connection.is_replica is not None and accept(
             PositionAnswer(connection.known, connection.is_replica)
         )
-        # Behind a unit that opens a transaction no query may run: see may_set_transaction.
-        alone = self._unit.transaction == 0
-        return ExchangePlan(None if known else accept, check_after=alone, is_write=False)
+        # No query may follow a unit that opens a transaction; see may_set_transaction.
+        outside_transaction = self._unit.transaction == 0
+        return ExchangePlan(
+            None if known else accept, check_after=outside_transaction, is_write=False
+        )
 
     def _accepts(self, decision: RoutingDecision) -> Accept:
-        """Return the condition under which the member's answer counts."""
+        """Return the check of the member's position that must pass before its answer is relayed."""
         if decision.is_primary:
             return self._accepts_primary
         return self._accepts_replica
@@ -232,6 +241,6 @@
         return self._context.failed(Failure(ResultCode.OUTCOME_UNKNOWN, failure.detail))
 
 
-def _later(one: LogPosition, other: LogPosition) -> LogPosition:
-    """Return a place that satisfies both."""
+def _latest(one: LogPosition, other: LogPosition) -> LogPosition:
+    """Return a position that satisfies both."""
     return LogPosition(max(one.term, other.term), max(one.position, other.position))
--- a/limedyke/proxy/unit_transaction.py
+++ b/limedyke/proxy/unit_transaction.py
@@ -1,4 +1,4 @@
-"""Runs the further units of an open transaction, and rolls transactions back."""
+"""Runs the units of an open transaction, and rolls back transactions."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     OnceKey,
     key_failure,
 )
-from limedyke.proxy.unit_write import MEMBER_UNSURE, says_unknown, settle_commit
+from limedyke.proxy.unit_write import COMMIT_UNCERTAIN, reports_unknown_outcome, verify_commit
 from limedyke.result_codes import Failure, ResultCode
 
 ROLLBACK_TIMEOUT_S = 2.0
@@ -53,10 +53,10 @@
         failure: Failure | None = None
         try:
             exchange = await self._exchange()
-            if exchange.failure is None and says_unknown(exchange):
-                failure = Failure(ResultCode.OUTCOME_UNKNOWN, MEMBER_UNSURE)
+            if exchange.failure is None and reports_unknown_outcome(exchange):
+                failure = Failure(ResultCode.OUTCOME_UNKNOWN, COMMIT_UNCERTAIN)
             elif self._commits(exchange):
-                failure, position = await settle_commit(
+                failure, position = await verify_commit(
                     self._context,
                     transaction.connection,
                     transaction.term,
@@ -72,7 +72,7 @@
         if self._refusal is not None:
             return self._context.failed(self._refusal, transaction.status)
         if self._replacement is not None:
-            await exchange.replace_answer(self._replacement)
+            await exchange.relay_replacement(self._replacement)
         else:
             await exchange.finish()
         connection = transaction.connection
@@ -94,7 +94,7 @@
         return exchange
 
     async def _exchange_once(self) -> Exchange:
-        """Write the key row ahead of the batch, unless it is there."""
+        """Write the key row, then run the batch if the key is new."""
         connection = self._transaction.connection
         plan = ExchangePlan(None, check_after=False, is_write=True)
         unsent = Exchange(connection, self._unit, self._context.relay, plan)
@@ -116,7 +116,7 @@
         return unsent
 
     async def _write_key(self, key: OnceKey) -> KeyAnswer:
-        """Write the key row inside a savepoint; return its first answer when it was there."""
+        """Write the key row inside a savepoint; return the first answer for a repeated key."""
         connection = self._transaction.connection
         await self._context.execute(connection, SAVEPOINT_SQL)
         judged = key.judge_insert(await self._context.execute(connection, key.insert_if_new_sql))
@@ -141,7 +141,7 @@
         return ended and (exchange.reader.committed or not exchange.reader.sqlstate)
 
     async def _after(self, grant: Grant) -> None:
-        """Give back the slot, and the connection when the transaction is over."""
+        """Release the slot, and the connection if the transaction has ended."""
         transaction = self._transaction
         over = transaction.status is TransactionStatus.IDLE or transaction.connection.broken
         await transaction.gate.release(grant, keep_connection=True)
@@ -168,7 +168,7 @@
 
 
 async def roll_back(transaction: OpenTransaction) -> None:
-    """End an idle transaction: ROLLBACK, or close the connection when that fails."""
+    """Roll back a transaction without a running unit; close its connection if that fails."""
     connection = transaction.connection
     try:
         async with curio.timeout_after(ROLLBACK_TIMEOUT_S):
--- a/limedyke/proxy/unit_write.py
+++ b/limedyke/proxy/unit_write.py
@@ -1,4 +1,4 @@
-"""Runs a write or a transaction of unknown kind: on the primary, sent once."""
+"""Runs a write, or a transaction that may write, on the primary; it is sent at most once."""
 
 from __future__ import annotations
 
@@ -20,34 +20,34 @@
 MS_PER_S = 1_000.0
 MEMBER_RETRY_S = 0.05
 NO_PRIMARY_RETRY_MS = 500
-MEMBER_UNSURE = "the member does not know whether its commit holds"
+COMMIT_UNCERTAIN = "the member does not know whether its commit is durable"
 
 
 def acknowledges(view: GroupView, member: str, term: int, answer_term: int) -> bool:
-    """Tell whether a member's commit under ``term`` may be acknowledged now.
+    """Return whether a member's commit under ``term`` may be acknowledged now.
 
-    It may while the member is the recorded primary of that term and said so itself behind
-    the commit.
+    The member must be the recorded primary of that term, and must have reported the same
+    term after the commit.
     """
     return view.primary == member and view.term == term == answer_term
 
 
-def says_unknown(exchange: Exchange) -> bool:
-    """Tell whether the member itself answered that the outcome of a commit is unknown."""
+def reports_unknown_outcome(exchange: Exchange) -> bool:
+    """Return whether the member itself reported that the outcome of a commit is unknown."""
     return exchange.reader.sqlstate == ResultCode.OUTCOME_UNKNOWN.sqlstate
 
 
-async def settle_commit(
+async def verify_commit(
     context: UnitContext,
     connection: BackendConnection,
     term: int,
     answer: PositionAnswer | None = None,
 ) -> tuple[Failure | None, LogPosition]:
-    """Judge a commit just before its acknowledgement is relayed.
+    """Check whether a commit may be acknowledged, just before its answer is relayed.
 
     :param term: the term under which the connection was verified before the batch
-    :param answer: the position that was asked for behind the commit; asked for now when None
-    :returns: the failure, or None, and a position at or behind the commit
+    :param answer: the position queried after the commit; None to query it now
+    :returns: the failure or None, and a position that includes the commit
     """
     if answer is None:
         try:
@@ -69,10 +69,10 @@
 class Executed:
     """A batch that was sent.
 
-    :param failure: why it can't be answered as done, or None
-    :param position: at or behind its commit
-    :param status: transaction state behind it
-    :param replacement: answer to give instead of the member's
+    :param failure: why it cannot be acknowledged, or None
+    :param position: a position that includes its commit
+    :param status: transaction state after it
+    :param replacement: answer to relay instead of the member's
     """
 
     exchange: Exchange
@@ -83,7 +83,7 @@
 
 
 class UnitWrite:
-    """One write, which waits for a primary and is then sent once."""
+    """One write, which waits for a primary and is then sent at most once."""
 
     def __init__(self, context: UnitContext) -> None:
         self._context = context
@@ -120,7 +120,7 @@
         )
 
     async def _not_acquired(self, failure: Failure) -> AnswerEnd | None:
-        """Wait and come back while a promotion may be under way; refuse at once what is refused."""
+        """Wait before a retry while a promotion may be under way; return any other failure."""
         if not self._context.group.holds_lease(self._unit.tenant):
             return self._context.no_lease()
         if failure.code is not ResultCode.NO_MEMBER:
@@ -132,14 +132,14 @@
         return None
 
     async def _attempt(self, gate: MemberGate, grant: Grant) -> AnswerEnd | None:
-        """Send the batch once; None means that nothing was sent."""
+        """Send the batch once; return None if it was not sent and may be tried again."""
         connection = grant.connection
         assert connection is not None
         executed: Executed | None = None
         kept = False
         try:
             term = self._view.term
-            failure = await self._make_ready(connection, term)
+            failure = await self._prepare_connection(connection, term)
             if failure is None:
                 executed = await self._execute(connection, term)
                 kept = executed.failure is None and self._context.keep_transaction(
@@ -151,13 +151,13 @@
             await gate.release(grant, keep_connection=kept)
         if executed is None:
             assert failure is not None
-            return await self._not_ready(failure)
+            return await self._handle_not_ready(failure)
         return await self._conclude(connection, executed)
 
     async def _execute(self, connection: BackendConnection, term: int) -> Executed:
-        """Send the batch, and judge its answer.
+        """Send the batch and check its answer.
 
-        :raises ConnectionLostError: when nothing was sent
+        :raises ConnectionLostError: when the connection broke before anything was sent
         """
         exchange = await self._context.exchange(connection, self._plan())
         if exchange.failure is not None:
@@ -171,16 +171,16 @@
         if executed.failure is not None:
             return self._context.failed(executed.failure)
         if executed.replacement is not None:
-            await executed.exchange.replace_answer(executed.replacement)
+            await executed.exchange.relay_replacement(executed.replacement)
         else:
             await executed.exchange.finish()
         member = connection.endpoint.name
         return self._context.answer_end(member, executed.status, executed.position, False)
 
-    async def _make_ready(self, connection: BackendConnection, term: int) -> Failure | None:
-        """Verify that the connection is to the primary of ``term``, and set it up.
+    async def _prepare_connection(self, connection: BackendConnection, term: int) -> Failure | None:
+        """Verify that the connection leads to the primary of ``term``, and apply the settings.
 
-        :raises ConnectionLostError: when it breaks; nothing of the unit was sent
+        :raises ConnectionLostError: when it breaks; no part of the unit has been sent
         """
         if connection.is_replica or connection.known.term != term:
             answer = await connection.ask_position()
@@ -188,28 +188,28 @@
                 return Failure(ResultCode.NO_PRIMARY, "the member is not primary of this term")
         return await self._context.prepare_connection(connection)
 
-    async def _not_ready(self, failure: Failure) -> AnswerEnd | None:
+    async def _handle_not_ready(self, failure: Failure) -> AnswerEnd | None:
         if failure.code is not ResultCode.NO_PRIMARY:
             return self._context.failed(failure)
         return await self._not_acquired(Failure(ResultCode.NO_MEMBER, failure.detail))
 
     def _plan(self) -> ExchangePlan:
-        # Behind a unit that opens a transaction no query may run: see may_set_transaction.
-        alone = self._unit.transaction == 0
-        return ExchangePlan(None, check_after=alone, is_write=True)
+        # No query may follow a unit that opens a transaction; see may_set_transaction.
+        outside_transaction = self._unit.transaction == 0
+        return ExchangePlan(None, check_after=outside_transaction, is_write=True)
 
     async def _settle(self, exchange: Exchange, term: int) -> tuple[Failure | None, LogPosition]:
         reader = exchange.reader
         in_transaction = reader.status is not TransactionStatus.IDLE
-        if says_unknown(exchange):
-            return Failure(ResultCode.OUTCOME_UNKNOWN, MEMBER_UNSURE), LogPosition()
+        if reports_unknown_outcome(exchange):
+            return Failure(ResultCode.OUTCOME_UNKNOWN, COMMIT_UNCERTAIN), LogPosition()
         only_failed = bool(reader.sqlstate) and not reader.committed
         if in_transaction or only_failed:
             return None, LogPosition()
-        return await settle_commit(self._context, exchange.connection, term, reader.position_after)
+        return await verify_commit(self._context, exchange.connection, term, reader.position_after)
 
     def _failure_of(self, exchange: Exchange, failure: Failure) -> Failure:
-        """Tell what is known of a batch that was sent and not answered whole."""
+        """Return the failure for a batch that was sent and not answered completely."""
         if failure.code is ResultCode.FEATURE_NOT_SUPPORTED and not exchange.reader.committed:
             return failure
         return Failure(ResultCode.OUTCOME_UNKNOWN, failure.detail)
