--- a/limedyke/proxy/back_ends.py
+++ b/limedyke/proxy/back_ends.py
@@ -1,4 +1,4 @@
-"""The back-end side of a proxy as one object, created by the server."""
+"""The back-end side of a proxy: groups, leases, and where each unit runs."""
 
 from __future__ import annotations
 
@@ -31,34 +31,34 @@
 DEADLINE_SWEEP_S = 0.05
 POOL_CHECK_S = 0.5
 LEASE_MARGIN_S = 1.0
-DRAIN_LOOK_S = 0.02
+DRAIN_POLL_S = 0.02
 NO_MEMBER_CODE = ResultCode.NO_MEMBER.value.number
 
 _log = EventLog("back-ends")
 
 
 class ControlReporter(Protocol):
-    """Where the back-end side sends what the controllers need to know."""
+    """Sends reports of the back-end side to the leader."""
 
     async def report_member(self, report: MemberReport) -> None:
-        """Pass a changed judgement of a member on to the leader."""
+        """Report a changed member state."""
 
     async def promotion_done(self, result: PromoteResult) -> None:
-        """Pass the answer to a ``PromoteOrder`` on to the leader."""
+        """Send the answer to a ``PromoteOrder``."""
 
     async def return_leases(self, leases: tuple[ConnectionLease, ...]) -> None:
-        """Tell that no more than these connections are held."""
+        """Report that no more than these connections are held."""
 
     async def report_writes_paused(self, group: str, term: int) -> None:
-        """Tell that no write of a group is in flight here."""
+        """Report that no write of a group is in flight here."""
 
 
 @dataclass(frozen=True, slots=True)
 class BackEndStats:
-    """Counts for metrics; of connections to members, over the groups with a lease.
+    """Counts for metrics; connections are summed over the groups with a lease.
 
-    :param opened: connections that were opened since the pools were made
-    :param failed: attempts that failed
+    :param opened: connections opened since the pools were created
+    :param failed: failed attempts to open a connection
     :param leased: connections that the leases allow to each member
     :param waiting: units that wait for a connection or slot
     """
@@ -79,8 +79,8 @@
 
     :param settings: the proxy's settings
     :param secrets: passwords of the back-end logins and the cluster key
-    :param control: takes member reports and promotion results; None in tests
-    :param metrics: counts the decisions; None keeps them from view
+    :param control: receives member reports and promotion results; None in tests
+    :param metrics: the proxy's metrics; None for metrics that are not exported
     :param meter: counts the bytes sent to home proxies
     """
 
@@ -110,22 +110,22 @@
         self._periodic: list[curio.Task] = []
 
     async def start(self) -> None:
-        """Start the periodic work."""
-        for work in (self._sweep, self._look_after_pools):
+        """Start the periodic tasks."""
+        for work in (self._sweep, self._check_pools):
             self._periodic.append(await curio.spawn(work, daemon=True))
 
     async def close(self) -> None:
-        """End the periodic work and break all connections; what still runs fails."""
+        """Stop the periodic tasks and shut down all connections; running units fail."""
         while self._periodic:
             await self._periodic.pop().cancel()
         while self._groups:
             _, group = self._groups.popitem()
             await group.close()
 
-    # News from the controllers
+    # Changes from the controllers
 
     async def control_changed(self, view: ControlView) -> None:
-        """Take a new ``ControlView`` into force."""
+        """Apply a new ``ControlView``."""
         self._forwarding.control_changed(view)
         for name in [name for name in self._groups if name not in view.groups]:
             await self._groups.pop(name).close()
@@ -155,7 +155,7 @@
         return time.monotonic() < until
 
     async def leases_changed(self, leases: tuple[ConnectionLease, ...], expires_at: float) -> None:
-        """Take all leases now held, valid until ``expires_at`` (``time.monotonic()`` seconds)."""
+        """Apply all held leases, valid until ``expires_at`` (``time.monotonic()`` seconds)."""
         before = {(lease.group, lease.tenant): lease.connections for lease in self._leases}
         now = {(lease.group, lease.tenant): lease.connections for lease in leases}
         self._unreturned |= {key for key, held in before.items() if now.get(key, 0) < held}
@@ -174,10 +174,10 @@
             await self._control.report_member(report)
 
     def _member_unreachable(self, endpoint: MemberEndpoint) -> None:
-        self._local.cut_reads(endpoint)
+        self._local.abort_reads(endpoint)
 
     async def promote(self, order: PromoteOrder) -> None:
-        """Carry out a promotion in a task of its own; the result goes to ``control``."""
+        """Start a promotion in a separate task; its result goes to ``control``."""
         await curio.spawn(self._promote, order, daemon=True)
 
     async def _promote(self, order: PromoteOrder) -> None:
@@ -221,14 +221,14 @@
         await self._serving.serve(link)
 
     def refuse_new_work(self) -> None:
-        """Take no new work from other proxies from now on; open transactions go on."""
+        """Refuse new work from other proxies from now on; open transactions continue."""
         self._serving.draining = True
 
     async def drain(self) -> None:
-        """Take no new work from other proxies, let what runs finish, close connections."""
+        """Refuse new work from other proxies, wait for running work, and close connections."""
         self.refuse_new_work()
         while self._local.running_units or self._local.open_transactions:
-            await curio.sleep(DRAIN_LOOK_S)
+            await curio.sleep(DRAIN_POLL_S)
         for group in self._groups.values():
             await group.set_leases({})
         await self._return_leases()
@@ -263,7 +263,7 @@
                 await self._return_leases()
 
     async def _report_pauses(self) -> None:
-        """Tell the controllers when the last write before a planned switchover has ended."""
+        """Report each group whose last write before a planned switchover has ended."""
         for name in self._paused_groups & self._groups.keys():
             view = self._groups[name].view
             if not view.writes_paused or self._paused_reported.get(name) == view.term:
@@ -275,7 +275,7 @@
                 await self._control.report_writes_paused(name, view.term)
 
     async def _return_leases(self) -> None:
-        """Give back what a smaller lease no longer covers, once it is closed."""
+        """Return the connections that a reduced lease no longer covers, once they are closed."""
         returned = []
         allowed = {(lease.group, lease.tenant): lease.connections for lease in self._leases}
         for key in list(self._unreturned):
@@ -287,23 +287,23 @@
         if returned and self._control is not None:
             await self._control.return_leases(tuple(returned))
 
-    async def _leases_ended(self) -> None:
-        """Hold no connection any more, since others may be given the same share soon."""
+    async def _handle_lease_expiry(self) -> None:
+        """Close all connections, since the leader may soon grant the same share to others."""
         _log.warning("leases-expired", leases=len(self._leases))
         self._metrics.leases_expired.inc()
         await self.leases_changed((), 0.0)
         for group in self._groups.values():
             group.shut_all()
 
-    async def _look_after_pools(self) -> None:
+    async def _check_pools(self) -> None:
         while True:
             await curio.sleep(POOL_CHECK_S)
             if self._leases and time.monotonic() > self._leases_expire_at - LEASE_MARGIN_S:
-                await self._leases_ended()
+                await self._handle_lease_expiry()
             await self._check_leased_groups()
 
     async def _check_leased_groups(self) -> None:
-        """Look after the groups that have, or still have, connections: few of all declared."""
+        """Check the groups that have a lease or connections, which are few of the declared ones."""
         for name in list(self._leased_groups):
             group = self._groups.get(name)
             if group is not None:
--- a/limedyke/proxy/local_executor.py
+++ b/limedyke/proxy/local_executor.py
@@ -1,4 +1,4 @@
-"""Runs units of work on the members of the groups that this proxy holds leases for."""
+"""Runs units of work on the members of groups for which this proxy holds leases."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 class LocalExecutor:
     """Executes units on members from this proxy.
 
-    :param groups: by name, shared with ``BackEnds``
-    :param metrics: counts what was done and what was refused
+    :param groups: groups by name, shared with ``BackEnds``
+    :param metrics: counts executed and refused units
     """
 
     def __init__(
@@ -47,26 +47,26 @@
 
     @property
     def open_transactions(self) -> int:
-        """How many transactions are open here."""
+        """Number of open transactions."""
         return len(self._transactions)
 
     @property
     def running_units(self) -> int:
-        """How many units are under way here."""
+        """Number of running units."""
         return len(self._running)
 
     def has_transaction(self, key: WorkKey) -> bool:
-        """Tell whether a transaction is open here."""
+        """Return whether a transaction is open here."""
         return self._transactions.get(key) is not None
 
     def has_transactions_of(self, origin: str) -> bool:
-        """Tell whether a transaction that came over a link is open here."""
+        """Return whether a transaction from a link is open here."""
         return self._transactions.has_origin(origin)
 
     async def run(self, unit: WorkUnit, relay: Relay, origin: str = LOCAL_ORIGIN) -> AnswerEnd:
         """Run a unit and return the end of its answer (see ``Executor``).
 
-        :param origin: the link that the unit came over
+        :param origin: the link from which the unit came
         """
         group = self._groups.get(unit.group)
         if group is None:
@@ -112,14 +112,14 @@
         if unit.access is Access.READ:
             return await UnitRead(context).run()
         if unit.once_key and unit.transaction:
-            detail = "a once-key belongs to a request, not to BEGIN"
+            detail = "a once-key is not supported for BEGIN"
             return refusal(unit, ResultCode.FEATURE_NOT_SUPPORTED, detail)
         if unit.once_key:
             return await UnitOnceWrite(context).run()
         return await UnitWrite(context).run()
 
     async def abandon(self, work: AbandonWork, origin: str = LOCAL_ORIGIN) -> None:
-        """Stop a unit or roll a transaction back (see ``Executor``)."""
+        """Cancel a unit or roll back a transaction (see ``Executor``)."""
         running = self._running.get(WorkKey(origin, work.stream))
         if running is not None:
             await self._cancel(running)
@@ -136,7 +136,7 @@
             await group.cancel_wait(running.unit)
 
     async def abandon_origin(self, origin: str) -> None:
-        """Roll back all transactions that came over a link that is gone."""
+        """Roll back all transactions from a link that was closed."""
         for transaction in self._transactions.of_origin(origin):
             await self._abandon_transaction(transaction.key)
 
@@ -150,8 +150,8 @@
         self._transactions.remove(key)
         await roll_back(transaction)
 
-    def cut_reads(self, endpoint: MemberEndpoint) -> None:
-        """Break the connections on which reads wait for a member, so that they go elsewhere."""
+    def abort_reads(self, endpoint: MemberEndpoint) -> None:
+        """Shut down the connections of reads at a member, so that they retry on another one."""
         for running in self._running.values():
             connection = running.connection
             if connection is None or running.unit.access is not Access.READ:
@@ -160,7 +160,7 @@
                 connection.shut()
 
     def writes_under_way(self, group: str) -> bool:
-        """Tell whether a write or a transaction that may write is open for a group."""
+        """Return whether a group has a running write or an open transaction that may write."""
         if any(t.access is Access.WRITE for t in self._transactions.of_group(group)):
             return True
         return any(
@@ -170,7 +170,7 @@
         )
 
     async def enforce_deadlines(self) -> None:
-        """Cancel the units whose deadline has passed; break their connection if that fails."""
+        """Cancel units past their deadline; shut their connection down if that has no effect."""
         now = time.monotonic()
         for running in list(self._running.values()):
             connection = running.connection
