--- a/limedyke/proxy/__init__.py
+++ b/limedyke/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy process: a thin curio shell around the core."""
+"""The proxy process: the curio I/O around the core."""
--- a/limedyke/proxy/drain.py
+++ b/limedyke/proxy/drain.py
@@ -1,4 +1,4 @@
-"""The planned stop of a proxy: nothing new, everything under way to its end, then leave."""
+"""Drains a proxy for a planned stop: refuse new work, finish running work, then leave."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 
 CHECK_INTERVAL_S = 0.02
 LAST_ANSWER_READ_S = 0.2
-"""How long clients may take to read their last message and close."""
+"""How long to wait for clients to read their last message and close."""
 BACK_ENDS_DRAIN_S = 1.0
-"""The back-end side gets at least this long, also when the deadline has passed."""
+"""Minimum time for the back-end side to drain, even if the deadline has passed."""
 LOG = EventLog("drain")
 
 
 class LeavingControl(Protocol):
-    """Tells the controllers that the proxy leaves."""
+    """Reports to the controllers that the proxy is leaving."""
 
     async def leave(self, done: bool) -> None:
-        """Tell that the proxy drains, and later that it is done."""
+        """Report that the proxy drains, or that it has finished draining."""
 
 
 class DrainingBackEnds(Protocol):
-    """The back-end side, which serves other proxies too."""
+    """The back-end side, which also serves other proxies."""
 
     def refuse_new_work(self) -> None:
-        """Take no new work from other proxies from now on; open transactions go on."""
+        """Refuse new work from other proxies from now on; open transactions continue."""
 
     async def drain(self) -> None:
-        """Take no new work from other proxies, let what runs finish, close connections."""
+        """Refuse new work from other proxies, wait for running work, and close connections."""
 
 
 async def drain_proxy(
@@ -45,15 +45,15 @@
     back_ends: DrainingBackEnds,
     deadline_s: float,
 ) -> int:
-    """Take the proxy out of service; the listener is closed already.
+    """Take the proxy out of service; the caller has closed the listener.
 
-    :param deadline_s: how long to wait for clients' work
-    :returns: how many clients' work was cut at the deadline
+    :param deadline_s: how long to wait for the work of clients
+    :returns: number of clients whose work was aborted at the deadline
     """
     started = time.monotonic()
     services.draining = True
     LOG.info("drain-started", clients=len(services.registry.connections))
-    # The controllers take the leases back once they know; work that came later would wait for one.
+    # The controllers revoke the leases after this report; work that came later would lack one.
     back_ends.refuse_new_work()
     await control.leave(done=False)
     failure = Failure(ResultCode.DRAINING)
@@ -73,11 +73,11 @@
 async def _wait_for_clients(
     services: ClientServices, watch: ClientWatch, failure: Failure, deadline: float
 ) -> int:
-    """Let every client's work come to its end; return how many had to be cut."""
+    """Wait for the work of all clients; return the number of clients aborted at the deadline."""
     while time.monotonic() < deadline:
         await watch.ask_all_to_leave(failure)
         if not _remaining(services):
-            await _let_answers_arrive(services, deadline)
+            await _wait_until_read(services, deadline)
             return 0
         await curio.sleep(CHECK_INTERVAL_S)
     cut = len(_remaining(services))
@@ -85,14 +85,14 @@
     return cut
 
 
-async def _let_answers_arrive(services: ClientServices, deadline: float) -> None:
-    """Give clients a moment to read their last message and close."""
+async def _wait_until_read(services: ClientServices, deadline: float) -> None:
+    """Wait briefly for clients to read their last message and close."""
     until = min(deadline, time.monotonic() + LAST_ANSWER_READ_S)
     while services.registry.connections and time.monotonic() < until:
         await curio.sleep(CHECK_INTERVAL_S)
 
 
 def _remaining(services: ClientServices) -> list[ClientConnection]:
-    """Return the connections that aren't on their way out."""
+    """Return the connections that are not being closed."""
     connections = services.registry.connections
     return [connection for connection in connections if not connection.is_closing]
--- a/limedyke/proxy/executor.py
+++ b/limedyke/proxy/executor.py
@@ -1,4 +1,4 @@
-"""The call by which the client side of a proxy runs work on a group's members."""
+"""Interface through which the client side of a proxy runs work on the members of a group."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 from limedyke.result_codes import CODE_BY_NUMBER, Failure, ResultCode, did_not_run
 
 Relay = Callable[[AnswerChunk], Awaitable[None]]
-"""Takes whole PostgreSQL messages of an answer, without ReadyForQuery, as they arrive.
+"""Receives complete PostgreSQL messages of an answer, without ReadyForQuery, as they arrive.
 
-It may wait (the client reads slowly) and may raise: the unit is then abandoned.
+It may block while the client reads slowly, and may raise; the unit is then abandoned.
 """
 
 
 class Executor(Protocol):
-    """Runs units of work: on the members from here, or at a home proxy over a link."""
+    """Runs units of work, on members from this proxy or on a home proxy over a link."""
 
     async def run(self, unit: WorkUnit, relay: Relay) -> AnswerEnd:
-        """Run a unit and return the end of its answer; never raises for expected failures.
+        """Run a unit and return the end of its answer; expected failures do not raise.
 
-        ``unit.stream`` and ``unit.transaction`` are unique among the units of this proxy
-        that are under way.  Units of one transaction are run one after the other.
+        ``unit.stream`` and ``unit.transaction`` are unique among the running units of this
+        proxy.  Units of one transaction run one after the other.
         Cancelling the calling task abandons the unit.
         """
 
     async def abandon(self, work: AbandonWork) -> None:
-        """Stop a unit (cancel request) or roll a transaction back (client gone)."""
+        """Cancel a unit (cancel request) or roll back a transaction (client disconnected)."""
 
 
 def jittered(retry_after_ms: int) -> int:
-    """Return a time to come back around the given one, so that clients don't come all at once."""
+    """Return a random retry time around the given one, so that clients do not retry in step."""
     return max(1, round(retry_after_ms * (0.5 + random.random())))
 
 
@@ -51,14 +51,17 @@
     retry_after_ms: int = 0,
     status: TransactionStatus = TransactionStatus.IDLE,
 ) -> AnswerEnd:
-    """Return the end of an answer that the proxy refuses or fails with ``code``."""
+    """Return the end of the answer to a unit that the proxy refuses or fails with ``code``."""
     return AnswerEnd(
         unit.stream, status, LogPosition(), "", False, code.value.number, detail, retry_after_ms
     )
 
 
 def as_unanswered_read(end: AnswerEnd) -> AnswerEnd:
-    """Return the end of a read that a member may have seen: never that it did not run."""
+    """Return the end of a read that a member may have received.
+
+    A code that says that the unit did not run is replaced by READ_UNANSWERED.
+    """
     if not did_not_run(end.code):
         return end
     detail = f"{CODE_BY_NUMBER[end.code].label} {end.detail}".rstrip()
--- a/limedyke/proxy/metrics.py
+++ b/limedyke/proxy/metrics.py
@@ -12,7 +12,7 @@
 
 
 class RetryCause(enum.StrEnum):
-    """Why a read was sent a second time."""
+    """Why a read was sent again."""
 
     CONNECTION_LOST = "connection-lost"
     MEMBER_BEHIND = "member-behind"
@@ -21,7 +21,7 @@
 class ProxyMetrics:
     """Metrics of ``limedyke proxy``.
 
-    :param registry: the registry that ``/metrics`` shows
+    :param registry: the registry exported at ``/metrics``
     """
 
     def __init__(self, registry: CollectorRegistry) -> None:
--- a/limedyke/proxy/open_transactions.py
+++ b/limedyke/proxy/open_transactions.py
@@ -1,4 +1,4 @@
-"""Open transactions and running units of a proxy, by who sent them."""
+"""Open transactions and running units of a proxy, keyed by their sender."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
     :param term: term under which its connection was verified
     :param status: transaction state after its last unit
-    :param running: a unit of it is under way
-    :param abandoned: to be rolled back as soon as no unit is under way
+    :param running: whether one of its units is running
+    :param abandoned: whether to roll it back when its running unit ends
     """
 
     key: WorkKey
@@ -34,10 +34,11 @@
 
 @dataclass(slots=True, eq=False)
 class RunningUnit:
-    """A unit under way; ``connection`` is set while a member executes it.
+    """A running unit; ``connection`` is set while a member executes it.
 
-    :param deadline_at: when it is cancelled at the member
-    :param cancelled: the caller asked to cancel it
+    :param deadline_at: monotonic time at which it is cancelled at the member
+    :param cancelled: whether the caller asked to cancel it
+    :param cancel_sent_at: monotonic time of the cancel request to the member, 0 for none
     """
 
     unit: WorkUnit
@@ -57,15 +58,15 @@
         return len(self._by_key)
 
     def get(self, key: WorkKey) -> OpenTransaction | None:
-        """Return the transaction of that key."""
+        """Return the transaction with this key, or None."""
         return self._by_key.get(key)
 
     def add(self, transaction: OpenTransaction) -> None:
-        """Keep a transaction."""
+        """Add a transaction."""
         self._by_key[transaction.key] = transaction
 
     def remove(self, key: WorkKey) -> None:
-        """Forget a transaction."""
+        """Remove a transaction, if present."""
         self._by_key.pop(key, None)
 
     def of_group(self, group: str) -> list[OpenTransaction]:
@@ -73,9 +74,9 @@
         return [t for t in self._by_key.values() if t.group == group]
 
     def has_origin(self, origin: str) -> bool:
-        """Tell whether any transaction came over one link."""
+        """Return whether any transaction came from a link."""
         return any(key.origin == origin for key in self._by_key)
 
     def of_origin(self, origin: str) -> list[OpenTransaction]:
-        """Return the transactions that came over one link."""
+        """Return the transactions that came from a link."""
         return [t for key, t in self._by_key.items() if key.origin == origin]
--- a/limedyke/proxy/server.py
+++ b/limedyke/proxy/server.py
@@ -1,4 +1,4 @@
-"""The process ``limedyke proxy``: wires clients, back ends, control and status together."""
+"""The process ``limedyke proxy``: connects clients, back ends, control client and status page."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 from limedyke.transport.traffic import Place
 
 EXIT_FAILED = 1
-TURN_AWAY_S = 0.1
+REJECT_TIMEOUT_S = 0.1
 LEASE_CHECK_S = 1.0
 GAUGES_INTERVAL_S = 1.0
 MOCK_SECRET_PURPOSE = b"limedyke mock verifier"
@@ -173,20 +173,22 @@
         self._metrics.clients_accepted.inc()
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if not self._services.registry.has_room:
-            await curio.spawn(self._turn_away, sock, daemon=True)
+            await curio.spawn(self._reject_client, sock, daemon=True)
             return
         await curio.spawn(ClientConnection(sock, self._services).run, daemon=True)
 
-    async def _turn_away(self, sock: socket.socket) -> None:
+    async def _reject_client(self, sock: socket.socket) -> None:
         failure = Failure(ResultCode.TOO_MANY_CLIENTS, "The proxy is full.")
         self._metrics.count_refusal(ResultCode.TOO_MANY_CLIENTS)
         try:
-            await curio.ignore_after(TURN_AWAY_S, sock.sendall, failure_response(failure, "FATAL"))
+            await curio.ignore_after(
+                REJECT_TIMEOUT_S, sock.sendall, failure_response(failure, "FATAL")
+            )
             await sock.close()
         except OSError:
             return
 
-    # News from outside
+    # Control views and stop signals
 
     async def _take_view(self, view: ControlView) -> None:
         revoked = self._directory.update(view)
