--- a/features/pool_fairness.feature
+++ b/features/pool_fairness.feature
@@ -1,6 +1,6 @@
-Feature: Waiting for a member
-  Requests wait per member: weighted fair between tenants, by priority with ageing, and are
-  refused at once when waiting would not help.
+Feature: Request queue of a member
+  Each member has a request queue: weighted fair between tenants, by priority with ageing.  A
+  request is refused at once if it could not be served before its deadline.
 
   Scenario Outline: Order of the queue: <case>
     Given queue: tenants with weights <weights>
@@ -17,27 +17,27 @@
       | alerts go first                        | x 1, y 1 | x1 batch, y1, x2 alert                    | 0   | x2 y1 x1          |
       | ageing keeps batch from starving       | x 1, y 1 | x1 batch at 0, y1 at 2.5, y2 at 2.5       | 2.5 | x1 y1 y2          |
 
-  Scenario: A tenant that used much slot time waits behind one that used little
+  Scenario: A tenant that used much slot time is served after one that used little
     Given queue: tenants with weights x 1, y 1
     And queue: a request of x has taken 2 seconds of a slot
     And queue: these requests arrive: x1, x2, y1, y2, y3
     When queue: requests are served one by one from second 0
     Then queue: the order is y1 y2 y3 x1 x2
 
-  Scenario: A tenant without a free connection is passed over
+  Scenario: A tenant without a free connection is skipped
     Given queue: tenants with weights x 1, y 1
     And queue: these requests arrive: x1, x2, y1
     When queue: requests are served while x has no connection
     Then queue: the order is y1
 
-  Scenario: One very slow request puts its tenant back by half a second at most
+  Scenario: One very slow request delays its tenant by half a second at most
     Given queue: tenants with weights x 1, y 1
     And queue: a request of x has taken 60 seconds of a slot
     And queue: requests of y that take 100 ms each and of x wait
     Then queue: x is served after 5 or 6 of y
 
-  Scenario Outline: Requests under way for the slots: <case>
-    Then queue: <slots> slots, <mean_ms> ms under way and <round_trip_ms> ms on the network allow <limit>
+  Scenario Outline: Limit of requests in flight for the slots: <case>
+    Then queue: <slots> slots, <mean_ms> ms in total and <round_trip_ms> ms on the network allow <limit> in flight
 
     Examples:
       | case                        | slots | mean_ms | round_trip_ms | limit |
@@ -50,7 +50,7 @@
 
   Scenario Outline: Admission: <case>
     Given queue: <waiting> requests wait, each takes <cost_ms> ms, on <slots> slots and <connections> connections
-    When queue: another comes with <left_ms> ms left
+    When queue: another arrives, with <left_ms> ms to its deadline
     Then queue: it is <outcome>
 
     Examples:
--- a/features/pool_refusals.feature
+++ b/features/pool_refusals.feature
@@ -1,15 +1,15 @@
-Feature: Refusals, and a new primary
-  A refusal is true, comes at once and tells when to come back; what waited for a new primary
-  meets its limits.
+Feature: Refusals, and writes that wait for a new primary
+  A refused request did not run, and its refusal is fast and has a retry time.  Writes that waited
+  for a new primary stay within its limits.
 
   Background:
     Given back ends: proxy p1 before the shared members
 
-  Scenario Outline: A refused request did not run and tells when to come back: <case>
+  Scenario Outline: A refused request did not run and has a retry time: <case>
     Given pool: <situation>
-    When pool: <count> writes with <deadline_ms> ms to go come at once
-    Then pool: some were refused with <codes>, each in less than <within_ms> ms, and told when to come back
-    And pool: of the refused ones none ran, and all answered ones did
+    When pool: <count> writes with a deadline of <deadline_ms> ms arrive at once
+    Then pool: some were refused with <codes>, each in less than <within_ms> ms and with a retry time
+    And pool: no refused write ran, and every answered write did
 
     Examples:
       | case                    | situation                                  | count | deadline_ms | codes                    | within_ms |
@@ -19,14 +19,14 @@
       | this proxy has no lease | p1 has no lease, and waits 100 ms for one  | 3     | 5000        | NO_MEMBER                | 400       |
       | the primary is away     | member a refuses connections, and p1 waits 100 ms | 3 | 5000     | NO_PRIMARY               | 400       |
 
-  Scenario: A new primary meets no storm of the writes that waited for it
+  Scenario: A new primary is not overloaded by the writes that waited for it
     Given pool: the group has 2 slots, member a would run 50 statements at once, each for 40 ms
     And pool: no primary is recorded, and p1 waits 5000 ms for one
     When pool: 40 statements for the primary wait, and then member a is recorded as primary
-    Then pool: at most 2 ran at once there is true
+    Then pool: it is true that at most 2 ran at once
     And pool: each ran once, or was refused and did not run
 
-  Scenario: Refused callers are not told to come back all at once
+  Scenario: The retry times of refused callers are spread
     Given pool: no primary is recorded, and p1 waits 100 ms for one
-    When pool: 20 writes with 5000 ms to go come at once
-    Then pool: the times to come back lie between 250 and 750 ms, and at least 10 differ
+    When pool: 20 writes with a deadline of 5000 ms arrive at once
+    Then pool: the retry times lie between 250 and 750 ms, and at least 10 differ
--- a/features/steps/pool_fairness_steps.py
+++ b/features/steps/pool_fairness_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the fair queue and admission."""
+"""Steps for the request queue of a member and its admission limits."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
     context.load = admission.QueueLoad(waiting, cost_ms / MS_PER_S, slots, connections)
 
 
-@when("queue: another comes with {left_ms:d} ms left")
+@when("queue: another arrives, with {left_ms:d} ms to its deadline")
 def step_admit(context, left_ms):
     context.refusal = admission.admit(context.load, left_ms / MS_PER_S)
 
@@ -104,8 +104,8 @@
 
 
 @then(
-    "queue: {slots:d} slots, {mean_ms:g} ms under way and {round_trip_ms:g} ms on the network "
-    "allow {limit:d}"
+    "queue: {slots:d} slots, {mean_ms:g} ms in total and {round_trip_ms:g} ms on the "
+    "network allow {limit:d} in flight"
 )
 def step_limit(context, slots, mean_ms, round_trip_ms, limit):
     found = admission.in_flight_limit(slots, mean_ms / 1_000, round_trip_ms / 1_000)
--- a/features/steps/pool_members_steps.py
+++ b/features/steps/pool_members_steps.py
@@ -1,4 +1,4 @@
-"""Steps for connections, slots and pools before real member processes."""
+"""Steps for connections, slots and pools with real member processes."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def _add_to_one_pool(self, tenant, credentials, weight):
-    """Let all tenants of a member share the first one's pool."""
+    """Make all tenants of a member share the first tenant's pool."""
     _add_tenant(self, tenant, credentials, weight)
     first = next(iter(self.pools.values()))
     self.pools[tenant] = first
@@ -62,7 +62,7 @@
 
 
 async def _wait_for_slot(self):
-    """Let a transaction's unit wait until a slot of this proxy is free."""
+    """Make a unit of a transaction wait until a slot of this proxy is free."""
     state = self._transaction.gate.state
     while state.outstanding >= state.slots:
         await curio.sleep(0.01)
@@ -100,7 +100,7 @@
     context.lab.wait(lambda: pools["one"].size <= one and pools["two"].size <= two)
 
 
-@given("pool: member a has room for just these")
+@given("pool: member a accepts only that many connections")
 def step_room(context):
     context.lab.members.wait(
         lambda: context.lab.members.admin("a", "SELECT 1", user="app") == [(1,)]
@@ -113,7 +113,7 @@
     return sum(pool.get_stats().failed for pool in gate_of(context).pools.values())
 
 
-@when("pool: {one:d} writes of tenant one and {two:d} of tenant two come at once")
+@when("pool: {one:d} writes of tenant one and {two:d} of tenant two arrive at once")
 def step_both_write(context, one, two):
     lab = context.lab
     tenants = ["one"] * one + ["two"] * two
@@ -149,7 +149,7 @@
     set_switch(context, "a", "execute_ms", execute_ms, 0)
 
 
-@when("pool: {count:d} statements for member a come at once")
+@when("pool: {count:d} statements for member a arrive at once")
 def step_statements(context, count):
     lab = context.lab
     context.mark = f"slots {time.monotonic_ns()}"
@@ -158,7 +158,7 @@
     assert all(timed.code == 0 for timed in context.answers), [t.code for t in context.answers]
 
 
-@then("pool: at most {limit:d} ran at once there is {verdict}")
+@then("pool: it is {verdict} that at most {limit:d} ran at once")
 def step_at_once(context, limit, verdict):
     entries = executed(context.lab, "a")
     most = most_at_once(entries, lambda entry: context.mark in entry["statement"], EXECUTE_MS)
@@ -215,7 +215,7 @@
 # Tenants apart
 
 
-@when("pool: both tenants ask {count:d} times for their login at once")
+@when("pool: both tenants query their login {count:d} times at once")
 def step_logins(context, count):
     lab = context.lab
     units = [
@@ -226,7 +226,7 @@
     context.answers = run_together(lab, units)
 
 
-@then("pool: each saw its own login is {verdict}")
+@then("pool: it is {verdict} that each answer shows the tenant's own login")
 def step_own_login(context, verdict):
     answers = [timed for timed in context.answers if timed.code == 0]
     own = [f"login {LOGINS[timed.unit.tenant]}C" in timed.answer.text for timed in answers]
@@ -250,7 +250,7 @@
     context.after = run_together(lab, [lab.unit("SELECT 1", Access.READ) for _ in range(20)])
 
 
-@then("pool: what ran there ended whole, and new work for it is {new}")
+@then("pool: the running reads are answered completely, and new work for b is {new}")
 def step_left(context, new):
     assert all(answer.end.code == 0 for answer in context.before), context.before
     assert any(answer.end.member == "b" for answer in context.before)
@@ -262,7 +262,9 @@
 # Classes
 
 
-@when("pool: {count:d} statements of class {second} wait, and {more:d} of class {first} come later")
+@when(
+    "pool: {count:d} statements of class {second} wait, and {more:d} of class {first} arrive later"
+)
 def step_classes(context, count, second, more, first):
     lab = context.lab
     context.order = []
--- a/features/steps/pool_refusals_steps.py
+++ b/features/steps/pool_refusals_steps.py
@@ -1,4 +1,4 @@
-"""Steps for refusals, and for writes that waited for a new primary, before real members."""
+"""Steps for refusals, and for writes that wait for a new primary, with real members."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         context.lab.ask("SELECT 1")
 
 
-def _short_wait(context, wait_ms):
+def _set_failover_wait(context, wait_ms):
     settings = context.lab.settings["p1"].model_copy(update={"failover_wait_ms": wait_ms})
     context.lab.proxies["p1"]._local._settings = settings
     context.lab.proxies["p1"]._forwarding._settings = settings
@@ -47,32 +47,32 @@
 
 @given("pool: no primary is recorded, and p1 waits {wait_ms:d} ms for one")
 def step_no_primary(context, wait_ms):
-    _short_wait(context, wait_ms)
+    _set_failover_wait(context, wait_ms)
     context.lab.term, context.lab.primary = 2, ""
     context.lab.announce()
 
 
 @given("pool: p1 has no lease, and waits {wait_ms:d} ms for one")
 def step_no_lease(context, wait_ms):
-    _short_wait(context, wait_ms)
+    _set_failover_wait(context, wait_ms)
     context.lab.lease("p1", 0, 0)
 
 
 @given("pool: member a refuses connections, and p1 waits {wait_ms:d} ms")
 def step_member_away(context, wait_ms):
-    _short_wait(context, wait_ms)
+    _set_failover_wait(context, wait_ms)
     set_switch(context, "a", "refuse_connections", "on", "off")
     gate = gate_of(context)
 
     def is_cut_off() -> bool:
-        """Break what is open; a connection that was being opened meanwhile is broken too."""
+        """Shut down open connections, including those that were being opened before."""
         gate.shut_all()
         return all(not pool.connections and not pool._opening for pool in gate.pools.values())
 
     context.lab.wait(is_cut_off)
 
 
-@when("pool: {count:d} writes with {deadline_ms:d} ms to go come at once")
+@when("pool: {count:d} writes with a deadline of {deadline_ms:d} ms arrive at once")
 def step_writes(context, count, deadline_ms):
     lab = context.lab
     units = [
@@ -83,8 +83,7 @@
 
 
 @then(
-    "pool: some were refused with {code}, each in less than {within_ms:d} ms, "
-    "and told when to come back"
+    "pool: some were refused with {code}, each in less than {within_ms:d} ms and with a retry time"
 )
 def step_refused(context, code, within_ms):
     number = ResultCode[code].value.number
@@ -96,11 +95,11 @@
 
 
 def _refused_within_s(context, within_ms):
-    """Return the time within which a refusal comes at once.
+    """Return the time limit of a refusal.
 
-    Where statements run one after the other it is the time in which the member runs as many of
-    them as fit into the limit: on a machine without processor time to spare, all take longer
-    alike, and a refusal that was held would still come after them.
+    If the member runs one statement at a time, the limit is the time in which it ran as many of
+    them as fit into ``within_ms``.  On an overloaded machine all statements take longer, and a
+    refusal that was delayed would still come after that time.
     """
     limit_s = within_ms / 1_000
     execute_ms = getattr(context, "execute_ms", 0)
@@ -111,7 +110,7 @@
     return max(limit_s, served[fitting - 1]) if len(served) >= fitting else limit_s
 
 
-@then("pool: of the refused ones none ran, and all answered ones did")
+@then("pool: no refused write ran, and every answered write did")
 def step_none_ran(context):
     rows = {row for (row,) in context.lab.members.admin("a", "SELECT id FROM note")}
     answered = {n: timed.answer.text for n, timed in enumerate(context.answers) if timed.code == 0}
@@ -154,9 +153,7 @@
     assert sum(times) > 0
 
 
-@then(
-    "pool: the times to come back lie between {least:d} and {most:d} ms, and at least {n:d} differ"
-)
+@then("pool: the retry times lie between {least:d} and {most:d} ms, and at least {n:d} differ")
 def step_spread(context, least, most, n):
     times = [timed.answer.end.retry_after_ms for timed in context.answers]
     assert all(least <= time_ms <= most for time_ms in times), times
