--- a/features/support/back_end_lab.py
+++ b/features/support/back_end_lab.py
@@ -1,4 +1,4 @@
-"""For tests of the back-end side: real member processes, and BackEnds on a kernel of their own."""
+"""Test environment of the back-end side: real member processes, and BackEnds on one kernel."""
 
 from __future__ import annotations
 
@@ -39,7 +39,10 @@
 
 
 class MemberGroup:
-    """Three stand-in members; only these processes are ever stopped."""
+    """Three processes of the stand-in database, as members of one group.
+
+    ``stop`` and ``signal`` act on these processes only.
+    """
 
     def __init__(self, host_net: str = "127.92.0", **options: object) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix="limedyke-members-"))
@@ -72,11 +75,11 @@
             self.processes[name] = subprocess.Popen(command, stderr=log)
 
     def history_path(self, name: str) -> Path:
-        """Return the file in which a member records what it executed."""
+        """Return the file in which a member records the statements that it executed."""
         return self.folder / f"{name}.jsonl"
 
     def admin(self, name: str, sql: str, user: str = "lab_admin") -> list[tuple]:
-        """Run a statement at a member, past the product."""
+        """Run a statement directly at a member, not through a proxy."""
         host, _, port = self.addresses[name].rpartition(":")
         with psycopg.connect(
             host=host,
@@ -95,7 +98,7 @@
         self.admin(name, f"SELECT lab_set('{switch}', '{value}')")
 
     def wait(self, condition) -> None:
-        """Poll a condition; errors of connections count as not yet."""
+        """Poll a condition until it holds; database errors count as false."""
         deadline = time.monotonic() + WAIT_S
         while time.monotonic() < deadline:
             try:
@@ -124,7 +127,7 @@
 
 
 def shared_members() -> MemberGroup:
-    """Return a group for scenarios that leave its roles and switches as they were."""
+    """Return the group shared by scenarios that restore its roles and switches."""
     if "group" not in _shared:
         _shared["group"] = MemberGroup(connect_delay_ms=0)
         atexit.register(_shared["group"].stop)
@@ -132,7 +135,7 @@
 
 
 class RecordingControl:
-    """Takes what the back-end side tells the controllers."""
+    """Records the reports of the back-end side to the controllers."""
 
     def __init__(self) -> None:
         self.reports: list = []
@@ -158,7 +161,7 @@
 
 
 class Answer:
-    """The answer to a unit: its end, its bytes, and what they hold."""
+    """The answer to a unit: its end and its bytes."""
 
     def __init__(self, end, data: bytes) -> None:
         self.end = end
@@ -171,7 +174,7 @@
 
 
 class BackEndLab:
-    """BackEnds of one or more proxies of this process, before a group of members."""
+    """The BackEnds of one or more proxies in this process, connected to a group of members."""
 
     def __init__(self, members: MemberGroup, host_net: str = "127.92.1") -> None:
         self.members = members
@@ -195,7 +198,7 @@
         self._stream = 0
 
     def run(self, coroutine, *arguments):
-        """Run a coroutine on the lab's kernel; tasks in the background go on meanwhile."""
+        """Run a coroutine on the lab's kernel, where background tasks also run until it ends."""
         return self.kernel.run(coroutine, *arguments)
 
     def add_proxy(self, name: str, zone: str = "z1", lease: int = 10, **settings) -> BackEnds:
@@ -241,7 +244,7 @@
             await self._lease(name, lease, lease)
 
     def kill(self, name: str) -> None:
-        """End a proxy as a killed process would: all its sockets close at once."""
+        """Stop a proxy as if its process was killed: all its sockets close at once."""
         self.run(self._kill, name)
 
     async def _kill(self, name: str) -> None:
@@ -252,7 +255,7 @@
         await self.proxies[name].close()
 
     def lease(self, name: str, one: int, two: int, lasts_s: float = 600.0) -> None:
-        """Give a proxy leases for the two tenants."""
+        """Grant a proxy leases for the two tenants."""
         self.run(self._lease, name, one, two, lasts_s)
 
     async def _lease(self, name: str, one: int, two: int, lasts_s: float = 600.0) -> None:
@@ -261,7 +264,7 @@
         await self.proxies[name].leases_changed(held, time.monotonic() + lasts_s)
 
     def announce(self) -> None:
-        """Give all proxies the present view."""
+        """Apply the current view at all proxies."""
         self.run(self._announce)
 
     async def _announce(self) -> None:
@@ -271,7 +274,7 @@
             await proxy.control_changed(view)
 
     def view(self) -> ControlView:
-        """Return the present view."""
+        """Return the current view."""
         members = tuple(
             Member(name, address, f"z{number}", name in self.leaving)
             for number, (name, address) in enumerate(self.members.addresses.items(), 1)
@@ -332,7 +335,7 @@
         return self.run(self.answer, proxy, self.unit(sql, access, **changes))
 
     def wait(self, condition) -> None:
-        """Let the background work go on until a condition holds."""
+        """Run the background tasks until a condition holds."""
         self.run(self._wait, condition)
 
     async def _wait(self, condition) -> None:
@@ -349,7 +352,7 @@
         shutil.rmtree(self._folder, ignore_errors=True)
 
     async def _close_proxies(self) -> None:
-        """End what starts tasks, since a kernel can't shut down while new ones come."""
+        """Stop everything that spawns tasks; a kernel cannot shut down while tasks are spawned."""
         for server in self.servers.values():
             await server.cancel()
         for proxy in self.proxies.values():
@@ -357,7 +360,7 @@
 
 
 def make_lab(context, members: MemberGroup) -> None:
-    """Put a lab with proxy p1 before a group; the scenario's end closes it."""
+    """Create a lab with proxy p1 for a group; it is closed at the end of the scenario."""
     context.lab = BackEndLab(members)
     context.add_cleanup(context.lab.close)
     context.lab.add_proxy("p1")
--- a/features/support/back_end_load.py
+++ b/features/support/back_end_load.py
@@ -1,4 +1,4 @@
-"""Many units at once for tests of the back-end side, and what the members recorded of them."""
+"""Concurrent units for tests of the back-end side, and the statements that members recorded."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimedAnswer:
-    """An answer, and how long its unit took."""
+    """An answer, and the duration of its unit in seconds."""
 
     unit: WorkUnit
     answer: Answer
@@ -42,12 +42,12 @@
 
 
 def run_together(lab: BackEndLab, units: list[WorkUnit], proxy: str = "p1") -> list[TimedAnswer]:
-    """Run units at once and return their answers in the same order."""
+    """Run units concurrently and return their answers in the same order."""
     return lab.run(_together, lab, proxy, units)
 
 
 def executed(lab: BackEndLab, member: str) -> list[dict]:
-    """Return what a member recorded, once it has written that."""
+    """Return the statements that a member has executed, from its history file."""
     marker = f"SELECT 'marker {time.monotonic_ns()}'"
     lab.members.admin(member, marker)
     entries: list[dict] = []
@@ -62,7 +62,11 @@
 
 
 def most_at_once(entries: list[dict], counts: Callable[[dict], bool], execute_ms: float) -> int:
-    """Return how many of some statements ran at once, each for ``execute_ms`` up to its entry."""
+    """Return the maximum number of counted statements that ran at the same time.
+
+    :param counts: selects the entries to count
+    :param execute_ms: duration of each statement, which ends at the time of its entry
+    """
     moments = []
     for entry in filter(counts, entries):
         moments.append((entry["time_ns"] - int(execute_ms * NANOSECONDS_PER_MS), 1))
@@ -79,7 +83,7 @@
     return context.lab.proxies[proxy]._groups["g"].gates[member]
 
 
-def set_switch(context, member: str, switch: str, value: object, back: object) -> None:
-    """Set a member's failure switch until the end of the scenario."""
+def set_switch(context, member: str, switch: str, value: object, default: object) -> None:
+    """Set a member's failure switch; the end of the scenario sets it to ``default``."""
     context.lab.members.switch(member, switch, value)
-    context.add_cleanup(context.lab.members.switch, member, switch, back)
+    context.add_cleanup(context.lab.members.switch, member, switch, default)
