--- a/features/failover_health.feature
+++ b/features/failover_health.feature
@@ -1,6 +1,6 @@
-Feature: An observer's judgement of a member
-  A dead or frozen member is found soon; a slow or saturated one is never called dead.
-  Times are in milliseconds; probes go out each 500 and time out after 600.
+Feature: Health of a member as judged by one observer
+  A dead or frozen member is detected quickly; a slow or saturated one is never called dead.
+  Times are in milliseconds; probes are sent every 500 and time out after 600.
 
   Scenario Outline: <case>
     Given health: a member that answered at 0
@@ -41,7 +41,7 @@
       | a replica whose requests stall    | replica at 500; disturbed at 620 | 620 |
       | a replica that does not answer    | replica at 500; probe at 1500 | 1700 |
 
-  # Gradually: a queue grows by a second each second when twice as much comes as is served.
+  # Gradually: when twice as many requests arrive as are served, the latency grows by 1 s per second.
   Scenario Outline: Saturation from <first> to <last> ms <how>, adaptive limit <limit>
     Given saturation: a member whose probes take <first> ms
     And saturation: the limit that follows the round trips is <limit>
@@ -58,7 +58,7 @@
       | 100   | 2000 | gradually | on    | never called dead | 1000  | 3600 |
       | 40    | 800  | gradually | off   | called dead       | 0     | 1200 |
 
-  Scenario Outline: Whom to promote: <case>
+  Scenario Outline: The member to promote: <case>
     Given promotion: members a, b, c and <preferred> preferred
     When promotion: the answers are <answers>
     Then promotion: <chosen> is chosen
@@ -74,7 +74,7 @@
       | the chosen one failed, no majority left  | none      | b 2/90, c 2/100, c failed      | nobody |
       | the chosen one failed, a majority left   | none      | a 2/80, b 2/90, c 2/100, c failed | b   |
 
-  Scenario Outline: Whom a planned move promotes: <case>
+  Scenario Outline: The member that a planned switchover promotes: <case>
     Given promotion: a planned move to b in a group of <size> with a as its primary
     When promotion: the answers are <answers>
     Then promotion: <chosen> is chosen
--- a/features/failover_monitor.feature
+++ b/features/failover_monitor.feature
@@ -1,44 +1,44 @@
-Feature: Watching members from a home proxy
-  Probes keep a connection or two, and their tasks end with the process.
+Feature: Monitoring members from a home proxy
+  Probes keep up to two connections open, and their tasks end with the process.
 
-  Scenario: Probing ends with the process, whatever is under way
-    Given monitor: members that are shared
-    When monitor: 5 proxies one after the other probe each 50 ms for a while and end
-    Then monitor: each ended without a task left over
+  Scenario: Probing ends with the process, even with probes in flight
+    Given monitor: the shared members
+    When monitor: 5 proxies in turn probe every 50 ms for a while and stop
+    Then monitor: none left a task running
 
-  Scenario: A statement goes over a kept connection
-    Given monitor: a probe of a member of its own that has asked once
+  Scenario: A statement is sent on a kept connection
+    Given monitor: a probe that has queried a separate member once
     When monitor: it runs a statement
     Then monitor: the statement was answered over connection 1
 
-  Scenario: A kept connection that broke is replaced by a fresh one
-    Given monitor: a probe of a member of its own that has asked once
+  Scenario: A broken kept connection is replaced by a new one
+    Given monitor: a probe that has queried a separate member once
     When monitor: the member restarts
     And monitor: it runs a statement
     Then monitor: the statement was answered over connection 2
 
-  Scenario: A kept connection that stays silent is given up for a fresh one
-    Given monitor: a probe of a member of its own that has asked once
-    When monitor: its kept connection answers nothing any more
+  Scenario: A kept connection that does not answer is replaced by a new one
+    Given monitor: a probe that has queried a separate member once
+    When monitor: its kept connection stops answering
     And monitor: it runs a statement
     Then monitor: the statement was answered over connection 2
 
-  Scenario: A member that takes no more connections is saturated, not gone
-    Given monitor: members of its own and a proxy before them
-    When monitor: member b takes no more connections for 1500 ms
+  Scenario: A member that accepts no connections is saturated, not unreachable
+    Given monitor: separate members and a proxy for them
+    When monitor: member b accepts no connections for 1500 ms
     Then monitor: member b was never reported as unreachable
 
-  Scenario: Answers to requests are signs of life while probes get none
-    Given monitor: members of its own and a proxy that calls them silent after 1500 ms
-    When monitor: probes of member a get no answer any more
+  Scenario: A member that answers requests but no probes counts as reachable
+    Given monitor: separate members and a proxy with a probe timeout of 1500 ms
+    When monitor: probes of member a are no longer answered
     And monitor: writes are answered for 3500 ms
     Then monitor: member a was never reported as unreachable
-    When monitor: nothing is written any more
-    Then monitor: member a is reported as unreachable before long
+    When monitor: the writes stop
+    Then monitor: member a is then reported as unreachable
 
-  Scenario Outline: A frozen member is looked at as soon as its requests stall, safeguard <safeguard>
-    Given monitor: members of its own and a proxy that probes each 60000 ms
-    And monitor: the look at the traffic is <safeguard>
+  Scenario Outline: A frozen member is probed as soon as its requests stall, safeguard <safeguard>
+    Given monitor: separate members and a proxy that probes every 60000 ms
+    And monitor: the check for stalled requests is <safeguard>
     When monitor: member a is frozen and a write is sent
     Then monitor: within 2500 ms it is <verdict>
 
--- a/features/mutants/failover_promotion.py
+++ b/features/mutants/failover_promotion.py
@@ -1,6 +1,6 @@
-"""Mutants of failover: promotions and acknowledgements without their safeguards.
+"""Mutants of failover: promotions and acknowledgements with a safeguard disabled.
 
-Members are real processes of the stand-in; what was acknowledged has to stay.
+Members are processes of the stand-in database; acknowledged rows must not be lost.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def _loses_row(freeze_c: bool) -> bool:
-    """Promote while a member lacks an acknowledged row; tell whether the row was lost."""
+    """Promote while a member lacks an acknowledged row; return whether the row was lost."""
     takeover = TakeoverLab.start()
     try:
         takeover.kill("b")
@@ -29,14 +29,14 @@
         takeover.order("p1", 2)
         for name in takeover.living():
             takeover.thaw(name)
-        takeover.lead_again(3)
-        return not takeover.rows_stay()
+        takeover.ensure_leader(3)
+        return not takeover.keeps_rows()
     finally:
         takeover.close()
 
 
 def _believes_replaced_primary() -> bool:
-    """Tell whether the acknowledgement of a primary that was replaced meanwhile is relayed."""
+    """Return whether the acknowledgement of a replaced primary is relayed."""
     takeover = TakeoverLab.start()
     try:
         takeover.members.switch("a", "lose_acknowledged", "on")
--- a/features/steps/failover_health_steps.py
+++ b/features/steps/failover_health_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the judgement of members and the choice of a new primary."""
+"""Steps for the health of members and the choice of a new primary."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 @dataclass
 class ProbedMember:
-    """A judge, and a member that answers its probes after a while or never.
+    """A health judge, and a simulated member that answers its probes late or never.
 
-    :ivar latency_s: from a probe to its answer; infinite for a silent member
-    :ivar answers: moments at which answers are due, with their round trips
-    :ivar growth: seconds of latency added in each second, up to ``target_s``
+    :ivar latency_s: time from a probe to its answer; infinite for a silent member
+    :ivar answers: times at which answers are due, with their round-trip times
+    :ivar growth: seconds of latency added per second, up to ``target_s``
     """
 
     latency_s: float
@@ -42,7 +42,7 @@
     dead_at: list[float] = field(default_factory=list)
 
     def live(self, seconds: float) -> None:
-        """Let time pass as the monitor sees it."""
+        """Advance the clock, calling the judge as the monitor does."""
         until = self.now + seconds
         while self.now < until:
             self.now += STEP_S
@@ -64,7 +64,7 @@
             self.judge.answered(self.now, due[1])
 
     def fall_silent(self) -> None:
-        """Answer nothing from now on."""
+        """Stop answering."""
         self.answers = [(float("inf"), trip) for _, trip in self.answers]
         self.latency_s = float("inf")
         self.growth = 0.0
@@ -83,7 +83,7 @@
 
 
 def _pass_time(context, until):
-    """Tick as the monitor does, up to a moment."""
+    """Advance the clock to ``until``, ticking as the monitor does."""
     while context.clock + TICK_S < until:
         context.clock += TICK_S
         context.judge.tick(context.clock)
--- a/features/steps/failover_monitor_steps.py
+++ b/features/steps/failover_monitor_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the watch over members."""
+"""Steps for the monitoring of members."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
 STATEMENT_TIMEOUT_S = 3.0
 
 
-@given("monitor: members that are shared")
+@given("monitor: the shared members")
 def step_shared(context):
     context.members = shared_members()
 
 
-@when("monitor: {times:d} proxies one after the other probe each {ms:d} ms for a while and end")
+@when("monitor: {times:d} proxies in turn probe every {ms:d} ms for a while and stop")
 def step_end(context, times, ms):
     context.left_over = []
     for _ in range(times):
         lab = BackEndLab(context.members, "127.92.6")
         lab.add_proxy("p1", probe_interval_ms=ms)
         lab.run(curio.sleep, PROBE_FOR_S)
-        time.sleep(PROBE_FOR_S)  # The kernel stands still: all probes are due when it ends.
+        time.sleep(PROBE_FOR_S)  # The kernel does not run, so all probes are due at its shutdown.
         try:
             lab.close()
         except AssertionError as error:
             context.left_over.append(str(error))
 
 
-@then("monitor: each ended without a task left over")
+@then("monitor: none left a task running")
 def step_ended(context):
     assert not context.left_over, context.left_over
 
 
-@given("monitor: a probe of a member of its own that has asked once")
+@given("monitor: a probe that has queried a separate member once")
 def step_probe(context):
     context.members = MemberGroup("127.92.7", connect_delay_ms=0)
     context.add_cleanup(context.members.stop)
@@ -57,7 +57,7 @@
 
 
 def _count_opened(context) -> list[BackendConnection]:
-    """Keep the connections that the probe opens."""
+    """Record the connections that the probe opens."""
     opened = []
     open_one = context.probe._open
 
@@ -78,7 +78,7 @@
     context.members.wait(lambda: context.members.admin("c", "SELECT 1"))
 
 
-@when("monitor: its kept connection answers nothing any more")
+@when("monitor: its kept connection stops answering")
 def step_mute(context):
     async def nothing(sql):
         await curio.Event().wait()
@@ -97,17 +97,17 @@
     assert len(context.opened) == number, context.opened
 
 
-@given("monitor: members of its own and a proxy that probes each {ms:d} ms")
+@given("monitor: separate members and a proxy that probes every {ms:d} ms")
 def step_seldom(context, ms):
     _start_own(context, probe_interval_ms=ms)
 
 
-@given("monitor: members of its own and a proxy that calls them silent after {ms:d} ms")
+@given("monitor: separate members and a proxy with a probe timeout of {ms:d} ms")
 def step_patient(context, ms):
     _start_own(context, probe_timeout_ms=ms)
 
 
-@given("monitor: members of its own and a proxy before them")
+@given("monitor: separate members and a proxy for them")
 def step_own(context):
     _start_own(context)
 
@@ -122,13 +122,13 @@
     context.lab.wait(lambda: len({report.member for report in reports}) == 3)
 
 
-@when("monitor: member b takes no more connections for {ms:d} ms")
+@when("monitor: member b accepts no connections for {ms:d} ms")
 def step_full(context, ms):
     context.members.switch("b", "connection_limit", 0)
     context.lab.run(curio.sleep, ms / 1_000)
 
 
-@when("monitor: probes of member a get no answer any more")
+@when("monitor: probes of member a are no longer answered")
 def step_unanswered(context):
     async def nothing(timeout_s):
         await curio.sleep(timeout_s)
@@ -148,7 +148,7 @@
         assert answer.end.code == 0, answer.end
 
 
-@when("monitor: nothing is written any more")
+@when("monitor: the writes stop")
 def step_quiet(context):
     context.lab.controls["p1"].reports.clear()
 
@@ -158,7 +158,7 @@
     return [r for r in reports if r.member == member and r.health is MemberHealth.UNREACHABLE]
 
 
-@then("monitor: member {member:w} is reported as unreachable before long")
+@then("monitor: member {member:w} is then reported as unreachable")
 def step_at_last(context, member):
     context.lab.wait(lambda: _unreachable(context, member))
 
@@ -168,7 +168,7 @@
     assert not _unreachable(context, member), _unreachable(context, member)
 
 
-@given("monitor: the look at the traffic is {safeguard}")
+@given("monitor: the check for stalled requests is {safeguard}")
 def step_look(context, safeguard):
     async def nothing():
         return None
@@ -187,7 +187,7 @@
 
 
 async def _send(lab: BackEndLab) -> None:
-    """Send a write in a task of its own; nobody waits for its answer."""
+    """Send a write in a separate task, without waiting for its answer."""
 
     async def relay(chunk) -> None:
         return None
--- a/features/steps/failover_promotion_steps.py
+++ b/features/steps/failover_promotion_steps.py
@@ -1,4 +1,4 @@
-"""Steps for promotions in a real group of members."""
+"""Steps for promotions in a group of real members."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from features.support.takeover_lab import ADMIN, SAFEGUARDS, TakeoverLab
 
 
-@given("takeover: proxies p1 and p2 before three members, with an acknowledged row")
+@given("takeover: proxies p1 and p2 with three members and an acknowledged row")
 def step_start(context):
     context.takeover = TakeoverLab.start()
     context.add_cleanup(context.takeover.close)
@@ -38,7 +38,7 @@
 
 
 def _restart_b_behind(context):
-    """Bring a member back that was down, now that it can't catch up with the primary."""
+    """Restart the member that was down, now that the primary cannot bring it up to date."""
     if getattr(context, "restart_b", False):
         context.takeover.restart("b")
 
@@ -55,7 +55,7 @@
     _restart_b_behind(context)
 
 
-@when("takeover: the primary goes on")
+@when("takeover: the primary resumes")
 def step_thaw(context):
     context.takeover.thaw("a")
 
@@ -71,7 +71,7 @@
     assert context.takeover.members.admin("c", "SELECT 1") == [(1,)]
 
 
-@when("takeover: all members go on")
+@when("takeover: all members resume")
 def step_thaw_all(context):
     for name in context.takeover.living():
         context.takeover.thaw(name)
@@ -96,7 +96,7 @@
         context.takeover.record(term, context.result.primary)
 
 
-@given("takeover: the primary holds a record that nobody else has")
+@given("takeover: the primary holds a log record that no other member has")
 def step_longer(context):
     takeover = context.takeover
     takeover.members.switch("a", "freeze_replication", "on")
@@ -133,19 +133,19 @@
         context.result = takeover.order("p1", term)
 
 
-@when("takeover: the killed member comes back")
+@when("takeover: the killed member restarts")
 def step_comes_back(context):
     context.takeover.restart(context.takeover.killed)
 
 
-@when("takeover: it goes on between promises and promote of p1 under term {term:d}")
+@when("takeover: it resumes between promises and promote of p1 under term {term:d}")
 def step_returns(context, term):
     takeover = context.takeover
     with takeover.before_promote(lambda _: takeover.thaw("a")):
         context.result = takeover.order("p1", term)
 
 
-@when("takeover: p2 sends it a write that it will see later")
+@when("takeover: p2 sends it a write that it reads after it resumes")
 def step_write_later(context):
     context.takeover.begin_write("p2")
 
@@ -155,9 +155,9 @@
     context.takeover.write_while_replaced()
 
 
-@when("takeover: unless a member comes to lead, p2 is ordered to promote from term {term:d} on")
+@when("takeover: if no member leads, p2 is ordered to promote from term {term:d} on")
 def step_order_unless(context, term):
-    context.takeover.lead_again(term)
+    context.takeover.ensure_leader(term)
 
 
 @then("takeover: {proxy:w} has promoted a member, which holds every acknowledged row")
@@ -187,7 +187,7 @@
             raise AssertionError(f"{name} was promoted under term {term}")
 
 
-@then("takeover: writes go on under term {term:d}")
+@then("takeover: writes continue under term {term:d}")
 def step_goes_on(context, term):
     takeover = context.takeover
     assert takeover.lab.term == term
@@ -214,4 +214,4 @@
 
 @then("takeover: the acknowledged rows are {rows}")
 def step_rows(context, rows):
-    assert context.takeover.rows_stay() is (rows == "all there")
+    assert context.takeover.keeps_rows() is (rows == "all there")
--- a/features/support/takeover_lab.py
+++ b/features/support/takeover_lab.py
@@ -1,4 +1,4 @@
-"""For tests of promotion: two proxies before members of their own, and failures in between."""
+"""Test environment for promotions: two proxies, separate members, and failures between steps."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 ADMIN = "limedyke_admin"
 ROWS_SETTLE_S = 20.0
-ORDERS_UNTIL_LED = 8
+MAXIMUM_ORDERS = 8
 POLL_S = 0.05
 LEADS_WITHIN_S = 1.5
 WRITE_REACHES_SOCKET_S = 0.05
@@ -42,10 +42,11 @@
 
 @dataclass
 class TakeoverLab:
-    """Two home proxies of a group, what they were told, and what was acknowledged.
+    """Two home proxies of a group, and the rows that were acknowledged.
 
     :ivar rows: ids of the acknowledged rows
-    :ivar write: a write under way
+    :ivar write: task of a write under way
+    :ivar killed: name of the member that was killed last
     """
 
     members: MemberGroup
@@ -73,7 +74,7 @@
         return takeover
 
     def close(self) -> None:
-        """End everything."""
+        """Stop members and proxies."""
         self.members.stop()
         self.lab.close()
 
@@ -87,17 +88,17 @@
     # Failures of members
 
     def kill(self, name: str) -> None:
-        """End a member as a crash."""
+        """Crash a member."""
         self.members.signal(name, signal.SIGKILL)
         self.members.processes[name].wait()
         self.killed = name
 
     def freeze(self, name: str) -> None:
-        """Stop a member without its knowing."""
+        """Suspend a member with SIGSTOP."""
         self.members.signal(name, signal.SIGSTOP)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen member go on."""
+        """Resume a frozen member."""
         self.members.signal(name, signal.SIGCONT)
 
     def restart(self, name: str) -> None:
@@ -115,8 +116,8 @@
         return self.result(proxy)
 
     def order_until_promoted(self, proxy: str, term: int) -> PromoteResult:
-        """Give an order again while it ends without a primary, as on a slow machine."""
-        for _ in range(ORDERS_UNTIL_LED):
+        """Repeat an order until a member was promoted; orders can time out on a slow machine."""
+        for _ in range(MAXIMUM_ORDERS):
             result = self.order(proxy, term)
             if result.primary:
                 break
@@ -136,7 +137,7 @@
         return results.pop(0)
 
     def promise(self, promoter: str, term: int) -> None:
-        """Let all members that answer promise a term to a promoter."""
+        """Make all living members promise a term to a promoter."""
         for name in self.living():
             self.members.admin(name, f"SELECT group_promise({term}, '{promoter}')", ADMIN)
 
@@ -146,7 +147,7 @@
         return [name for name in self.members.names if processes[name].poll() is None]
 
     def before_promote(self, act) -> mock._patch:
-        """Return a patch under which ``act(member)`` happens between promises and promote."""
+        """Return a patch that runs ``act(member)`` between the promises and the promotion."""
         promote = PromotionExecutor._promote
 
         async def delayed(executor, order, member, left_s):
@@ -156,14 +157,14 @@
         return mock.patch.object(PromotionExecutor, "_promote", delayed)
 
     def record(self, term: int, primary: str) -> None:
-        """Let the proxies learn of a new primary."""
+        """Announce a new primary to the proxies."""
         self.lab.term, self.lab.primary = term, primary
         self.lab.announce()
 
     # Writes at a primary that may be replaced
 
     def begin_write(self, proxy: str) -> None:
-        """Send a write and let it reach the member's socket."""
+        """Send a write, and wait until it has reached the member's socket."""
         unit = self.lab.unit("INSERT INTO note VALUES (900, 'x')", deadline_ms=3_000)
 
         async def begin() -> curio.Task:
@@ -174,43 +175,43 @@
         self.write = self.lab.run(begin)
 
     def write_while_replaced(self) -> None:
-        """Let a write be under way at the primary while p2 learns that another one follows."""
+        """Have a write in flight at the primary while p2 learns of the next primary."""
         self.freeze("a")
         self.begin_write("p2")
         self.record(2, "b")
         self.thaw("a")
 
     def is_acknowledged(self) -> bool:
-        """Wait for the answer to the write under way; tell whether it says that it was done."""
+        """Wait for the answer to the write in flight; return whether it was acknowledged."""
         answer: Answer = self.lab.run(self.write.join)
         return answer.end.code == 0 and COMMAND_COMPLETE in answer.data
 
     def primary_is_ahead(self) -> bool:
-        """Tell whether the primary's log is longer than that of the others."""
+        """Return whether the primary's log is longer than that of the other members."""
         own = self.members.admin("a", "SELECT pg_current_wal_lsn()")
         other = self.members.admin("b", "SELECT pg_last_wal_replay_lsn()")
         return own != other
 
-    # What stands
+    # State of the members
 
     def rows_at(self, name: str) -> set[int]:
         """Return the ids of the rows a member holds."""
         return {row[0] for row in self.members.admin(name, "SELECT id FROM note")}
 
-    def comes_to_lead(self, term: int) -> bool:
-        """Tell whether a member leads under a term, or a higher one, before long."""
-        return _comes_true(lambda: bool(self._open_primary(term)), LEADS_WITHIN_S)
+    def has_leader(self, term: int) -> bool:
+        """Return whether a member leads under this or a higher term within ``LEADS_WITHIN_S``."""
+        return _becomes_true(lambda: bool(self._open_primary(term)), LEADS_WITHIN_S)
 
-    def lead_again(self, first_term: int) -> None:
-        """Unless a member comes to lead by itself, order promotions under rising terms."""
-        for term in range(first_term, first_term + ORDERS_UNTIL_LED):
-            if self.comes_to_lead(first_term - 1) or self.order("p2", term).primary:
+    def ensure_leader(self, first_term: int) -> None:
+        """Order promotions under increasing terms until a member leads."""
+        for term in range(first_term, first_term + MAXIMUM_ORDERS):
+            if self.has_leader(first_term - 1) or self.order("p2", term).primary:
                 return
         raise AssertionError("no member comes to lead")
 
-    def rows_stay(self) -> bool:
-        """Tell whether the group comes to hold all acknowledged rows under one open primary."""
-        assert _comes_true(self._settled, ROWS_SETTLE_S), "the members do not agree"
+    def keeps_rows(self) -> bool:
+        """Wait until the members agree; return whether they hold all acknowledged rows."""
+        assert _becomes_true(self._settled, ROWS_SETTLE_S), "the members do not agree"
         return self.rows <= self.rows_at(self._open_primary())
 
     def _settled(self) -> bool:
@@ -234,7 +235,7 @@
         return int(self.members.admin(name, "SELECT group_term()")[0][0])
 
 
-def _comes_true(condition: Callable[[], bool], within_s: float) -> bool:
+def _becomes_true(condition: Callable[[], bool], within_s: float) -> bool:
     deadline = time.monotonic() + within_s
     while not condition():
         if time.monotonic() > deadline:
