--- a/features/once_keys.feature
+++ b/features/once_keys.feature
@@ -1,15 +1,15 @@
 Feature: Requests that run at most once
   A request with a once-key takes effect once, however often and through whichever proxy its caller
-  sends it; one without a key is never sent again.  Each safeguard is also taken away once.
+  sends it; a request without a key is never retried.  One case runs with the safeguard disabled.
 
   Background:
     Given back ends: proxy p1 before the shared members
-    And once: proxy p2 before the same members
+    And once: proxy p2 for the same members
 
   Scenario Outline: A keyed request runs once: <case>, safeguard <safeguard>
     Given once: the safeguard "key" is <safeguard>
-    When once: the answer to a keyed write <lost>, and the caller sends it again <again>
-    Then once: the row is there <times> times, and the caller knows it is done
+    When once: the answer to a keyed write <lost>, and the caller repeats it <again>
+    Then once: the row exists <times> times, and the caller got a successful answer
 
     Examples:
       | case                          | lost                       | again                     | safeguard | times |
@@ -23,14 +23,14 @@
 
   Scenario: A keyed request runs once through a change of primary
     Given back ends: proxy p1 before members of its own
-    And once: proxy p2 before the same members
+    And once: proxy p2 for the same members
     When once: the answer to a keyed write is lost behind the commit, and member b is promoted
-    And once: the caller sends it again through p2
-    Then once: the row is there 1 times, and the caller knows it is done
+    And once: the caller repeats it through p2
+    Then once: the row exists 1 times, and the caller got a successful answer
 
-  Scenario Outline: A request without a key is never sent again: <case>
+  Scenario Outline: A request without a key is never retried: <case>
     When once: the answer to a write without a key <lost>
-    Then once: its outcome is unknown, and its row is there <times> times
+    Then once: its outcome is unknown, and its row exists <times> times
 
     Examples:
       | case                    | lost                         | times |
@@ -47,9 +47,9 @@
       | the same request         | INSERT INTO note (text) VALUES ('a')     | INSERT INTO note (text) VALUES ('a')     | repeated |
       | a failed first attempt   | INSERT INTO nothing VALUES (1)           | INSERT INTO note (text) VALUES ('b')     | done     |
 
-  Scenario Outline: No crossed answer passes for a keyed request's own: members <fault>
+  Scenario Outline: A keyed request never gets the answer of another one: members <fault>
     When once: 8 keyed writes ask for their own number while member a does <fault>
-    Then once: each answer is whole and its own, or the request is known not to be done, or unknown
+    Then once: each request gets its own complete answer, or a code that says it did not run or is unknown
 
     Examples:
       | fault                       |
--- a/features/routing_outcomes.feature
+++ b/features/routing_outcomes.feature
@@ -1,6 +1,6 @@
-Feature: Answers and outcomes before real members
-  A caller gets the whole answer to its own request and only that; what is said of a request's
-  outcome is true.  Each safeguard is also taken away once, to show that the scenario notices.
+Feature: Answers and outcomes with real members
+  A caller gets exactly the complete answer to its own request, and the reported outcome is true.
+  Scenarios also run with a safeguard disabled, to show that they detect the fault.
 
   Background:
     Given back ends: proxy p1 before the shared members
@@ -9,7 +9,7 @@
     Given outcomes: p1 has one connection to each member
     And outcomes: the safeguard "answers" is <safeguard>
     When outcomes: <count> times a <access> asks for its own number while members <fault>
-    Then outcomes: a wrong answer was relayed is <wrong>
+    Then outcomes: it is <wrong> that a wrong answer was relayed
 
     Examples:
       | fault                       | access | count | safeguard | wrong |
@@ -23,19 +23,19 @@
   Scenario Outline: A late answer never reaches the next caller, safeguard <safeguard>
     Given outcomes: p1 has one connection to each member
     And outcomes: the safeguard "late answers" is <safeguard>
-    When outcomes: a caller goes away before its answer comes, and another asks
-    Then outcomes: a wrong answer was relayed is <wrong>
+    When outcomes: a caller disconnects before its answer arrives, and another caller asks
+    Then outcomes: it is <wrong> that a wrong answer was relayed
 
     Examples:
       | safeguard | wrong |
       | on        | false |
       | off       | true  |
 
-  Scenario Outline: A write is sent again only while nothing was sent: <case>, safeguard <safeguard>
+  Scenario Outline: A write is retried only if nothing was sent: <case>, safeguard <safeguard>
     Given outcomes: <situation>
     And outcomes: the safeguard "<case>" is <safeguard>
     When outcomes: a row is written
-    Then outcomes: the write is told as <told>, and its row is there <times> times
+    Then outcomes: the write is reported as <told>, and its row exists <times> times
 
     Examples:
       | case                   | situation                                     | safeguard | told    | times |
@@ -46,21 +46,21 @@
   Scenario Outline: No write of a replaced primary is acknowledged, safeguard <safeguard>
     Given outcomes: the safeguard "term" is <safeguard>
     When outcomes: the primary is replaced while a write waits for its answer
-    Then outcomes: the write is told as <told>
+    Then outcomes: the write is reported as <told>
 
     Examples:
       | safeguard | told    |
       | on        | unknown |
       | off       | done    |
 
-  Scenario: A commit of which the member itself is unsure is unknown
+  Scenario: A commit whose outcome the member does not know is reported as unknown
     Given outcomes: member a reaches no majority
-    When outcomes: a row is written with 300 ms to go
-    Then outcomes: the write is told as unknown
+    When outcomes: a row is written with a deadline of 300 ms
+    Then outcomes: the write is reported as unknown
 
-  Scenario Outline: The end of a transaction that is lost is told as <told>: <sql>
+  Scenario Outline: A lost answer in a transaction is reported as <told>: <sql>
     When outcomes: in a transaction the answer to <sql> is lost
-    Then outcomes: the unit is told as <told>
+    Then outcomes: the unit is reported as <told>
 
     Examples:
       | sql                                             | told        |
@@ -69,10 +69,10 @@
       | a prepared COMMIT                               | unknown     |
       | SELECT 1                                        | did-not-run |
 
-  Scenario Outline: A read that was sent is never told as not run: <case>
+  Scenario Outline: A read that was sent is never reported as not run: <case>
     Given outcomes: <situation>
-    When outcomes: a read is refused in the end
-    Then outcomes: the unit is told as <told>
+    When outcomes: a read is refused after its retries
+    Then outcomes: the unit is reported as <told>
 
     Examples:
       | case                  | situation                                             | told           |
@@ -80,19 +80,19 @@
       | replicas are behind   | no primary, and the replicas are behind the token     | ran-and-failed |
       | nobody can be reached | no primary, and the replicas take no connections      | did-not-run    |
 
-  Scenario Outline: A read goes on elsewhere while nothing of it was relayed: <case>
+  Scenario Outline: A read is retried on another member if nothing of it was relayed: <case>
     Given outcomes: replica <member> <fault>
     When outcomes: 10 reads ask for their own number
-    Then outcomes: all were answered whole, none by <member>
+    Then outcomes: all were answered completely, none by <member>
 
     Examples:
       | case                   | member | fault                     |
       | the member refuses     | b      | refuses connections       |
       | the member stands still | b     | is frozen                 |
 
-  Scenario Outline: A transaction whose <who> goes away is rolled back
-    When outcomes: a transaction has written and its <who> goes away
-    Then outcomes: its row is never there, and its locks are free
+  Scenario Outline: A transaction is rolled back when its <who> disconnects
+    When outcomes: a transaction has written and its <who> disconnects
+    Then outcomes: its row does not exist, and its locks are free
 
     Examples:
       | who    |
--- a/features/routing_positions.feature
+++ b/features/routing_positions.feature
@@ -1,6 +1,6 @@
 Feature: Reads on replicas of a real group
-  A session reads its own writes on whatever member serves it.  Each safeguard is also taken away
-  once, to show that the scenario notices.
+  A session reads its own writes on any member that serves it.  Scenarios also run with a safeguard
+  disabled, to show that they detect the fault.
 
   Background:
     Given back ends: proxy p1 before the shared members
@@ -17,7 +17,7 @@
       | 300    | on        | seen each time     |
       | 300    | off       | missed some time   |
 
-  Scenario Outline: A session without its token is served behind a barrier, safeguard <safeguard>
+  Scenario Outline: A session without a token reads its write with a barrier, safeguard <safeguard>
     Given back ends: the replicas lag by 300 ms
     And back ends: the safeguard "barrier" is <safeguard>
     When back ends: 3 times a row is written and read back behind a barrier
@@ -48,7 +48,7 @@
     When back ends: a read-only transaction of 4 statements runs
     Then back ends: one replica served all of them
 
-  Scenario: A member that came back empty satisfies nobody
+  Scenario: A member that lost its data serves no read with a token
     Given back ends: proxy p1 before members of its own
     When back ends: a row is written and read on replica c alone
     And back ends: member c loses its data and comes back without its primary
--- a/features/steps/once_keys_steps.py
+++ b/features/steps/once_keys_steps.py
@@ -34,7 +34,7 @@
     return await _run(self, context)
 
 
-@given("once: proxy p2 before the same members")
+@given("once: proxy p2 for the same members")
 def step_second_proxy(context):
     context.lab.add_proxy("p2")
     context.key = f"key-{time.monotonic_ns()}"
@@ -71,7 +71,7 @@
     )
 
 
-@when("once: the answer to a keyed write {lost}, and the caller sends it again {again}")
+@when("once: the answer to a keyed write {lost}, and the caller repeats it {again}")
 def step_keyed(context, lost, again):
     lab = context.lab
     if lost == "is not waited for":
@@ -106,12 +106,12 @@
     lab.announce()
 
 
-@when("once: the caller sends it again through {proxy}")
+@when("once: the caller repeats it through {proxy}")
 def step_again(context, proxy):
     context.answer = _send(context, proxy)
 
 
-@then("once: the row is there {times:d} times, and the caller knows it is done")
+@then("once: the row exists {times:d} times, and the caller got a successful answer")
 def step_times(context, times):
     assert context.answer.end.code == 0, context.answer.end
     assert context.lab.members.admin(context.lab.primary, COUNT) == [(times,)]
@@ -137,7 +137,7 @@
     lab.members.switch("a", "execute_ms", 0)
 
 
-@then("once: its outcome is unknown, and its row is there {times:d} times")
+@then("once: its outcome is unknown, and its row exists {times:d} times")
 def step_unknown(context, times):
     assert _is_unknown(context.answer), context.answer.end
     assert context.lab.members.admin("a", COUNT) == [(times,)]
@@ -173,7 +173,10 @@
         context.answers.append(lab.ask(sql, once_key=key))
 
 
-@then("once: each answer is whole and its own, or the request is known not to be done, or unknown")
+@then(
+    "once: each request gets its own complete answer, or a code that says it did not "
+    "run or is unknown"
+)
 def step_own(context):
     rows = {text for (text,) in context.lab.members.admin("a", "SELECT text FROM note")}
     for number, answer in enumerate(context.answers):
--- a/features/steps/routing_outcomes_steps.py
+++ b/features/steps/routing_outcomes_steps.py
@@ -1,4 +1,4 @@
-"""Steps for answers and outcomes before real member processes."""
+"""Steps for answers and outcomes with real member processes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from postgresql.protocol import element3
 
 from features.support.back_end_load import gate_of, set_switch
-from features.support.unsafe_back_end import take_away
+from features.support.unsafe_back_end import disable_safeguard
 from limedyke.messages.work import AbandonWork, Access, PreparedStatement
 from limedyke.result_codes import CODE_BY_NUMBER
 
@@ -27,7 +27,7 @@
 LENGTH_AND_END_BYTES = 5
 
 
-def _told(answer):
+def _reported(answer):
     code = answer.end.code
     return CODE_BY_NUMBER[code].outcome.value if code else "done"
 
@@ -43,14 +43,14 @@
 @given('outcomes: the safeguard "{name}" is {state}')
 def step_safeguard(context, name, state):
     if state == "off":
-        context.add_cleanup(take_away(name).close)
+        context.add_cleanup(disable_safeguard(name).close)
 
 
 # Answers
 
 
 def _is_wrong(answer, number):
-    """Tell whether anything was relayed that is not exactly the answer to this number."""
+    """Return whether anything but exactly the answer for this number was relayed."""
     if not answer.data:
         return False
     rows = answer.data.count(b"D\0\0\0")
@@ -69,7 +69,7 @@
     context.wrong = [_ask_number(context, number, Access(access)) for number in range(count)]
 
 
-@then("outcomes: a wrong answer was relayed is {verdict}")
+@then("outcomes: it is {verdict} that a wrong answer was relayed")
 def step_wrong(context, verdict):
     assert any(context.wrong) is (verdict == "true"), context.wrong
 
@@ -93,7 +93,7 @@
     return task
 
 
-@when("outcomes: a caller goes away before its answer comes, and another asks")
+@when("outcomes: a caller disconnects before its answer arrives, and another caller asks")
 def step_late(context):
     lab = context.lab
     replicas = ("b",)
@@ -128,7 +128,7 @@
     set_switch(context, "a", "freeze_replication", "on", "off")
 
 
-@when("outcomes: a row is written with {deadline_ms:d} ms to go")
+@when("outcomes: a row is written with a deadline of {deadline_ms:d} ms")
 def step_write_in_time(context, deadline_ms):
     sql = "INSERT INTO note (text) VALUES ('once')"
     context.answer = context.lab.ask(sql, deadline_ms=deadline_ms)
@@ -140,9 +140,9 @@
     context.answer = context.lab.ask("INSERT INTO note (text) VALUES ('once')")
 
 
-@then("outcomes: the write is told as {told}, and its row is there {times:d} times")
-def step_write_told(context, told, times):
-    assert _told(context.answer) == told, context.answer.end
+@then("outcomes: the write is reported as {told}, and its row exists {times:d} times")
+def step_write_reported(context, told, times):
+    assert _reported(context.answer) == told, context.answer.end
     count = "SELECT count(*) FROM note WHERE text = 'once'"
     assert context.lab.members.admin("a", count) == [(times,)], context.answer.end
 
@@ -157,10 +157,10 @@
     context.answer = lab.run(task.join)
 
 
-@then("outcomes: the write is told as {told}")
-@then("outcomes: the unit is told as {told}")
-def step_told(context, told):
-    assert _told(context.answer) == told, context.answer.end
+@then("outcomes: the write is reported as {told}")
+@then("outcomes: the unit is reported as {told}")
+def step_reported(context, told):
+    assert _reported(context.answer) == told, context.answer.end
 
 
 # Transactions
@@ -203,7 +203,7 @@
     context.answer = lab.run(task.join)
 
 
-@when("outcomes: a transaction has written and its {who} goes away")
+@when("outcomes: a transaction has written and its {who} disconnects")
 def step_goes_away(context, who):
     lab = context.lab
     _begin(context)
@@ -214,7 +214,7 @@
         lab.run(proxy.abandon, AbandonWork(0, TRANSACTION, False))
 
 
-@then("outcomes: its row is never there, and its locks are free")
+@then("outcomes: its row does not exist, and its locks are free")
 def step_rolled_back(context):
     members = context.lab.members
     members.admin("a", "INSERT INTO note (text) VALUES ('next')")
@@ -257,9 +257,9 @@
 
 
 def _refuse(context, member):
-    """Have a member refuse connections, and break those it has taken.
+    """Make a member refuse connections, and shut down those that are open.
 
-    One that was being opened before the member refused is taken yet: it is waited for.
+    This waits for connections that were being opened, which the member still accepts.
     """
     set_switch(context, member, "refuse_connections", "on", "off")
     gate = gate_of(context, member)
@@ -267,7 +267,7 @@
     gate.shut_all()
 
 
-@when("outcomes: a read is refused in the end")
+@when("outcomes: a read is refused after its retries")
 def step_read(context):
     context.answer = context.lab.ask("SELECT 1", Access.READ, required=context.token)
     assert context.answer.end.code and context.answer.end.retry_after_ms > 0
@@ -293,7 +293,7 @@
     context.seconds = time.monotonic() - started
 
 
-@then("outcomes: all were answered whole, none by {member}")
+@then("outcomes: all were answered completely, none by {member}")
 def step_elsewhere(context, member):
     for number, answer in enumerate(context.answers):
         assert answer.end.code == 0 and not _is_wrong(answer, number), answer.end
--- a/features/support/unsafe_back_end.py
+++ b/features/support/unsafe_back_end.py
@@ -1,4 +1,4 @@
-"""Back-end connections without their safeguards, to show what these prevent."""
+"""Back-end connections with a safeguard disabled, to show that tests detect what it prevents."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from limedyke.result_codes import ResultCode
 
 
-def _careless_check(self, frame) -> None:
-    """Take whatever comes up to the next ReadyForQuery for the answer to a position check."""
+def _accept_any_frame(self, frame) -> None:
+    """Accept anything up to the next ReadyForQuery as the answer to a position check."""
     if frame[0] != frames.READY:
         return
     if not self.checked_before:
@@ -25,12 +25,12 @@
     self.done = True
 
 
-def _callers_next(self) -> None:
+def _start_callers_piece(self) -> None:
     self._piece = type(self._piece).CALLER
 
 
 async def _feed(self, reader) -> None:
-    """Give the reader frames up to its end; whatever follows is left to the next reader."""
+    """Pass frames to the reader until it is done; keep the rest for the next reader."""
     received = await self.receive()
     for index, frame in enumerate(received):
         reader.feed((frame,))
@@ -39,8 +39,8 @@
             return
 
 
-async def _careless_exchange(self, connection, plan) -> Exchange:
-    """Run a batch and leave the connection in use when the caller goes away."""
+async def _exchange_without_break(self, connection, plan) -> Exchange:
+    """Run a batch, and keep the connection in use if the caller disconnects."""
     exchange = Exchange(connection, self.unit, self.relay, plan)
     self.running.connection = connection
     try:
@@ -53,8 +53,8 @@
 _execute = UnitWrite._execute
 
 
-async def _send_again(self, connection, term):
-    """Take every lost connection for one over which nothing was sent."""
+async def _execute_with_retry(self, connection, term):
+    """Treat every lost connection as if nothing had been sent on it."""
     executed = await _execute(self, connection, term)
     if executed.failure is not None and executed.failure.code is ResultCode.OUTCOME_UNKNOWN:
         raise ConnectionLostError("sent again by the test", nothing_sent=True)
@@ -62,22 +62,22 @@
 
 
 _ANSWERS = (
-    (AnswerReader, "_check_frame", _careless_check),
-    (AnswerReader, "_next_piece_is_callers", _callers_next),
+    (AnswerReader, "_check_frame", _accept_any_frame),
+    (AnswerReader, "_next_piece_is_callers", _start_callers_piece),
     (BackendConnection, "_feed", _feed),
     (BackendConnection, "check_idle", lambda self: not self.broken),
     (BackendConnection, "_reject_unexpected", lambda self, received: None),
 )
 _PATCHES = {
     "answers": _ANSWERS,
-    "late answers": (*_ANSWERS, (UnitContext, "exchange", _careless_exchange)),
-    "the answer is lost": ((UnitWrite, "_execute", _send_again),),
+    "late answers": (*_ANSWERS, (UnitContext, "exchange", _exchange_without_break)),
+    "the answer is lost": ((UnitWrite, "_execute", _execute_with_retry),),
     "term": ((unit_write, "acknowledges", lambda *_: True),),
 }
 
 
-def take_away(safeguard: str) -> ExitStack:
-    """Take a safeguard away until the returned stack is closed."""
+def disable_safeguard(safeguard: str) -> ExitStack:
+    """Disable a safeguard until the returned stack is closed."""
     stack = ExitStack()
     for owner, attribute, replacement in _PATCHES[safeguard]:
         stack.enter_context(mock.patch.object(owner, attribute, replacement, create=True))
