--- a/features/leader_search.feature
+++ b/features/leader_search.feature
@@ -1,19 +1,19 @@
-Feature: How a proxy goes round the controllers while none leads
-  After all machines had lost power, every proxy but one was linked 0.1 s after the election. That one had been refused
-  by controllers that were still loading; its pause had grown with each refusal, over two rounds of all controllers, to
-  a quarter of a second, and the leader granted no lease to anybody before it had told what it held.
+Feature: The order and the pauses in which a proxy dials the controllers
+  Pauses grow with each round of all controllers, not with each refusal. When they grew with each refusal, a proxy that
+  was refused by loading controllers after a power loss paused for a quarter of a second after two rounds. The other
+  proxies were linked 0.1 s after the election, but the leader grants no lease before every proxy has reported its own.
 
-  Scenario: leader search: controllers that still load are asked again soon
+  Scenario: leader search: controllers that are still loading are dialled again soon
     Given leader search: 5 controllers, pauses of up to 250 ms
     When leader search: each of them refuses a proxy for 450 ms, and answers it after that
     Then leader search: the proxy asks again within 60 ms of that, with each of 50 seeds
 
-  Scenario: leader search: a proxy that finds no leader for long asks seldom
+  Scenario: leader search: a proxy that finds no leader for long dials rarely
     Given leader search: 5 controllers, pauses of up to 250 ms
     When leader search: each of them refuses a proxy for 10000 ms, and answers it after that
     Then leader search: its last pauses were 125 ms to 250 ms long, with each of 50 seeds
 
-  Scenario: leader search: the leader that a controller names is asked next
+  Scenario: leader search: the leader that a controller names is dialled next
     Given leader search: 5 controllers, pauses of up to 250 ms
     When leader search: a proxy that was refused 12 times is told that 10.0.0.4:1 leads
     Then leader search: it asks 10.0.0.4:1 next, after a pause of 20 ms or less
--- a/features/steps/leader_search_steps.py
+++ b/features/steps/leader_search_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the choice of the controller that a proxy asks next; times are replayed as numbers."""
+"""Steps for the choice of the controller that a proxy dials next, with simulated time."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from limedyke.proxy.control.controller_selector import ControllerSelector
 
 REFUSAL_S = 0.002
-"""A machine that works and has no listener refuses at once."""
+"""Time in which a running machine without a listener refuses a connection."""
 SEEDS = range(50)
 
 
--- a/features/steps/region_cuts_steps.py
+++ b/features/steps/region_cuts_steps.py
@@ -1,4 +1,4 @@
-"""Steps on real fleets whose zones lose each other, and on many processes lost at once."""
+"""Steps for partitions between the zones of real fleets, and for the loss of many processes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 FIRST_CLIENT_LIMIT = 1_001
 CHANGE_TIMEOUT_S = 20.0
 QUORUM_LOST_TIMEOUT_S = 10.0
-"""A leader's lease (3 s at most) and a proxy's silence limit together are well below it."""
+"""Well above the sum of a leader's lease (at most 3 s) and a proxy's silence limit."""
 
 
 def _gauge(node: Node, name: str) -> float:
@@ -30,12 +30,12 @@
     return float(found.group(1)) if found else -1.0
 
 
-def _hears_quorum(node: Node) -> bool:
+def _has_quorum(node: Node) -> bool:
     return _gauge(node, CONNECTED) == 1.0
 
 
 def _is_current(node: Node, revision: int) -> bool:
-    return _hears_quorum(node) and _gauge(node, REVISION) >= revision
+    return _has_quorum(node) and _gauge(node, REVISION) >= revision
 
 
 def _leader(fleet: Fleet) -> str:
@@ -52,7 +52,7 @@
 
 
 def _confirm_change(context) -> None:
-    """Confirm a change, asked again until a controller takes it."""
+    """Confirm a change, retrying until a controller accepts it."""
 
     def confirmed() -> bool:
         try:
@@ -96,15 +96,15 @@
         context.fleet.relays.cut(first, second)
 
 
-@then("regions: the proxies of the others follow a leader, and those inside hear no quorum")
+@then("regions: proxies outside it follow a leader, and those inside are without a quorum")
 def then_majority_goes_on(context):
     _wait(
-        lambda: not any(_hears_quorum(node) for node in context.inside),
-        "nobody inside hears a quorum",
+        lambda: not any(_has_quorum(node) for node in context.inside),
+        "no proxy inside has a quorum",
         QUORUM_LOST_TIMEOUT_S,
     )
     _wait(
-        lambda: all(_hears_quorum(node) for node in context.outside),
+        lambda: all(_has_quorum(node) for node in context.outside),
         "all outside follow a leader",
     )
 
@@ -114,31 +114,31 @@
     _confirm_change(context)
 
 
-@then("regions: the change is in force outside, and inside it is not for {seconds:d} s more")
+@then("regions: the change is applied outside, and not inside for {seconds:d} s more")
 def then_outside_only(context, seconds):
     revision = context.revision
     _wait(
         lambda: all(_gauge(node, REVISION) >= revision for node in context.outside),
-        "the change is in force outside",
+        "the change is applied outside",
     )
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         for node in context.inside:
             assert 0 <= _gauge(node, REVISION) < revision, node.name
-            assert not _hears_quorum(node), node.name
+            assert not _has_quorum(node), node.name
 
 
-@then("regions: no proxy hears a quorum, and none does for {seconds:d} s more")
+@then("regions: all proxies are without a quorum, and stay so for {seconds:d} s more")
 def then_nobody(context, seconds):
     proxies = context.fleet.topology.proxies
     _wait(
-        lambda: not any(_hears_quorum(node) for node in proxies),
-        "nobody hears a quorum",
+        lambda: not any(_has_quorum(node) for node in proxies),
+        "no proxy has a quorum",
         QUORUM_LOST_TIMEOUT_S,
     )
     end = time.monotonic() + seconds
     while time.monotonic() < end:
-        assert not any(_hears_quorum(node) for node in proxies)
+        assert not any(_has_quorum(node) for node in proxies)
 
 
 @when("regions: the cuts are healed")
@@ -146,7 +146,7 @@
     context.fleet.relays.heal_all()
 
 
-@then("regions: every proxy follows a leader and has the change in force within {seconds:d} s")
+@then("regions: every proxy follows a leader and has applied the change within {seconds:d} s")
 def then_all_current(context, seconds):
     proxies = context.fleet.topology.proxies
     _wait(
