--- a/features/support/careless_proxy.py
+++ b/features/support/careless_proxy.py
@@ -1,7 +1,7 @@
-"""A proxy without one of its safeguards, for fleets of the mutants.
+"""A proxy process with one safeguard disabled, for the fleets of the mutants.
 
-``python -m features.support.careless_proxy proxy --settings=F``; the environment variable
-``LIMEDYKE_CARELESS`` names the safeguard that is left out.
+Run ``python -m features.support.careless_proxy proxy --settings=F``; the environment variable
+``LIMEDYKE_CARELESS`` names the misbehaviour, a key of ``MISBEHAVIOURS``.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
     local_executor.UnitOnceWrite = UnitWrite
 
 
-def _send_writes_again() -> None:
+def _retry_writes() -> None:
     async def execute(write, connection, term) -> object:
         exchange = await write._context.exchange(connection, write._plan())
         if exchange.failure is not None:
@@ -45,30 +45,30 @@
     UnitWrite._execute = execute
 
 
-def _call_unknown_did_not_run() -> None:
+def _report_unknown_as_not_run() -> None:
     def failure_of(write, exchange, failure) -> Failure:
         return Failure(ResultCode.NO_PRIMARY, failure.detail)
 
     UnitWrite._failure_of = failure_of
 
 
-def _cut_when_draining() -> None:
-    async def cut(services, watch, failure, deadline) -> int:
+def _abort_when_draining() -> None:
+    async def abort(services, watch, failure, deadline) -> int:
         await watch.end_all(failure)
         return 0
 
-    drain._wait_for_clients = cut
+    drain._wait_for_clients = abort
 
 
-CARELESSNESS: dict[str, Callable[[], None]] = {
+MISBEHAVIOURS: dict[str, Callable[[], None]] = {
     "ignores tokens": _ignore_tokens,
     "ignores once-keys": _ignore_once_keys,
-    "sends writes again": _send_writes_again,
-    "calls unknown did not run": _call_unknown_did_not_run,
-    "cuts when draining": _cut_when_draining,
+    "sends writes again": _retry_writes,
+    "calls unknown did not run": _report_unknown_as_not_run,
+    "cuts when draining": _abort_when_draining,
 }
 
 
 if __name__ == "__main__":
-    CARELESSNESS[os.environ[VARIABLE]]()
+    MISBEHAVIOURS[os.environ[VARIABLE]]()
     cli.main()
