--- a/features/client_driver.feature
+++ b/features/client_driver.feature
@@ -1,4 +1,4 @@
-Feature: client: a real driver in front of a scripted back end
+Feature: client: real drivers with a scripted back end
 
   Scenario Outline: client: the driver: <case>
     Then client: the driver's <case> give <result>
--- a/features/client_faults.feature
+++ b/features/client_faults.feature
@@ -1,4 +1,4 @@
-Feature: client: what a broken or hostile client meets, on the wire
+Feature: client: the answers to a broken or hostile client, on the wire
 
   Scenario Outline: client: a first packet: <case>
     When client: a connection sends <bytes>
@@ -65,10 +65,10 @@
       | unknown setting   | app     | acme/main    | secret   | limedyke.speed=1                | 42704    | none   |
       | invalid setting   | app     | acme/main    | secret   | limedyke.route=moon             | 22023    | none   |
 
-  Scenario: client: what a refused login is told doesn't tell whether the user exists
+  Scenario: client: the answer to a refused login does not show whether the user exists
     Then client: app and nobody are refused in the same words and messages
 
-  Scenario Outline: client: behind the login: <case>
+  Scenario Outline: client: after the login: <case>
     When client: a logged-in connection sends <bytes>
     Then client: it is refused with <sqlstate> and <code>
     And client: the proxy closes it
@@ -87,7 +87,7 @@
       | Close of an unknown kind    | close              | 08P01    | LD1001 |
       | a batch above the limit     | batch              | 54000    | LD1002 |
 
-  Scenario Outline: client: what a session keeps is bounded: <case>
+  Scenario Outline: client: the state of a session is limited: <case>
     When client: a logged-in connection adds <what> until it is refused
     Then client: it was refused with 53400 before <count>
     And client: the session still answers
@@ -98,7 +98,7 @@
       | large prepared statements | large prepared statements  | 6     |
       | settings                  | settings                   | 80    |
 
-  Scenario: client: a tenant's clients beyond its limit are refused, others are not
+  Scenario: client: a tenant's clients above its limit are refused, other tenants' clients are not
     When client: 4 clients of rival log in
     Then client: the last one is refused with 53300 and LD1006
     And client: another client is served
@@ -119,11 +119,11 @@
       | a wrong process |
       | a wrong size    |
 
-  Scenario: client: a client that goes away while its statement runs abandons it
-    When client: a session runs a paused statement in a transaction and goes away
+  Scenario: client: the transaction of a client that disconnects during a statement is abandoned
+    When client: a session runs a paused statement in a transaction and disconnects
     Then client: its transaction is abandoned
 
-  Scenario: client: a caller that reads nothing is cut and holds nobody up
-    When client: a session asks for answers and reads none
+  Scenario: client: a client that reads no answers is disconnected and delays no other client
+    When client: a session sends requests and reads no answers
     Then client: another client is served
-    And client: the stalled session is cut
+    And client: the stalled session is disconnected
--- a/features/client_tls.feature
+++ b/features/client_tls.feature
@@ -1,4 +1,4 @@
-Feature: client: TLS towards callers
+Feature: client: TLS for client connections
 
   Scenario Outline: client: TLS <offer>, the driver asks <mode>
     Given client: a proxy whose TLS is <offer>
@@ -15,17 +15,17 @@
       | absent   | prefer      | served in the clear |
       | absent   | require     | not connected       |
 
-  Scenario: client: a renewed certificate is shown from the next connection on
+  Scenario: client: a renewed certificate is used for new connections
     Given client: a proxy with the certificate one
     And client: a driver connected over TLS
     When client: the certificate is replaced by two and SIGHUP sent
-    Then client: new connections are shown two
+    Then client: new connections get the certificate two
     And client: the driver that was connected is still served
 
-  Scenario Outline: client: <broken> at a reload leaves the certificate in use
+  Scenario Outline: client: <broken> at a reload keeps the previous certificate in use
     Given client: a proxy with the certificate one
-    When client: <broken> is put in place and SIGHUP sent
-    Then client: one is shown as before, and served
+    When client: <broken> is installed and SIGHUP sent
+    Then client: new connections still get one, and are served
 
     Examples:
       | broken                 |
--- a/features/steps/client_cancel_steps.py
+++ b/features/steps/client_cancel_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what stops a client's work: cancel requests, and a client that goes away."""
+"""Steps for cancel requests, and for clients that disconnect during a statement."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
     assert rows == [f"select pause({name})"], rows
 
 
-@when("client: a session runs a paused statement in a transaction and goes away")
+@when("client: a session runs a paused statement in a transaction and disconnects")
 def when_goes_away(context: Context) -> None:
     context.side = shared_client_side()
     name = f"p{time.monotonic_ns()}"
--- a/features/steps/client_drain_steps.py
+++ b/features/steps/client_drain_steps.py
@@ -34,14 +34,14 @@
 CODE = re.compile(r"LD\d{4}")
 
 
-def _own_proxy(context: Context, certificate: str = "", weakened: str = "") -> ClientSide:
-    context.side = ClientSide(certificate, weakened=weakened)
+def _own_proxy(context: Context, certificate: str = "", disabled_safeguard: str = "") -> ClientSide:
+    context.side = ClientSide(certificate, disabled_safeguard=disabled_safeguard)
     context.add_cleanup(context.side.stop)
     return context.side
 
 
 def _outcome(action: Callable[[], str]) -> str:
-    """Return what an action gives, or the product's code in its error, or that it was lost."""
+    """Return the result of an action, or ``REFUSED`` or ``LOST`` for its error."""
     try:
         return action()
     except psycopg.Error as error:
@@ -54,13 +54,13 @@
 
 
 def _code_in(text: str) -> str:
-    """Return the product's code in an error's text, or ``LOST``."""
+    """Return the result code in an error's text, or ``LOST``."""
     found = CODE.search(text)
     return found[0] if found is not None else LOST
 
 
 class Driver:
-    """A psycopg connection in a state, whose open work runs in a thread."""
+    """A psycopg connection in a given state; its open work runs in a thread."""
 
     def __init__(self, side: ClientSide, state: str) -> None:
         self._side = side
@@ -144,7 +144,7 @@
         return _outcome(lambda: self._row("select 1"))
 
     def _is_ended(self) -> bool:
-        """Tell whether the proxy has ended the session: something waits to be read."""
+        """Return whether the proxy has ended the session, so that data waits to be read."""
         if self.connection.closed:
             return True
         return bool(select.select([self.connection.fileno()], [], [], 0)[0])
@@ -157,8 +157,8 @@
 
 
 @given('client: a proxy of its own, "{safeguard}" off, with a driver that is {state}')
-def given_weakened(context: Context, safeguard: str, state: str) -> None:
-    side = _own_proxy(context, weakened=safeguard)
+def given_disabled_safeguard(context: Context, safeguard: str, state: str) -> None:
+    side = _own_proxy(context, disabled_safeguard=safeguard)
     context.driver = Driver(side, state)
 
 
@@ -204,13 +204,13 @@
     context.clients = [side.logged_in() for _ in range(count)]
 
 
-@when("client: the stop is asked")
+@when("client: the stop is requested")
 def when_stop(context: Context) -> None:
     context.side.process.send_signal(signal.SIGTERM)
     context.side.wait(lambda: "drain-started" in context.side.log)
 
 
-@when("client: the proxy is frozen, each sends a request, the stop is asked and it thaws")
+@when("client: the proxy is frozen, each sends a request, the stop is requested and it resumes")
 def when_frozen(context: Context) -> None:
     process = context.side.process
     process.send_signal(signal.SIGSTOP)
@@ -221,21 +221,21 @@
 
 
 class RecordingParts:
-    """Stands for the control client and the back ends, and records what is asked of them."""
+    """Replaces the control client and the back ends, and records the calls to them."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
 
     def refuse_new_work(self) -> None:
-        """Record it."""
+        """Record the call."""
         self.calls.append("refuses new work")
 
     async def leave(self, done: bool) -> None:
-        """Record it."""
+        """Record the call."""
         self.calls.append("tells the controllers")
 
     async def drain(self) -> None:
-        """Record it."""
+        """Record the call."""
         self.calls.append("drains its back ends")
 
 
@@ -260,7 +260,7 @@
     assert found in expected, found
 
 
-@then("client: the driver is told {code} of its work")
+@then("client: the driver's work fails with {code}")
 def then_code(context: Context, code: str) -> None:
     context.driver.end_work()
     assert context.driver.code == code, context.driver.code
@@ -278,7 +278,7 @@
     assert found == code, found
 
 
-@then("client: each driver got whole answers, and then LD3006 that says it did not run")
+@then("client: each driver got complete answers, and then LD3006 that says it did not run")
 def then_busy_ends(context: Context) -> None:
     for driver in context.busy:
         driver.thread.join(WORK_S)
@@ -296,7 +296,7 @@
     assert Refusal.parse(received[-1][1]).label == REFUSED, received
 
 
-@then("client: each of them gets its answer or LD3006, and none just an end")
+@then("client: each of them gets its answer or LD3006, and none only a closed connection")
 def then_each_answered(context: Context) -> None:
     found = {_first_answer(client) for client in context.clients}
     assert found <= {"answer", REFUSED}, found
@@ -311,7 +311,7 @@
     return Refusal.parse(body).label if kind == b"E" else "answer"
 
 
-@then("client: the driver's work or its next statement is lost without a word")
+@then("client: the driver's work or its next statement is lost without an error code")
 def then_lost(context: Context) -> None:
     work = context.driver.end_work()
     found = (work, context.driver.next_statement())
--- a/features/steps/client_driver_steps.py
+++ b/features/steps/client_driver_steps.py
@@ -1,4 +1,4 @@
-"""Steps with psycopg in front of a scripted back end."""
+"""Steps with psycopg, asyncpg and SQLAlchemy, and a scripted back end."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 def deallocated(side: ClientSide, connection: psycopg.Connection) -> str:
-    """Prepare, forget at the proxy and the driver, and prepare again."""
+    """Prepare a statement, deallocate it at the proxy, and prepare again."""
     first = connection.execute("select %s", (1,), prepare=True).fetchone()[0]
     connection.execute("DEALLOCATE ALL")
     return f"{first}, {connection.execute('select %s', (2,), prepare=True).fetchone()[0]}"
@@ -207,8 +207,8 @@
 def with_sqlalchemy(side: ClientSide, connection: psycopg.Connection) -> str:
     """Run a statement through an engine, whose dialect asks for the version first.
 
-    The scripted back end answers with the statement's text, so what the dialect asks besides is
-    left out: it is no database.
+    The other queries of the dialect are left out, because the scripted back end answers every
+    query with its own text.
     """
     host, port = side.address
     url = sqlalchemy.URL.create("postgresql+psycopg", "app", PASSWORD, host, port, DATABASE)
--- a/features/steps/client_faults_steps.py
+++ b/features/steps/client_faults_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what a broken or hostile client meets, with raw bytes."""
+"""Steps for broken and hostile clients, with raw bytes."""
 
 from __future__ import annotations
 
@@ -139,7 +139,7 @@
     for user in (one, other):
         client = open_wire(context)
         received = client.log_in({"user": user, "database": "acme/main"}, "wrong")
-        # Salt and nonce differ from one exchange to the next; their form may not.
+        # Salt and nonce differ between exchanges, but their lengths must not.
         shapes = [(kind, len(body)) for kind, body in received[:-1]]
         answers.append((shapes, received[-1]))
     assert answers[0] == answers[1], answers
--- a/features/steps/client_limits_steps.py
+++ b/features/steps/client_limits_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the limits of the client side: statements kept, clients, unread answers, memory."""
+"""Steps for the limits of the client side: session state, clients, unread answers, memory."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
     check_refused(context, sqlstate, code)
 
 
-@when("client: a session asks for answers and reads none")
+@when("client: a session sends requests and reads no answers")
 def when_reads_nothing(context: Context) -> None:
     client = log_in_wire(context)
     client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
@@ -80,7 +80,7 @@
     context.sockets = context.side.sockets
 
 
-@then("client: the stalled session is cut")
+@then("client: the stalled session is disconnected")
 def then_stalled_cut(context: Context) -> None:
     context.side.wait(lambda: context.side.sockets < context.sockets)
 
--- a/features/steps/client_revoked_steps.py
+++ b/features/steps/client_revoked_steps.py
@@ -1,4 +1,4 @@
-"""Steps for logins withdrawn while their sessions are open."""
+"""Steps for logins that are revoked while their sessions are open."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
         assert client.query("begin")[-1] == (b"Z", b"T")
 
 
-@when("client: the access of {tenant} is withdrawn")
-def when_withdrawn(context: Context, tenant: str) -> None:
-    (context.side.folder / "withdrawn").write_text(tenant)
+@when("client: the access of {tenant} is revoked")
+def when_revoked(context: Context, tenant: str) -> None:
+    (context.side.folder / "revoked").write_text(tenant)
 
 
 @step("client: the idle session of {tenant} is refused with {sqlstate} and {code}")
--- a/features/steps/client_tls_steps.py
+++ b/features/steps/client_tls_steps.py
@@ -1,4 +1,4 @@
-"""Steps for TLS towards callers."""
+"""Steps for TLS for client connections."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     context.side.process.send_signal(signal.SIGHUP)
 
 
-@when("client: {broken} is put in place and SIGHUP sent")
+@when("client: {broken} is installed and SIGHUP sent")
 def when_broken(context: Context, broken: str) -> None:
     folder = context.side.folder
     kept = (folder / "cert.pem").read_bytes()
@@ -89,12 +89,12 @@
         assert connection.execute("select 1").fetchone() == ("select 1",)
 
 
-@then("client: new connections are shown {name}")
+@then("client: new connections get the certificate {name}")
 def then_shown(context: Context, name: str) -> None:
     context.side.wait(lambda: context.side.certificate_name() == name)
 
 
-@then("client: {name} is shown as before, and served")
+@then("client: new connections still get {name}, and are served")
 def then_still_shown(context: Context, name: str) -> None:
     for _ in range(RELOAD_CHECKS):
         assert context.side.certificate_name() == name
--- a/features/support/client_connections.py
+++ b/features/support/client_connections.py
@@ -1,4 +1,4 @@
-"""Connections of raw bytes to the shared client side, and what they are to be told."""
+"""Raw connections to the shared client side, and checks of the answers."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from features.support.wire_client import Refusal, WireClient
 
 ONE_ROW = [b"T", b"D", b"C", b"Z"]
-"""Kinds of the messages that answer a query of one row."""
+"""Message types of the answer to a query with one row."""
 
 
 def open_wire(context: Context) -> WireClient:
-    """Open a connection that hasn't sent anything; it ends with the scenario."""
+    """Open a connection without sending anything; it is closed at the end of the scenario."""
     context.side = shared_client_side()
     client = context.side.wire()
     context.add_cleanup(client.close)
@@ -20,7 +20,7 @@
 
 
 def log_in_wire(context: Context) -> WireClient:
-    """Open a connection and log it in; it ends with the scenario."""
+    """Open a connection and log in; it is closed at the end of the scenario."""
     context.side = shared_client_side()
     client = context.side.logged_in()
     context.add_cleanup(client.close)
@@ -34,7 +34,7 @@
 
 
 def check_refused(context: Context, sqlstate: str, code: str) -> None:
-    """Check that the scenario's connection was refused for good.
+    """Check that the scenario's connection was refused with a FATAL error.
 
     :param code: label of the result code, or ``none`` for a refusal without one
     """
--- a/features/support/client_side_process.py
+++ b/features/support/client_side_process.py
@@ -1,8 +1,8 @@
-"""A process with the client side of a proxy in front of a scripted back end, for tests.
+"""A test process with the client side of a proxy and a scripted back end.
 
-``python -m features.support.client_side_process IP:PORT FOLDER`` prints a line
-``ready`` once it accepts connections, then one line of JSON for each unit and
-abandoned work.  SIGTERM drains.  It needs no controllers and no members.
+``python -m features.support.client_side_process IP:PORT FOLDER`` prints the line
+``ready`` when it accepts connections, then one line of JSON for each unit and each
+abandoned work item.  SIGTERM drains it.  It needs no controllers and no members.
 Logins: tenants ``acme`` and ``rival``, user ``app``, password ``secret``, group ``main``.
 """
 
@@ -51,24 +51,24 @@
 SMALL_CLIENT_LIMIT = 3
 MAXIMUM_MESSAGE_BYTES = 1024 * 1024
 STARTUP_TIMEOUT_S = 1.0
-STALLED_CALLER_S = 2.0
+STALLED_CLIENT_S = 2.0
 IDLE_IN_TRANSACTION_S = 5.0
 DRAIN_DEADLINE_S = 3.0
 TLS_REQUIRED_MARK = "tls-required"
-WEAKENED = "weakened"
-WITHDRAWN = "withdrawn"
-WITHDRAWN_CHECK_S = 0.02
+DISABLED_SAFEGUARD = "disabled-safeguard"
+REVOKED = "revoked"
+REVOKED_CHECK_S = 0.02
 
 
-class QuietControl:
-    """Stands for the control client."""
+class NullControl:
+    """Replaces the control client."""
 
     async def leave(self, done: bool) -> None:
-        """Nobody to tell."""
+        """Do nothing; there are no controllers."""
 
 
 def make_view(tenant_names: tuple[str, ...] = TENANTS) -> ControlView:
-    """Return the declared tenants and group; only the tenants named may use it."""
+    """Return a view with the tenants and the group; only the named tenants may use the group."""
     users = (User(USER, make_verifier(PASSWORD)),)
     tenants = {
         "acme": Tenant("acme", users, client_limit=CLIENT_LIMIT),
@@ -85,7 +85,7 @@
     tls_required: bool,
     directory: LoginDirectory | None = None,
 ) -> ClientServices:
-    """Return the services of connections in front of a scripted back end."""
+    """Return the services of client connections, with a scripted back end."""
     directory = directory or LoginDirectory()
     directory.update(make_view())
     numbers = itertools.count(1)
@@ -105,30 +105,30 @@
         metrics=ProxyMetrics(CollectorRegistry()),
         tls=tls,
         startup_timeout_s=STARTUP_TIMEOUT_S,
-        stalled_client_s=STALLED_CALLER_S,
+        stalled_client_s=STALLED_CLIENT_S,
         maximum_message_bytes=MAXIMUM_MESSAGE_BYTES,
     )
 
 
 async def accept_clients(listener: socket.socket, services: ClientServices) -> None:
-    """Serve callers until cancelled."""
+    """Accept and serve clients until cancelled."""
     while True:
         client, _ = await listener.accept()
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         await curio.spawn(ClientConnection(client, services).run, daemon=True)
 
 
-async def withdraw_when_asked(folder: Path, directory: LoginDirectory, watch: ClientWatch) -> None:
-    """Take a tenant's access away once the file with its name is there."""
-    while not (folder / WITHDRAWN).exists():
-        await curio.sleep(WITHDRAWN_CHECK_S)
-    name = (folder / WITHDRAWN).read_text()
+async def revoke_on_request(folder: Path, directory: LoginDirectory, watch: ClientWatch) -> None:
+    """Revoke the access of the tenant named in the file ``revoked`` when that file appears."""
+    while not (folder / REVOKED).exists():
+        await curio.sleep(REVOKED_CHECK_S)
+    name = (folder / REVOKED).read_text()
     directory.update(make_view(tuple(tenant for tenant in TENANTS if tenant != name)))
     await watch.end_revoked(directory.is_allowed)
 
 
-def weaken(safeguard: str) -> None:
-    """Take a safeguard of the drain away."""
+def disable_safeguard(safeguard: str) -> None:
+    """Disable a safeguard of the drain."""
     if safeguard == "wait for work":
         ClientWatch.ask_all_to_leave = ClientWatch.end_all
     elif safeguard == "quiet before end":
@@ -153,8 +153,8 @@
             TlsSettings(certificate=folder / "cert.pem", private_key=folder / "key.pem")
         )
         tls.load().expect("the test's certificate")
-    if (folder / WEAKENED).exists():
-        weaken((folder / WEAKENED).read_text())
+    if (folder / DISABLED_SAFEGUARD).exists():
+        disable_safeguard((folder / DISABLED_SAFEGUARD).read_text())
     stop = StopSignal()
     back_end = ScriptedBackEnd(folder)
     directory = LoginDirectory()
@@ -163,19 +163,19 @@
     listener = listen(address).expect("a free address")
     accepting = await curio.spawn(accept_clients, listener, services)
     await curio.spawn(watch.run, daemon=True)
-    await curio.spawn(withdraw_when_asked, folder, directory, watch, daemon=True)
+    await curio.spawn(revoke_on_request, folder, directory, watch, daemon=True)
     await curio.spawn(ReloadOnHangup(tls).run, daemon=True)
     print("ready", flush=True)
     await stop.wait()
     await accepting.cancel()
     await listener.close()
-    return min(1, await drain_proxy(services, watch, QuietControl(), back_end, DRAIN_DEADLINE_S))
+    return min(1, await drain_proxy(services, watch, NullControl(), back_end, DRAIN_DEADLINE_S))
 
 
 if __name__ == "__main__":
     start_logging("INFO")
-    # As in a proxy: Python's own thresholds stop all logins for 0.14 s with 10,000 connections,
-    # and for 0.57 s with 6,000 beside 40 busy processes.
+    # As in a proxy: with Python's default thresholds, garbage collection stops all logins for
+    # 0.14 s with 10,000 connections, and for 0.57 s with 6,000 beside 40 busy processes.
     resume_garbage_collection()
     split_address(sys.argv[1])
     raise SystemExit(curio.run(serve, sys.argv[1], Path(sys.argv[2])))
--- a/features/support/client_side_runner.py
+++ b/features/support/client_side_runner.py
@@ -1,4 +1,4 @@
-"""Starts and stops the process of ``client_side_process`` for tests."""
+"""Starts and stops a ``client_side_process`` for tests."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 class ClientSide:
     """One process with the client side of a proxy.
 
-    :param certificate: common name of the certificate to serve TLS with, or empty
-    :param tls_required: refuse logins without TLS
-    :param weakened: a safeguard of the drain that is off
+    :param certificate: common name of its TLS certificate, or empty for no TLS
+    :param tls_required: whether logins without TLS are refused
+    :param disabled_safeguard: safeguard of the drain to disable, or empty
     """
 
     def __init__(
-        self, certificate: str = "", tls_required: bool = False, weakened: str = ""
+        self, certificate: str = "", tls_required: bool = False, disabled_safeguard: str = ""
     ) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix="limedyke-client-side-"))
         self.address = (HOST, free_port(HOST))
@@ -47,8 +47,8 @@
             self.write_certificate(certificate)
         if tls_required:
             (self.folder / "tls-required").touch()
-        if weakened:
-            (self.folder / "weakened").write_text(weakened)
+        if disabled_safeguard:
+            (self.folder / "disabled-safeguard").write_text(disabled_safeguard)
         command = [sys.executable, "-m", "features.support.client_side_process"]
         command += [f"{HOST}:{self.address[1]}", str(self.folder)]
         with open(self.folder / "output", "wb") as output, open(self.folder / "log", "wb") as log:
@@ -56,7 +56,7 @@
         self.wait(lambda: (self.folder / "output").read_bytes().startswith(b"ready"))
 
     def wait(self, condition) -> None:
-        """Poll a condition."""
+        """Poll a condition until it holds."""
         deadline = time.monotonic() + WAIT_S
         while not condition():
             if time.monotonic() > deadline:
@@ -65,13 +65,13 @@
 
     @property
     def work(self) -> list[dict]:
-        """The units and abandoned work that the process has reported so far."""
+        """The units and abandoned work items that the process has reported so far."""
         lines = (self.folder / "output").read_text().splitlines()
         return [json.loads(line) for line in lines if line.startswith("{")]
 
     @property
     def log(self) -> str:
-        """What the process has logged so far."""
+        """The log of the process so far."""
         return (self.folder / "log").read_text()
 
     @property
@@ -85,15 +85,15 @@
         return psutil.Process(self.process.pid).num_fds()
 
     def release(self, name: str) -> None:
-        """Let statements with ``pause(NAME)`` go on."""
+        """Let statements with ``pause(NAME)`` continue."""
         (self.folder / name).touch()
 
     def wire(self, source: str = "") -> WireClient:
-        """Open a connection of raw bytes."""
+        """Open a raw connection."""
         return WireClient(self.address, source)
 
     def logged_in(self, source: str = "", **settings: str) -> WireClient:
-        """Open a connection of raw bytes and log in."""
+        """Open a raw connection and log in."""
         client = self.wire(source)
         parameters = {"user": "app", "database": DATABASE} | settings
         received = client.log_in(parameters, PASSWORD)
@@ -101,13 +101,13 @@
         return client
 
     def psycopg(self, **options: object) -> psycopg.Connection:
-        """Open a connection of the driver."""
+        """Open a psycopg connection."""
         values = {"dbname": DATABASE, "user": "app", "password": PASSWORD, "sslmode": "disable"}
         host, port = self.address
         return psycopg.connect(host=host, port=port, autocommit=True, **(values | options))
 
     def certificate_name(self) -> str:
-        """Return the common name that a new connection is shown."""
+        """Return the common name of the certificate that a new connection gets."""
         client = self.wire()
         client.send(SSL_REQUEST)
         assert client.receive_byte() == b"S"
@@ -120,7 +120,7 @@
         return names.get_attributes_for_oid(NameOID.COMMON_NAME)[0].value
 
     def write_certificate(self, name: str) -> None:
-        """Write a new certificate of this name, signed by itself, and its key."""
+        """Write a new self-signed certificate with this common name, and its key."""
         key = ec.generate_private_key(ec.SECP256R1())
         subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
         now = datetime.datetime.now(datetime.UTC)
@@ -155,7 +155,7 @@
 
 
 def shared_client_side(certificate: str = "") -> ClientSide:
-    """Return a process for scenarios that leave it as it was."""
+    """Return the process shared by scenarios that do not change its state."""
     if certificate not in _shared:
         _shared[certificate] = ClientSide(certificate)
         atexit.register(_shared[certificate].stop)
--- a/features/support/scripted_back_end.py
+++ b/features/support/scripted_back_end.py
@@ -1,9 +1,9 @@
-"""A back end for tests of the client side: answers by the words of each statement.
+"""A back end for tests of the client side: the words of a statement select its answer.
 
-``fail`` answers an error, ``pause(NAME)`` waits for a file, ``refuse(CODE)``
-ends the unit with a result code, ``replica-error`` answers as a read-only
-member does and ``on-primary`` is served by the primary, also as a read; any
-other SELECT answers one row with its own text.
+``fail`` answers with an error, ``pause(NAME)`` waits for a file, ``refuse(CODE)``
+ends the unit with a result code, ``replica-error`` answers a read like a read-only
+member, and ``on-primary`` marks a read as served by the primary.  Any other SELECT
+answers with one row that holds its own text.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 
 class RefusedError(Exception):
-    """The unit ends with this result code."""
+    """Ends the unit with a result code."""
 
     def __init__(self, number: int) -> None:
         super().__init__(str(number))
@@ -63,8 +63,8 @@
 class ScriptedBackEnd:
     """Runs units without any member.
 
-    :param folder: where the files are that pauses wait for
-    :param report: told of each unit and abandoned work; printed as JSON when not given
+    :param folder: the folder of the files that pauses wait for
+    :param report: called with each unit and abandoned work item; by default, prints it as JSON
     """
 
     def __init__(
@@ -101,17 +101,17 @@
         return AnswerEnd(unit.stream, answer.status, self.position, "a", by_replica)
 
     async def abandon(self, work: AbandonWork) -> None:
-        """Note abandoned work; a paused unit goes on."""
+        """Record abandoned work; a paused unit continues."""
         self._report(work)
         self._abandoned.add(work.stream)
         if not work.cancel_only:
             self._status.pop(work.transaction, None)
 
     def refuse_new_work(self) -> None:
-        """No other proxy sends any."""
+        """Do nothing; no other proxy sends work."""
 
     async def drain(self) -> None:
-        """Nothing is open towards members."""
+        """Do nothing; there are no connections to members."""
 
     async def _answer(self, unit: WorkUnit, answer: _Answer) -> None:
         for statement in unit.prepared:
@@ -210,7 +210,7 @@
 
 
 def print_work(item: WorkUnit | AbandonWork) -> None:
-    """Print one line of JSON about a unit or abandoned work."""
+    """Print a unit or an abandoned work item as one line of JSON."""
     values: dict[str, object] = {"stream": item.stream, "transaction": item.transaction}
     if isinstance(item, WorkUnit):
         values.update(kind="unit", access=item.access.value, data=item.data.decode("latin1"))
--- a/features/support/wire_client.py
+++ b/features/support/wire_client.py
@@ -1,4 +1,4 @@
-"""A PostgreSQL client of raw bytes: what no driver would send, and thousands of logins."""
+"""A minimal PostgreSQL client for raw bytes that no driver sends, and for thousands of logins."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """What an ErrorResponse says."""
+    """The fields of an ErrorResponse."""
 
     severity: str
     sqlstate: str
@@ -113,7 +113,7 @@
         self._buffer += data
 
     def receive_refusal(self) -> Refusal:
-        """Return the next ErrorResponse; other messages before it are passed over."""
+        """Return the next ErrorResponse, skipping other messages before it."""
         while True:
             kind, body = self.receive()
             if kind == b"E":
--- a/limedyke/proxy/clients/watch.py
+++ b/limedyke/proxy/clients/watch.py
@@ -51,7 +51,7 @@
 
     async def end_revoked(self, is_allowed: Callable[[str, str, str], bool]) -> None:
         """Ask sessions whose login is no longer declared to end; repeated until all have ended."""
-        failure = Failure(ResultCode.UNKNOWN_TENANT_OR_USER, "The login was withdrawn.")
+        failure = Failure(ResultCode.UNKNOWN_TENANT_OR_USER, "The login was revoked.")
         self._is_allowed = None
         for connection in list(self._services.registry.connections):
             if connection.session is None:
