--- a/limedyke/proxy/control/report_answer_timer.py
+++ b/limedyke/proxy/control/report_answer_timer.py
@@ -25,12 +25,12 @@
         """Whether a report was sent that the leader has not answered."""
         return self._reported_at is not None
 
-    def reported(self, now: float) -> None:
+    def report_sent(self, now: float) -> None:
         """Record a sent report; the timeout runs from the first unanswered one."""
         if self._reported_at is None:
             self._reported_at = now
 
-    def heard(self) -> None:
+    def answer_received(self) -> None:
         """Record that a heartbeat was answered, or that a new link was opened."""
         self._reported_at = None
 
--- a/limedyke/proxy/control/reports.py
+++ b/limedyke/proxy/control/reports.py
@@ -42,19 +42,19 @@
 
     async def report_sent(self) -> None:
         """Start the answer timeout, as a report was sent to the leader."""
-        self._silence.reported(time.monotonic())
+        self._silence.report_sent(time.monotonic())
         await self._wakeup.set()
 
     def heard(self) -> None:
         """Stop the answer timeout, as the leader answered."""
-        self._silence.heard()
+        self._silence.answer_received()
 
     async def watch_silence(self) -> None:
         """Close the link when a report is not answered in time.
 
         :raises LinkClosedError: when the answer timeout has passed
         """
-        self._silence.heard()
+        self._silence.answer_received()
         while True:
             self._wakeup.clear()
             remaining_s = self._silence.remaining_s(time.monotonic())
