--- a/limedyke/proxy/control/report_answer_timer.py
+++ b/limedyke/proxy/control/report_answer_timer.py
@@ -40,7 +40,7 @@
             return float("inf")
         return self._reported_at + ANSWER_LIMIT_S - now
 
-    def left(self, now: float) -> None:
+    def link_closed(self, now: float) -> None:
         """Record that the link was closed because a report was not answered."""
         self._left_at = now
         self._reported_at = None
