--- a/limedyke/proxy/unit_exchange.py
+++ b/limedyke/proxy/unit_exchange.py
@@ -27,15 +27,15 @@
         the batch is relayed only if this accepts the position
     :param check_after: whether the position is queried after the batch
     :param is_write: whether CommandComplete is held back until the check after the batch
-    :param ahead: the proxy's own messages, sent before the batch
-    :param read_ahead: reads the answers to ``ahead``
+    :param preamble: the proxy's own messages, sent before the batch
+    :param read_preamble: reads the answers to ``preamble``
     """
 
     accept_before: Accept | None
     check_after: bool
     is_write: bool
-    ahead: bytes = b""
-    read_ahead: Callable[[BackendConnection], Awaitable[None]] | None = None
+    preamble: bytes = b""
+    read_preamble: Callable[[BackendConnection], Awaitable[None]] | None = None
 
 
 class Exchange:
@@ -68,8 +68,8 @@
         """Send the batch and read its answer, the end of which is held until ``finish``."""
         try:
             await self._send()
-            if self._plan.read_ahead is not None:
-                await self._plan.read_ahead(self.connection)
+            if self._plan.read_preamble is not None:
+                await self._plan.read_preamble(self.connection)
             while not self.reader.done:
                 await self.connection.receive_into(self.reader)
                 self._check_position_before()
@@ -89,7 +89,7 @@
         mark_after = connection.next_mark() if plan.check_after else None
         parses, parse_count = connection.state.prepare(self._unit.prepared)
         self.reader = AnswerReader(mark_before, mark_after, parse_count)
-        pieces = [plan.ahead, parses, self._unit.data]
+        pieces = [plan.preamble, parses, self._unit.data]
         if mark_before is not None:
             pieces.insert(0, frames.position_query(mark_before))
         if mark_after is not None:
--- a/limedyke/proxy/unit_once_write.py
+++ b/limedyke/proxy/unit_once_write.py
@@ -60,9 +60,13 @@
             return Executed(exchange, Failure(ResultCode.OUTCOME_UNKNOWN, str(error)))
 
     def _once_plan(self) -> ExchangePlan:
-        ahead = frames.query(f"BEGIN; {self._key.insert_sql}")
+        preamble = frames.query(f"BEGIN; {self._key.insert_sql}")
         return ExchangePlan(
-            None, check_after=True, is_write=True, ahead=ahead, read_ahead=self._read_insert
+            None,
+            check_after=True,
+            is_write=True,
+            preamble=preamble,
+            read_preamble=self._read_insert,
         )
 
     async def _read_insert(self, connection: BackendConnection) -> None:
