--- a/limedyke/proxy/members/gate.py
+++ b/limedyke/proxy/members/gate.py
@@ -118,7 +118,7 @@
                 return Ok(self._grant(request, connection, now))
         reconnect_delay_s = pool.reconnect_delay_s(now)
         if reconnect_delay_s > 0.0:
-            detail = f"{self.endpoint.name} takes no connections"
+            detail = f"{self.endpoint.name} accepts no connections"
             return Err(
                 Failure(ResultCode.NO_MEMBER, detail, math.ceil(reconnect_delay_s * MS_PER_S))
             )
@@ -144,11 +144,11 @@
         self._queue.finished(grant.request, used_s)
         self.slot_use.finished(tenant, used_s, now)
         if grant.connection is not None and not keep_connection:
-            await self.give_back(tenant, grant.connection)
+            await self.return_connection(tenant, grant.connection)
         elif self._queue:
             await self._dispatch()
 
-    async def give_back(self, tenant: str, connection: BackendConnection) -> None:
+    async def return_connection(self, tenant: str, connection: BackendConnection) -> None:
         """Return a connection to its pool; close it if the pool was removed."""
         if connection.broken:
             await self._on_trouble(self.endpoint.name)
--- a/limedyke/proxy/members/pool.py
+++ b/limedyke/proxy/members/pool.py
@@ -52,14 +52,14 @@
     def __init__(self, limit: int = CONCURRENT_CONNECTS) -> None:
         self._free = limit
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Take a permit; return False if none is free."""
         if self._free == 0:
             return False
         self._free -= 1
         return True
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Return a permit."""
         self._free += 1
 
@@ -179,7 +179,7 @@
         await self._close_unusable()
         missing = wanted - len(self._idle) - self._opening
         for _ in range(missing):
-            if not self._may_open() or not self._connect_limit.take():
+            if not self._may_open() or not self._connect_limit.try_acquire():
                 return
             self._opening += 1
             await curio.spawn(self._open, daemon=True)
@@ -195,7 +195,7 @@
             )
         finally:
             self._opening -= 1
-            self._connect_limit.give_back()
+            self._connect_limit.release()
         if isinstance(opened, Err):
             await self._open_failed(opened.err_value)
             return
--- a/limedyke/proxy/unit_transaction.py
+++ b/limedyke/proxy/unit_transaction.py
@@ -154,7 +154,7 @@
     async def _drop(self) -> None:
         transaction = self._transaction
         self._context.transactions.remove(transaction.key)
-        await transaction.gate.give_back(transaction.tenant, transaction.connection)
+        await transaction.gate.return_connection(transaction.tenant, transaction.connection)
 
     def _lost(self, detail: str) -> AnswerEnd:
         return self._context.failed(Failure(ResultCode.TRANSACTION_LOST, detail))
@@ -178,6 +178,6 @@
         connection.broken = True
     except BaseException:
         connection.broken = True
-        await transaction.gate.give_back(transaction.tenant, connection)
+        await transaction.gate.return_connection(transaction.tenant, connection)
         raise
-    await transaction.gate.give_back(transaction.tenant, connection)
+    await transaction.gate.return_connection(transaction.tenant, connection)
