--- a/limedyke/proxy/members/group.py
+++ b/limedyke/proxy/members/group.py
@@ -97,7 +97,7 @@
         changed = self.view.declare(group, primary)
         removed = self._make_gates()
         for gate in removed:
-            await self._retire(gate)
+            await self._close_gate(gate)
         if changed and old_primary in self.gates and old_primary != self.view.primary:
             await self._leave_primary(self.gates[old_primary])
         is_home = self._settings.name in homes
@@ -135,7 +135,7 @@
             credentials = MemberCredentials(access.backend_user, access.database, password)
             gate.add_tenant(access.tenant, credentials, access.weight)
 
-    async def _retire(self, gate: MemberGate) -> None:
+    async def _close_gate(self, gate: MemberGate) -> None:
         await gate.fail_waiting(Failure(ResultCode.NO_MEMBER, "member was removed"))
         await gate.set_limits(1, {})
 
@@ -259,5 +259,5 @@
         """Stop monitoring, fail queued requests and shut down all connections."""
         await self._monitor.close()
         for gate in self.gates.values():
-            await self._retire(gate)
+            await self._close_gate(gate)
         self.shut_all()
--- a/limedyke/proxy/members/monitor.py
+++ b/limedyke/proxy/members/monitor.py
@@ -47,9 +47,9 @@
 class _Watch:
     """One monitored member.
 
-    :ivar wanted: number of probes that the probing tasks have yet to send
-    :ivar probes_out: probes without an answer yet
-    :ivar confirming: queries of leadership rounds without an answer yet
+    :ivar pending_probes: number of probes that the probing tasks have yet to send
+    :ivar probes_in_flight: probes without an answer yet
+    :ivar confirmations_in_flight: queries of leadership rounds without an answer yet
     :ivar tasks: the judging task and the probing tasks, all started with the watch
     """
 
@@ -57,10 +57,10 @@
         self.probe = probe
         self.judge = judge
         self.wake = curio.Event()
-        self.wanted = curio.Semaphore(0)
+        self.pending_probes = curio.Semaphore(0)
         self.reported: _Reported | None = None
-        self.probes_out = 0
-        self.confirming = 0
+        self.probes_in_flight = 0
+        self.confirmations_in_flight = 0
         self.tasks: list[curio.Task] = []
 
 
@@ -144,10 +144,10 @@
         while True:
             now = time.monotonic()
             self._count_request_answer(name, watch, now)
-            if watch.judge.wants_probe(now) and watch.probes_out < MAXIMUM_PROBES:
+            if watch.judge.wants_probe(now) and watch.probes_in_flight < MAXIMUM_PROBES:
                 watch.judge.probe_sent(now)
-                watch.probes_out += 1
-                await watch.wanted.release()
+                watch.probes_in_flight += 1
+                await watch.pending_probes.release()
             watch.judge.tick(now)
             await self._publish(name, watch)
             watch.wake.clear()
@@ -176,13 +176,13 @@
 
     async def _send_probes(self, name: str, watch: _Watch) -> None:
         while True:
-            await watch.wanted.acquire()
+            await watch.pending_probes.acquire()
             try:
                 await self._probe(name, watch)
             except OSError as error:
                 _log.warning("probe-failed", member=name, reason=error)
             finally:
-                watch.probes_out -= 1
+                watch.probes_in_flight -= 1
             await watch.wake.set()
 
     async def _probe(self, name: str, watch: _Watch) -> None:
@@ -265,7 +265,7 @@
         answers: dict[str, PositionAnswer] = {}
         changed = curio.Event()
         for name, watch in self._watches.items():
-            if watch.confirming < MAXIMUM_PROBES:
+            if watch.confirmations_in_flight < MAXIMUM_PROBES:
                 await curio.spawn(self._ask, name, watch, answers, changed, daemon=True)
         while not self._is_confirmed(answers, term, primary):
             left = asked_at + CONFIRM_TIMEOUT_S - time.monotonic()
@@ -284,13 +284,13 @@
         answers: dict[str, PositionAnswer],
         changed: curio.Event,
     ) -> None:
-        """Query one member for a round; ``confirming`` limits the unanswered queries."""
+        """Query one member for a round."""
         asked_at = time.monotonic()
-        watch.confirming += 1
+        watch.confirmations_in_flight += 1
         try:
             result = await watch.probe.ask()
         finally:
-            watch.confirming -= 1
+            watch.confirmations_in_flight -= 1
         if isinstance(result, Ok):
             answers[name] = result.ok_value.position
             self._observe(name, result.ok_value.position, asked_at)
