--- a/limedyke/proxy/control/bridge.py
+++ b/limedyke/proxy/control/bridge.py
@@ -17,18 +17,18 @@
 class ControlBridge:
     """Handler of the control client, and control reporter of the back ends.
 
-    :param take_view: called with each view before the back ends apply it
+    :param apply_view: called with each view before the back ends apply it
     """
 
-    def __init__(self, take_view: ViewHandler) -> None:
-        self._take_view = take_view
+    def __init__(self, apply_view: ViewHandler) -> None:
+        self._apply_view = apply_view
         self._results: dict[tuple[str, int], curio.Queue] = {}
         self.client: ControlClient | None = None
         self.back_ends: BackEnds | None = None
 
     async def control_changed(self, view: ControlView) -> None:
         """Apply a newer view."""
-        await self._take_view(view)
+        await self._apply_view(view)
         await self.back_ends.control_changed(view)
 
     async def leases_changed(self, leases: tuple[ConnectionLease, ...], expires_at: float) -> None:
--- a/limedyke/proxy/control/client.py
+++ b/limedyke/proxy/control/client.py
@@ -55,9 +55,9 @@
 Demands = Callable[[bool], tuple[ConnectionDemand, ...] | None]
 
 
-def no_demands(whole: bool) -> None:
+def no_demands(all_demands: bool) -> None:
     """Report no demands, for a proxy that does not measure them."""
-    del whole
+    del all_demands
 
 
 class ControlClient:
@@ -336,7 +336,7 @@
             ControlSnapshot: self._handle_snapshot,
             ControlUpdate: self._handle_update,
             QuorumStamp: self._handle_stamp,
-            LeaseUpdate: self._leases.take,
+            LeaseUpdate: self._leases.apply_update,
             PromoteOrder: self._handle_order,
             NotLeader: self._handle_not_leader,
             OperationsGranted: self.limits.granted,
@@ -372,12 +372,12 @@
     async def _handle_stamp(self, stamp: QuorumStamp) -> None:
         if self._quorum_stamp.is_older(stamp):
             raise LinkClosedError("the quorum stamp is older than one received before")
-        self._reports.heard()
+        self._reports.answer_received()
         if self._quorum_stamp.advance(stamp, time.monotonic()):
             self._controllers.accepted(self._address)
             await self._leases.renew(stamp.sequence, stamp.lease_duration_ms / 1000)
             self._renew_primary_lease(stamp)
-        await self._view_confirmation.heard(stamp)
+        await self._view_confirmation.stamp_received(stamp)
 
     async def _handle_order(self, order: PromoteOrder) -> None:
         await curio.spawn(self._promote, order, daemon=True)
--- a/limedyke/proxy/control/leases.py
+++ b/limedyke/proxy/control/leases.py
@@ -48,7 +48,7 @@
         self.held.renewed(sequence, duration_s)
         await self._wakeup.set()
 
-    async def take(self, update: LeaseUpdate) -> None:
+    async def apply_update(self, update: LeaseUpdate) -> None:
         """Apply a lease update of the leader.
 
         :raises LinkClosedError: when all leases have expired
--- a/limedyke/proxy/control/reports.py
+++ b/limedyke/proxy/control/reports.py
@@ -19,13 +19,13 @@
 
     def __init__(self) -> None:
         self._reports: dict[tuple[str, str], MemberReport] = {}
-        self._silence = ReportAnswerTimer()
+        self._answer_timer = ReportAnswerTimer()
         self._wakeup = curio.Event()
 
     @property
     def is_awaiting_answer(self) -> bool:
         """Whether a report was sent that the leader has not answered."""
-        return self._silence.is_waiting
+        return self._answer_timer.is_waiting
 
     def keep(self, report: MemberReport) -> None:
         """Keep a report, replacing an earlier one of the same member."""
@@ -42,24 +42,24 @@
 
     async def report_sent(self) -> None:
         """Start the answer timeout, as a report was sent to the leader."""
-        self._silence.report_sent(time.monotonic())
+        self._answer_timer.report_sent(time.monotonic())
         await self._wakeup.set()
 
-    def heard(self) -> None:
+    def answer_received(self) -> None:
         """Stop the answer timeout, as the leader answered."""
-        self._silence.answer_received()
+        self._answer_timer.answer_received()
 
     async def watch_silence(self) -> None:
         """Close the link when a report is not answered in time.
 
         :raises LinkClosedError: when the answer timeout has passed
         """
-        self._silence.answer_received()
+        self._answer_timer.answer_received()
         while True:
             self._wakeup.clear()
-            remaining_s = self._silence.remaining_s(time.monotonic())
+            remaining_s = self._answer_timer.remaining_s(time.monotonic())
             if remaining_s <= 0:
-                self._silence.link_closed(time.monotonic())
+                self._answer_timer.link_closed(time.monotonic())
                 raise LinkClosedError("a report is not answered")
             if remaining_s == float("inf"):
                 await self._wakeup.wait()
--- a/limedyke/proxy/control/view_check.py
+++ b/limedyke/proxy/control/view_check.py
@@ -25,7 +25,7 @@
         self._leader_index = 0
         self._changed = curio.Event()
 
-    async def heard(self, stamp: QuorumStamp) -> None:
+    async def stamp_received(self, stamp: QuorumStamp) -> None:
         """Record the answer to a heartbeat."""
         self._answered = max(self._answered, stamp.sequence)
         self._leader_index = max(self._leader_index, stamp.control_index)
--- a/limedyke/proxy/server.py
+++ b/limedyke/proxy/server.py
@@ -68,9 +68,9 @@
         self._traffic = TrafficCounter(self._registry)
         self._directory = LoginDirectory()
         self._first_view = curio.Event()
-        self._drain_asked = curio.Event()
+        self._drain_requested = curio.Event()
         self._draining = False
-        self._bridge = ControlBridge(self._take_view)
+        self._bridge = ControlBridge(self._apply_view)
         store = ControlStore(settings.data_folder / "control")
         self._control = ControlClient(settings, secrets, store, self._bridge, self._traffic)
         self._control.limits.metrics = LimitMetrics(self._registry)
@@ -161,7 +161,7 @@
         LOG.info("serving", listen=self._settings.client_listen)
         acceptor = Acceptor(clients, self._admit, LOG)
         await curio.spawn(acceptor.run, daemon=True)
-        await self._drain_asked.wait()
+        await self._drain_requested.wait()
         self._draining = True
         self._metrics.draining.set(1)
         await acceptor.close()
@@ -190,7 +190,7 @@
 
     # Control views and stop signals
 
-    async def _take_view(self, view: ControlView) -> None:
+    async def _apply_view(self, view: ControlView) -> None:
         revoked = self._directory.update(view)
         keys = {key.key_id: self._secrets.get(key.secret) for key in view.token_keys}
         missing = [key_id for key_id, value in keys.items() if not value]
@@ -205,13 +205,13 @@
             await self._watch.end_revoked(self._directory.is_allowed)
         await self._first_view.set()
         if self._control.view_confirmed and view.is_draining(self._settings.name):
-            await self._drain_asked.set()
+            await self._drain_requested.set()
 
     async def _await_stop_signal(self) -> None:
         await StopSignal().wait()
         LOG.info("stop-asked")
         await self._first_view.set()
-        await self._drain_asked.set()
+        await self._drain_requested.set()
         await curio.Event().wait()
 
     async def _refresh_gauges(self) -> None:
