--- a/features/forwarding_work.feature
+++ b/features/forwarding_work.feature
@@ -3,7 +3,7 @@
   that one or of the link, the caller gets the true outcome.
 
   Background:
-    Given back ends: proxy p1 before the shared members
+    Given back ends: proxy p1 with the shared members
     And forwarding: proxy p2 without a lease
 
   Scenario: A transaction stays on one connection of one home proxy
--- a/features/leader_search.feature
+++ b/features/leader_search.feature
@@ -15,5 +15,5 @@
 
   Scenario: leader search: the leader that a controller names is dialled next
     Given leader search: 5 controllers, pauses of up to 250 ms
-    When leader search: a proxy that was refused 12 times is told that 10.0.0.4:1 leads
+    When leader search: a proxy that was refused 12 times learns that 10.0.0.4:1 leads
     Then leader search: it asks 10.0.0.4:1 next, after a pause of 20 ms or less
--- a/features/once_keys.feature
+++ b/features/once_keys.feature
@@ -3,8 +3,8 @@
   sends it; a request without a key is never retried.  One case runs with the safeguard disabled.
 
   Background:
-    Given back ends: proxy p1 before the shared members
-    And once: proxy p2 for the same members
+    Given back ends: proxy p1 with the shared members
+    And once: proxy p2 with the same members
 
   Scenario Outline: A keyed request runs once: <case>, safeguard <safeguard>
     Given once: the safeguard "key" is <safeguard>
@@ -22,8 +22,8 @@
       | sent by two proxies at once   | is not waited for          | through p2                | on        | 1     |
 
   Scenario: A keyed request runs once through a change of primary
-    Given back ends: proxy p1 before members of its own
-    And once: proxy p2 for the same members
+    Given back ends: proxy p1 with separate members
+    And once: proxy p2 with the same members
     When once: the answer to a keyed write is lost behind the commit, and member b is promoted
     And once: the caller repeats it through p2
     Then once: the row exists 1 times, and the caller got a successful answer
--- a/features/pool_fairness.feature
+++ b/features/pool_fairness.feature
@@ -33,7 +33,7 @@
   Scenario: One very slow request delays its tenant by half a second at most
     Given queue: tenants with weights x 1, y 1
     And queue: a request of x has taken 60 seconds of a slot
-    And queue: requests of y that take 100 ms each and of x wait
+    And queue: requests of y, which take 100 ms each, and one of x wait
     Then queue: x is served after 5 or 6 of y
 
   Scenario Outline: Limit of requests in flight for the slots: <case>
--- a/features/pool_members.feature
+++ b/features/pool_members.feature
@@ -3,7 +3,7 @@
   Each scenario also runs with its safeguard disabled, to show that it detects the fault.
 
   Background:
-    Given back ends: proxy p1 before the shared members
+    Given back ends: proxy p1 with the shared members
 
   Scenario Outline: Connections never exceed the lease, safeguard <safeguard>
     Given pool: p1 leases 2 connections for tenant one and 1 for tenant two
--- a/features/pool_refusals.feature
+++ b/features/pool_refusals.feature
@@ -3,7 +3,7 @@
   for a new primary stay within its limits.
 
   Background:
-    Given back ends: proxy p1 before the shared members
+    Given back ends: proxy p1 with the shared members
 
   Scenario Outline: A refused request did not run and has a retry time: <case>
     Given pool: <situation>
--- a/features/routing_outcomes.feature
+++ b/features/routing_outcomes.feature
@@ -3,7 +3,7 @@
   Scenarios also run with a safeguard disabled, to show that they detect the fault.
 
   Background:
-    Given back ends: proxy p1 before the shared members
+    Given back ends: proxy p1 with the shared members
 
   Scenario Outline: Answers never mix: <fault>, <access>, safeguard <safeguard>
     Given outcomes: p1 has one connection to each member
--- a/features/routing_positions.feature
+++ b/features/routing_positions.feature
@@ -3,7 +3,7 @@
   disabled, to show that they detect the fault.
 
   Background:
-    Given back ends: proxy p1 before the shared members
+    Given back ends: proxy p1 with the shared members
 
   Scenario Outline: A session reads its own write, replicas lag by <lag_ms> ms, safeguard <safeguard>
     Given back ends: the replicas lag by <lag_ms> ms
@@ -20,7 +20,7 @@
   Scenario Outline: A session without a token reads its write with a barrier, safeguard <safeguard>
     Given back ends: the replicas lag by 300 ms
     And back ends: the safeguard "barrier" is <safeguard>
-    When back ends: 3 times a row is written and read back behind a barrier
+    When back ends: 3 times a row is written and read back with a barrier
     Then back ends: the row was <outcome>
 
     Examples:
@@ -49,7 +49,7 @@
     Then back ends: one replica served all of them
 
   Scenario: A member that lost its data serves no read with a token
-    Given back ends: proxy p1 before members of its own
+    Given back ends: proxy p1 with separate members
     When back ends: a row is written and read on replica c alone
-    And back ends: member c loses its data and comes back without its primary
+    And back ends: member c loses its data and restarts, cut off from its primary
     Then back ends: a read with the token is not served by c, and sees the row
--- a/features/steps/leader_search_steps.py
+++ b/features/steps/leader_search_steps.py
@@ -48,8 +48,8 @@
     assert all(least <= 1_000 * pause_s <= most for pause_s in context.last_pauses_s)
 
 
-@when("leader search: a proxy that was refused {count:d} times is told that {leader} leads")
-def step_told(context, count, leader):
+@when("leader search: a proxy that was refused {count:d} times learns that {leader} leads")
+def step_redirected(context, count, leader):
     context.choice = _choice(context, 1)
     for _ in range(count):
         context.choice.next_address()
--- a/features/steps/once_keys_steps.py
+++ b/features/steps/once_keys_steps.py
@@ -34,7 +34,7 @@
     return await _run(self, context)
 
 
-@given("once: proxy p2 for the same members")
+@given("once: proxy p2 with the same members")
 def step_second_proxy(context):
     context.lab.add_proxy("p2")
     context.key = f"key-{time.monotonic_ns()}"
--- a/features/steps/pool_fairness_steps.py
+++ b/features/steps/pool_fairness_steps.py
@@ -87,7 +87,7 @@
     assert found == outcome, found
 
 
-@given("queue: requests of y that take {cost_ms:d} ms each and of x wait")
+@given("queue: requests of y, which take {cost_ms:d} ms each, and one of x wait")
 def step_slow_and_quick(context, cost_ms):
     queue = context.queue
     for tenant in ("y",) * 20 + ("x",):
--- a/features/steps/routing_positions_steps.py
+++ b/features/steps/routing_positions_steps.py
@@ -29,7 +29,7 @@
 }
 
 
-@given("back ends: proxy p1 before the shared members")
+@given("back ends: proxy p1 with the shared members")
 def step_shared(context):
     make_lab(context, shared_members())
     members = context.lab.members
@@ -39,7 +39,7 @@
         members.wait(lambda name=name: members.admin(name, "SELECT count(*) FROM note") == [(0,)])
 
 
-@given("back ends: proxy p1 before members of its own")
+@given("back ends: proxy p1 with separate members")
 def step_own(context):
     members = MemberGroup("127.92.2", connect_delay_ms=0)
     context.add_cleanup(members.stop)
@@ -80,7 +80,7 @@
     _write_and_read(context, times)
 
 
-@when("back ends: {times:d} times a row is written and read back behind a barrier")
+@when("back ends: {times:d} times a row is written and read back with a barrier")
 def step_barrier(context, times):
     _write_and_read(context, times, barrier=True)
 
@@ -140,7 +140,7 @@
     lab.announce()
 
 
-@when("back ends: member c loses its data and comes back without its primary")
+@when("back ends: member c loses its data and restarts, cut off from its primary")
 def step_loses_data(context):
     lab = context.lab
     lab.members.signal("c", signal.SIGKILL)
