--- a/limedyke/core/sessions/batch.py
+++ b/limedyke/core/sessions/batch.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnownStatement:
+class ParsedStatement:
     """A statement that a session parsed.
 
     :param prepared: its form at the back end, for a named one
@@ -64,9 +64,9 @@
 class StatementNames:
     """What a session's names stand for; kept between batches."""
 
-    named: dict[bytes, KnownStatement] = field(default_factory=dict)
-    unnamed: KnownStatement | None = None
-    portals: dict[bytes, KnownStatement] = field(default_factory=dict)
+    named: dict[bytes, ParsedStatement] = field(default_factory=dict)
+    unnamed: ParsedStatement | None = None
+    portals: dict[bytes, ParsedStatement] = field(default_factory=dict)
 
     @property
     def size(self) -> int:
@@ -92,7 +92,7 @@
     prepared: tuple[PreparedStatement, ...] = ()
     effects: set[Effect] = field(default_factory=set)
     leaves_state: bool = False
-    may_open: bool = False
+    may_open_transaction: bool = False
     may_commit: bool = False
     only_queries: bool = False
     is_partial: bool = False
@@ -183,7 +183,7 @@
         access=profile.access,
         data=message.raw,
         leaves_state=profile.leaves_state,
-        may_open=profile.may_open,
+        may_open_transaction=profile.may_open_transaction,
         may_commit=profile.may_commit,
         only_queries=profile.only_queries,
         hints=profile.hints,
--- a/limedyke/proxy/clients/connection.py
+++ b/limedyke/proxy/clients/connection.py
@@ -22,8 +22,8 @@
     CancelOther,
     ClientMessages,
     CloseClient,
-    LeaveAsked,
-    LoginProved,
+    LeaveRequested,
+    LoginSucceeded,
     Moment,
     RunUnit,
     SendToClient,
@@ -130,7 +130,7 @@
                 await self._socket.start_tls(self._services.tls, timeout_s)
             case CancelOther(process_id, secret):
                 await self._cancel_other(CancelKey(process_id, secret))
-            case LoginProved():
+            case LoginSucceeded():
                 return await self._open_session(command)
             case CloseClient(reason):
                 self._record_refused_login(reason)
@@ -151,7 +151,7 @@
         for command in connection.session.cancel():
             await self._services.executor.abandon(command.work)
 
-    async def _open_session(self, login: LoginProved) -> bool:
+    async def _open_session(self, login: LoginSucceeded) -> bool:
         services = self._services
         tenant = services.context.find_tenant(login.tenant)
         if tenant is None or services.draining:
@@ -273,7 +273,7 @@
         # Requests that have arrived by now are served; later ones are refused.
         if not self.session.is_leaving and self._has_unread_input():
             return []
-        return self.session.handle(LeaveAsked(failure, current_moment()))
+        return self.session.handle(LeaveRequested(failure, current_moment()))
 
     def _has_unread_input(self) -> bool:
         """Return whether a request has arrived that the connection's task has not read yet."""
--- a/limedyke/proxy/unit_once.py
+++ b/limedyke/proxy/unit_once.py
@@ -13,7 +13,7 @@
 
 from limedyke.postgres import member_frames as frames
 from limedyke.postgres.member_batch import batch_digest
-from limedyke.proxy.members.connection import BackendConnection, OwnAnswer
+from limedyke.proxy.members.connection import BackendConnection, InternalQueryResult
 from limedyke.result_codes import Failure, ResultCode
 
 TABLE = "limedyke_once"
@@ -92,7 +92,7 @@
         text = frames.quote_literal(tag.decode(errors="replace"))
         return f"UPDATE {TABLE} SET command_tag = {text} WHERE request_key = {self._key}"
 
-    def judge_opening(self, answer: OwnAnswer) -> KeyAnswer:
+    def judge_opening(self, answer: InternalQueryResult) -> KeyAnswer:
         """Return the state of the key from the answer to BEGIN and the insert.
 
         A keyed batch never begins a transaction itself, so the tag of BEGIN shows that this
@@ -102,7 +102,7 @@
             return KeyAnswer(KeyState.FOREIGN, "", "the answer belongs to another request")
         return self.judge_insert(answer)
 
-    def judge_insert(self, answer: OwnAnswer) -> KeyAnswer:
+    def judge_insert(self, answer: InternalQueryResult) -> KeyAnswer:
         """Return the state of the key from the answer to an insert."""
         if answer.sqlstate == UNDEFINED_TABLE_SQLSTATE:
             return KeyAnswer(KeyState.NO_TABLE)
