--- a/limedyke/proxy/control/client.py
+++ b/limedyke/proxy/control/client.py
@@ -332,7 +332,7 @@
 
     def _receivers(self) -> dict[type, Callable[..., Awaitable[None]]]:
         return {
-            ControlTarget: self._state_receiver.take_target,
+            ControlTarget: self._state_receiver.set_target,
             ControlSnapshot: self._handle_snapshot,
             ControlUpdate: self._handle_update,
             QuorumStamp: self._handle_stamp,
--- a/limedyke/proxy/control/state_receiver.py
+++ b/limedyke/proxy/control/state_receiver.py
@@ -58,7 +58,7 @@
         """Reset the target index that an earlier leader sent."""
         self._target_index = 0
 
-    async def take_target(self, target: ControlTarget) -> None:
+    async def set_target(self, target: ControlTarget) -> None:
         """Apply no view that is older than this state of the leader."""
         self._target_index = target.control_index
 
--- a/limedyke/proxy/members/connection.py
+++ b/limedyke/proxy/members/connection.py
@@ -232,12 +232,12 @@
         :raises ConnectionLostError: when the connection breaks
         """
         await self.send(frames.query(sql))
-        answer = await self.read_own()
+        answer = await self.read_internal_result()
         self._reject_unexpected(self._put_back)
         self._put_back = ()
         return answer
 
-    async def read_own(self) -> InternalQueryResult:
+    async def read_internal_result(self) -> InternalQueryResult:
         """Read the answer to one of the proxy's own queries; further answers may follow it.
 
         :raises ConnectionLostError: when the connection breaks
@@ -294,7 +294,7 @@
         :raises ConnectionLostError: when the connection breaks
         """
         await self.send(self.state.evict_statements())
-        await self.read_own()
+        await self.read_internal_result()
         self._reject_unexpected(self._put_back)
         self._put_back = ()
 
--- a/limedyke/proxy/members/gate.py
+++ b/limedyke/proxy/members/gate.py
@@ -23,7 +23,7 @@
 from limedyke.result_codes import Failure, ResultCode
 
 QUEUE_WAIT_LIMIT_S = 3.0
-RECOUNT_INTERVAL_S = 0.02
+LATE_CHECK_INTERVAL_S = 0.02
 """Minimum time between two checks for queued requests that can no longer be served in time."""
 MS_PER_S = 1_000.0
 
@@ -70,8 +70,8 @@
         self.pools: dict[str, BackendPool] = {}
         self._on_trouble = on_trouble
         self._queue = RequestQueue()
-        self._returns = RetrySchedule()
-        self._recount_at = 0.0
+        self._retry_schedule = RetrySchedule()
+        self._next_late_check_at = 0.0
         self._waiters: dict[int, _Waiter] = {}
         self._connect_limit = ConnectLimit()
 
@@ -267,15 +267,15 @@
                 continue
             waiter.grant = self._start_unit(waiter, connection, now)
             await waiter.event.set()
-        await self._recount(now)
+        await self._refuse_late_waiters(now)
         self.state.waiting = len(self._queue)
         await self._demand()
 
-    async def _recount(self, now: float) -> None:
+    async def _refuse_late_waiters(self, now: float) -> None:
         """Refuse queued requests that can no longer be served before their deadline."""
-        if not self._queue or now < self._recount_at:
+        if not self._queue or now < self._next_late_check_at:
             return
-        self._recount_at = now + RECOUNT_INTERVAL_S
+        self._next_late_check_at = now + LATE_CHECK_INTERVAL_S
         for waiter, refused in self._queue.expire(now, self._drain(0)):
             await self._fail([waiter], self._over_budget(waiter.priority, refused))
 
@@ -313,4 +313,6 @@
         """Return when a refused caller should retry, and reserve that time for it."""
         gap_s = self._queue.usual_cost_s / max(1, self.state.in_flight_limit)
         now = time.monotonic()
-        return math.ceil(MS_PER_S * self._returns.retry_after_s(priority, ready_in_s, now, gap_s))
+        return math.ceil(
+            MS_PER_S * self._retry_schedule.retry_after_s(priority, ready_in_s, now, gap_s)
+        )
--- a/limedyke/proxy/unit_once_write.py
+++ b/limedyke/proxy/unit_once_write.py
@@ -74,7 +74,7 @@
         )
 
     async def _read_insert(self, connection: BackendConnection) -> None:
-        self._inserted = await connection.read_own()
+        self._inserted = await connection.read_internal_result()
 
     async def _create_table(self, connection: BackendConnection) -> None:
         """Create the key table, after a batch did not run because the table is missing."""
