--- a/features/steps/http_server_steps.py
+++ b/features/steps/http_server_steps.py
@@ -141,7 +141,7 @@
 async def _call_unseen_and_end(context) -> None:
     """Call without a moment in which the server's tasks run."""
     for caller in context.callers:
-        caller.send_at_once(context.address, CALL)
+        caller.send_blocking(context.address, CALL)
     await _end(context)
 
 
@@ -204,10 +204,10 @@
     """The queue is full when the confirmation comes, so that the kernel drops it."""
     context.callers = [CallCaller() for _ in range(count)]
     *queued, last = context.callers
-    last.begin_to_connect(context.address)
+    last.start_connecting(context.address)
     for caller in queued:
-        caller.send_at_once(context.address, b"")
-    context.kernel.run(last.hear_again)
+        caller.send_blocking(context.address, b"")
+    context.kernel.run(last.stop_packet_loss)
 
 
 @when("http server: it is told to end, and they call, the last one once the first is answered")
--- a/limedyke/controller/call_router.py
+++ b/limedyke/controller/call_router.py
@@ -11,11 +11,11 @@
 
 from limedyke.controller.leading.leader_calls import LeaderCalls, failure_answer
 from limedyke.event_log import EventLog
+from limedyke.in_flight import InFlightCounter
 from limedyke.link_tasks import until_closed
 from limedyke.messages.calls import Call, CallAnswer, ForwardedAnswer, ForwardedCall
 from limedyke.result_codes import Failure, ResultCode
 from limedyke.transport.link import KeyLookup, Link, LinkClosedError, LinkIdentity, dial
-from limedyke.under_way import UnderWay
 
 DIAL_TIMEOUT_S = 0.6
 CALL_TIMEOUT_S = 1.0
@@ -105,7 +105,7 @@
         self._link: _LeaderLink | None = None
         self._dial_lock = curio.Lock()
         self._answer_deadline = float("inf")
-        self._forwarded = UnderWay()
+        self._forwarded = InFlightCounter()
 
     def set_answer_deadline(self, deadline: float) -> None:
         """Answer each call by this time of the monotonic clock; the process ends soon after."""
