--- a/limedyke/proxy/back_ends.py
+++ b/limedyke/proxy/back_ends.py
@@ -31,6 +31,7 @@
 DEADLINE_SWEEP_S = 0.05
 POOL_CHECK_S = 0.5
 LEASE_MARGIN_S = 1.0
+"""All connections are closed this long before the leases expire."""
 DRAIN_POLL_S = 0.02
 NO_MEMBER_CODE = ResultCode.NO_MEMBER.value.number
 
--- a/limedyke/proxy/clients/registry.py
+++ b/limedyke/proxy/clients/registry.py
@@ -15,6 +15,7 @@
     from limedyke.proxy.clients.connection import ClientConnection
 
 PROXY_BITS = 11
+"""Bits of the process id that identify the proxy; with ``CLIENT_BITS`` the id stays positive."""
 CLIENT_BITS = 20
 SECRET_BITS = 32
 RETRY_AFTER_FULL_MS = 1_000
--- a/limedyke/proxy/local_executor.py
+++ b/limedyke/proxy/local_executor.py
@@ -23,6 +23,7 @@
 
 MS_PER_S = 1_000.0
 CANCEL_GRACE_S = 1.0
+"""How long a member may take to react to a cancel request before its connection is shut down."""
 QUEUE_TIMEOUT_NUMBER = ResultCode.QUEUE_TIMEOUT.value.number
 UNKNOWN_NUMBERS = frozenset(
     code.value.number for code in ResultCode if code.outcome is Outcome.UNKNOWN
--- a/limedyke/proxy/members/connection.py
+++ b/limedyke/proxy/members/connection.py
@@ -77,7 +77,7 @@
     One exchange is in flight at a time.  An answer that may not belong to the
     exchange marks the connection ``broken``; it is then closed and never reused.
 
-    :ivar known: the member's last known term and log position
+    :ivar last_position: the member's last known term and log position
     :ivar round_trip_s: round-trip time of the first login message, which running statements
         do not delay; 0 after it has been recorded
     """
@@ -92,7 +92,7 @@
         self.endpoint = endpoint
         self.broken = False
         self.state = BackendState()
-        self.known = LogPosition()
+        self.last_position = LogPosition()
         self.is_replica: bool | None = None
         self.round_trip_s = 0.0
         self.used_at = 0.0
@@ -215,7 +215,7 @@
 
     def record_position(self, answer: PositionAnswer) -> None:
         """Record the position and role that the member reported on this connection."""
-        self.known = answer.place
+        self.last_position = answer.place
         self.is_replica = answer.is_replica
 
     async def _feed(self, reader: AnswerReader) -> None:
--- a/limedyke/proxy/members/monitor.py
+++ b/limedyke/proxy/members/monitor.py
@@ -19,8 +19,10 @@
 from limedyke.result_codes import Failure, ResultCode
 
 STALLED_REQUEST_S = 0.1
+"""A member is probed when its requests have made no progress for this long."""
 CONFIRM_TIMEOUT_S = 2.0
 MAXIMUM_PROBES = 3
+"""Limit of unanswered probes of a member, and of its unanswered leadership queries."""
 PROBE_TIMEOUT_FACTOR = 2.0
 """Probe timeout as a multiple of the silence limit; late answers still show a live member."""
 
--- a/limedyke/proxy/members/pool.py
+++ b/limedyke/proxy/members/pool.py
@@ -26,7 +26,9 @@
 CONNECT_BACKOFF_LIMIT_S = 2.0
 CONCURRENT_CONNECTS = 8
 WARM_CONNECTIONS = 2
+"""Connections that a pool opens without demand, and keeps however long they are idle."""
 IDLE_LIMIT_S = 300.0
+"""Further connections are closed after this idle time."""
 CLEAN_TIMEOUT_S = 2.0
 
 _log = EventLog("pool")
--- a/limedyke/proxy/members/probe.py
+++ b/limedyke/proxy/members/probe.py
@@ -25,6 +25,7 @@
 KEPT_CONNECTION_TIMEOUT_S = 0.5
 """A statement unanswered for this long on a kept connection is also sent on a new one."""
 OVERLOADED_SQLSTATE = "53300"
+"""PostgreSQL's ``too_many_connections``."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +74,7 @@
                 return opened
             connection = opened.ok_value
             assert connection.is_replica is not None
-            answer = PositionAnswer(connection.known, connection.is_replica)
+            answer = PositionAnswer(connection.last_position, connection.is_replica)
             await self._keep(connection)
             return Ok(ProbeAnswer(answer, None))
         return await self._ask_over(connection, timeout_s)
--- a/limedyke/proxy/unit_context.py
+++ b/limedyke/proxy/unit_context.py
@@ -123,7 +123,7 @@
         name = connection.endpoint.name
         view = self.group.view
         now = time.monotonic()
-        view.observed(name, connection.known, connection.is_replica, exchange.asked_at, now)
+        view.observed(name, connection.last_position, connection.is_replica, exchange.asked_at, now)
         state = view.members.get(name)
         if state is not None and self.unit.access is Access.READ:
             state.answered_in(now - exchange.asked_at)
--- a/limedyke/proxy/unit_once_write.py
+++ b/limedyke/proxy/unit_once_write.py
@@ -24,6 +24,7 @@
 from limedyke.result_codes import Failure, ResultCode
 
 ATTEMPTS = 2
+"""The second attempt follows the creation of the key table."""
 
 
 class UnitOnceWrite(UnitWrite):
--- a/limedyke/proxy/unit_read.py
+++ b/limedyke/proxy/unit_read.py
@@ -174,13 +174,13 @@
 
     def _plan(self, decision: RoutingDecision, connection: BackendConnection) -> ExchangePlan:
         accept = self._accepts(decision)
-        known = connection.is_replica is not None and accept(
-            PositionAnswer(connection.known, connection.is_replica)
+        already_accepted = connection.is_replica is not None and accept(
+            PositionAnswer(connection.last_position, connection.is_replica)
         )
         # No query may follow a unit that opens a transaction; see may_set_transaction.
         outside_transaction = self._unit.transaction == 0
         return ExchangePlan(
-            None if known else accept, check_after=outside_transaction, is_write=False
+            None if already_accepted else accept, check_after=outside_transaction, is_write=False
         )
 
     def _accepts(self, decision: RoutingDecision) -> Accept:
@@ -223,7 +223,7 @@
             return self._context.answer_end(
                 decision.member,
                 exchange.reader.status,
-                exchange.connection.known,
+                exchange.connection.last_position,
                 by_replica=not decision.is_primary,
             )
         self._attempts.lost += 1
--- a/limedyke/proxy/unit_write.py
+++ b/limedyke/proxy/unit_write.py
@@ -182,7 +182,7 @@
 
         :raises ConnectionLostError: when it breaks; no part of the unit has been sent
         """
-        if connection.is_replica or connection.known.term != term:
+        if connection.is_replica or connection.last_position.term != term:
             answer = await connection.ask_position()
             if answer.is_replica or answer.place.term != term:
                 return Failure(ResultCode.NO_PRIMARY, "the member is not primary of this term")
