--- a/features/support/http_callers.py
+++ b/features/support/http_callers.py
@@ -24,7 +24,7 @@
 """State of a connection in ``TCP_INFO``."""
 
 
-class CallCaller:
+class HttpTestClient:
     """One connection to the server."""
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
             raw.connect(split_address(address))
             raw.sendall(data)
 
-    def send_rest_at_once(self, data: bytes) -> None:
+    def send_rest_blocking(self, data: bytes) -> None:
         """Send without giving other tasks a turn."""
         with self._socket.blocking() as raw:
             raw.sendall(data)
@@ -79,7 +79,7 @@
             self.answer = b""
         return self.answer
 
-    def receive_at_once(self) -> None:
+    def receive_available(self) -> None:
         """Keep what has come so far, without giving other tasks a turn."""
         try:
             with self._socket.blocking() as raw:
