--- a/features/steps/leader_losses_steps.py
+++ b/features/steps/leader_losses_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what is said of a lost leadership, and of the calls of a leader."""
+"""Steps for the reports on lost leaderships, and for the call counts of a leader."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 from behave import given, then, when
 from prometheus_client import CollectorRegistry
 
-from features.support.agreement_script_tools import accept
+from features.support.agreement_script_tools import propose_accepted
 from features.support.agreement_world import ScriptedCluster
-from limedyke.controller.leading.call_counts import KINDS, CallCounts
+from limedyke.controller.leading.call_counts import CALL_KINDS, CallCounts
 from limedyke.controller.metrics import ControllerMetrics
 from limedyke.messages.calls import CallAnswer
 from limedyke.result_codes import ResultCode
 
 CALL_S = 0.02
-KIND_OF_NAME = {name: call for call, name in KINDS.items()}
+KIND_OF_NAME = {name: call for call, name in CALL_KINDS.items()}
 
 
 @given("leader losses: voters a b c of which a leads")
 def step_cluster(context):
     context.cluster = ScriptedCluster()
-    context.leader = context.cluster.lead("a")
+    context.leader = context.cluster.make_leader("a")
 
 
 @given("leader losses: {count:d} changes are accepted")
 def step_accepted(context, count):
     for _ in range(count):
-        accept(context.cluster, context.leader)
+        propose_accepted(context.cluster, context.leader)
 
 
 @when("leader losses: a is cut off from the others, and proposes {count:d} more")
@@ -46,26 +46,26 @@
 
 
 @then(
-    "leader losses: it says that b and c were silent for {least:g} to {most:g} s, "
+    "leader losses: it reports that b and c were silent for {least:g} to {most:g} s, "
     "and {behind:d} entries behind"
 )
 def step_silent(context, least, most, behind):
     rounds = context.leader.step_downs[-1].rounds
-    assert set(rounds.heard_s) == {"b", "c"}, rounds
-    assert all(least <= seconds <= most for seconds in rounds.heard_s.values()), rounds
+    assert set(rounds.silent_s) == {"b", "c"}, rounds
+    assert all(least <= seconds <= most for seconds in rounds.silent_s.values()), rounds
     assert set(rounds.behind.values()) == {behind}, rounds
     assert least <= rounds.confirmed_s <= most, rounds
     assert rounds.unsynced == 0, rounds
 
 
-@then("leader losses: it says that rounds were sent after the last one that was confirmed")
+@then("leader losses: it reports that rounds were sent after the last one that was confirmed")
 def step_rounds(context):
     rounds = context.leader.step_downs[-1].rounds
     assert rounds.sent > rounds.confirmed > 0, rounds
     assert rounds.led_s > rounds.confirmed_s, rounds
 
 
-@given("leader losses: the counts of a leader")
+@given("leader losses: the call counts of a leader")
 def step_counts(context):
     context.registry = CollectorRegistry()
     context.now = 0.0
--- a/features/steps/member_choice_steps.py
+++ b/features/steps/member_choice_steps.py
@@ -1,4 +1,4 @@
-"""Steps that replay reads on members with the choices and limits of all home proxies."""
+"""Steps that replay reads with the choices and limits of all home proxies."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 NETWORK_S = 0.001
 SERVICE_S = 0.012
 PROXIES = 7
-PATIENCE_S = 0.1
+READ_TIMEOUT_S = 0.1
 TARGET_S = 0.5
 READ = "read"
 NOWHERE = LogPosition()
@@ -62,7 +62,7 @@
 
 @dataclass
 class _Read:
-    came_at: float
+    arrived_at: float
     sent_at: float = 0.0
     is_over: bool = False
 
@@ -85,7 +85,7 @@
 
     def run(self, rate, seconds):
         for number in range(int(rate * seconds)):
-            self._at(number / rate, self._come, number % PROXIES)
+            self._at(number / rate, self._add_read, number % PROXIES)
         while self._events:
             self.now, _, action, details = heapq.heappop(self._events)
             action(*details)
@@ -93,7 +93,7 @@
     def _at(self, moment, action, *details):
         heapq.heappush(self._events, (moment, next(self._numbers), action, details))
 
-    def _come(self, proxy):
+    def _add_read(self, proxy):
         self.waiting[proxy].append(_Read(self.now))
         self._send(proxy)
 
@@ -119,8 +119,8 @@
             name = chosen.record.identity
             chosen.sent(self.now)
             self.sent.append((self.now, name))
-            patience_s = max(PATIENCE_S, chosen.answer.longest_s)
-            self._at(self.now + patience_s, self._give_up, proxy, chosen, read)
+            timeout_s = max(READ_TIMEOUT_S, chosen.answer.longest_s)
+            self._at(self.now + timeout_s, self._time_out, proxy, chosen, read)
             self._at(self.now + NETWORK_S, self._arrive, proxy, chosen, read)
 
     def _arrive(self, proxy, observed, read):
@@ -155,7 +155,7 @@
         observed.served(taken_s, self.now)
         under_way = observed.under_way(self.now) + 1
         observed.concurrency.answered(READ, taken_s, under_way, self.now)
-        self.served.append(self.now - read.came_at)
+        self.served.append(self.now - read.arrived_at)
         self._send(proxy)
 
     def _failed(self, proxy, observed, read, breaks):
@@ -170,7 +170,7 @@
         self.lost.append(self.now)
         self._send(proxy)
 
-    def _give_up(self, proxy, observed, read):
+    def _time_out(self, proxy, observed, read):
         if read.is_over:
             return
         is_answered = observed.contact_at >= read.sent_at
@@ -200,7 +200,7 @@
 
 
 @given("choice: nothing is wrong")
-def step_well(context):
+def step_healthy(context):
     return
 
 
@@ -242,7 +242,7 @@
     assert lost <= percent, lost
 
 
-@then("choice: of the last second at most {percent:d} % went to c")
+@then("choice: in the last second at most {percent:d} % went to c")
 def step_share(context, percent):
     lately = [name for at, name in context.load.sent if at >= context.seconds - 1]
     share = 100.0 * lately.count("c") / len(lately)
@@ -261,7 +261,7 @@
     context.quality = AnswerQuality()
 
 
-@when("choice: it fails {count:d} times and then is left alone, {times:d} times over")
+@when("choice: {times:d} times it fails {count:d} reads and then gets none")
 def step_fails_over(context, count, times):
     now = NOW
     context.halves = []
@@ -277,7 +277,7 @@
         now += 6 * passed
 
 
-@then("choice: half of the distrust is gone after {times} ms")
+@then("choice: the failing share halves within {times} ms")
 def step_halves(context, times):
     assert context.halves == [int(time) for time in times.split(", ")], context.halves
 
@@ -358,7 +358,9 @@
     }
 
 
-@then("choice: of {count:d} proxies that see both members alike at least {least:d} choose each")
+@then(
+    "choice: of {count:d} proxies with equal views of both members at least {least:d} choose each"
+)
 def step_spread(context, count, least):
     generators = [random.Random(seed) for seed in range(count)]
     chosen = [_chosen(context, generator) for generator in generators]
@@ -366,7 +368,7 @@
 
 
 def _lines(context, looks):
-    """Return event and cause of each line that looks at the judgement of member a give."""
+    """Store event and cause of each log line about member a."""
     lines = []
     with mock.patch.object(member_judgement, "EVENTS") as events:
         for look in looks:
@@ -376,7 +378,7 @@
     context.lines = lines
 
 
-@when("choice: a fails {count:d} reads, and the judgement is looked at each 100 ms for 10 s")
+@when("choice: a fails {count:d} reads, and its state is logged every 100 ms for 10 s")
 def step_judgement(context, count):
     observed, judgement = context.observed_members["a"], MemberJudgement()
     for _ in range(count):
@@ -387,7 +389,10 @@
     )
 
 
-@when("choice: a turns {count:d} reads away one after the other, and serves {served:d} afterwards")
+@when(
+    "choice: a refuses {count:d} reads one after the other for lack of room, and serves "
+    "{served:d} afterwards"
+)
 def step_held_back(context, count, served):
     observed, judgement = context.observed_members["a"], MemberJudgement()
 
@@ -405,7 +410,7 @@
     _lines(context, [turn_away, serve])
 
 
-@then('choice: the lines are "{first}", "{second}"')
+@then('choice: the log lines are "{first}", "{second}"')
 def step_lines(context, first, second):
     assert context.lines == [first, second], context.lines
 
--- a/features/steps/statement_path_steps.py
+++ b/features/steps/statement_path_steps.py
@@ -19,7 +19,7 @@
 
 
 def begin(context, path: StatementPath) -> None:
-    """Make the kernel of the scenario, ended with it."""
+    """Create the scenario's kernel, which is shut down at the end of the scenario."""
     context.kernel = curio.Kernel()
     context.path = path
 
@@ -38,19 +38,19 @@
     context.other = None
 
 
-@given("statement path: a proxy that no controller has told anything")
-def step_blank(context):
+@given("statement path: a proxy without a control view")
+def step_without_view(context):
     begin(context, StatementPath(Consistency.SESSION))
 
 
-@given("statement path: {name:w} answered within {milliseconds:d} ms lately")
+@given("statement path: {name:w} recently answered within {milliseconds:d} ms")
 def step_answered(context, name, milliseconds):
     context.path.groups.groups[GROUP].pools[name].observed.answer.learn(milliseconds / 1_000)
 
 
 @given(
-    "statement path: statements may take {limit:d} ms, aim at {target:d} ms and may be tried "
-    "{tries:d} times"
+    "statement path: statements have a timeout of {limit:d} ms, a target of "
+    "{target:d} ms and {tries:d} attempts"
 )
 def step_times(context, limit, target, tries):
     context.path.statement_timeout_ms = limit
@@ -59,7 +59,7 @@
     run(context, context.path.tell_view)
 
 
-@step("statement path: all answered within {milliseconds:d} ms lately")
+@step("statement path: all members recently answered within {milliseconds:d} ms")
 def step_all_answered(context, milliseconds):
     for pool in context.path.groups.groups[GROUP].pools.values():
         pool.observed.answer = TimeEstimate(milliseconds / 1_000, milliseconds / 2_000, True)
@@ -70,8 +70,8 @@
     _ask_at_once(context, count, "READ x")
 
 
-@given("statement path: transactions may rest for {rest:d} ms")
-def step_rest(context, rest):
+@given("statement path: transactions may be idle for {rest:d} ms")
+def step_idle_limit(context, rest):
     context.path.idle_in_transaction_ms = rest
     run(context, context.path.tell_view)
 
@@ -97,13 +97,13 @@
     run(context, curio.sleep, milliseconds / 1_000)
 
 
-@when("statement path: the process will stand still for {still:d} ms, in {after:d} ms")
-def step_stand_still(context, still, after):
-    async def stand_still():
+@when("statement path: the process will pause for {still:d} ms, in {after:d} ms")
+def step_pause(context, still, after):
+    async def pause():
         await curio.sleep(after / 1_000)
         time.sleep(still / 1_000)
 
-    run(context, _spawn, stand_still)
+    run(context, _spawn, pause)
 
 
 async def _spawn(function):
@@ -128,16 +128,16 @@
     outage = context.path.groups.groups[GROUP].outage
     now = time.monotonic()
     for seconds in (5.0, 4.2, 3.4, 2.6, 1.8, 1.0, 0.2):
-        outage.noticed(now - seconds)
+        outage.note_no_primary(now - seconds)
 
 
-@given("statement path: changes of primary took {milliseconds:d} ms lately")
+@given("statement path: recent changes of primary took {milliseconds:d} ms")
 def step_outage_times(context, milliseconds):
     for _ in range(10):
         context.path.groups._outage_times.learn(milliseconds / 1_000)
 
 
-@given("statement path: statements may take {milliseconds:d} ms")
+@given("statement path: statements have a timeout of {milliseconds:d} ms")
 def step_statement_timeout(context, milliseconds):
     context.path.statement_timeout_ms = milliseconds
     run(context, context.path.tell_view)
@@ -158,15 +158,15 @@
     assert context.took_ms < limit, context.took_ms
 
 
-@then("statement path: it is told to come back in {least:d} to {most:d} ms")
-def step_come_back(context, least, most):
+@then("statement path: it is told to retry in {least:d} to {most:d} ms")
+def step_retry_after(context, least, most):
     found = re.search(r"try again in (\d+) ms", " ".join(context.client.last_answer))
     assert found is not None, context.client.last_answer
     assert least <= int(found[1]) <= most, context.client.last_answer
 
 
 def _ask_at_once(context, count, text):
-    """Have so many clients ask the same at once; keep what they are told."""
+    """Send the same statement from several clients at once; record the answers."""
 
     async def ask_all():
         clients = [(await context.path.connect())[0] for _ in range(count)]
@@ -188,7 +188,7 @@
     assert set(context.all_told) == {told}, context.all_told
 
 
-@when("statement path: the client leaves")
+@when("statement path: the client disconnects")
 def step_leaves(context):
     run(context, context.client.close)
 
--- a/features/support/burst_pool.py
+++ b/features/support/burst_pool.py
@@ -1,4 +1,4 @@
-"""A pool of stand-in connections that open and answer in given times, and its load."""
+"""A pool of stand-in connections with given opening and answer times, and its load."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 
 class StandInConnection:
-    """A connection to a member that does what it is told."""
+    """A stand-in for a connection to a member."""
 
-    def __init__(self, tenant: str, opened_in_s: float) -> None:
+    def __init__(self, tenant: str, open_s: float) -> None:
         self.tenant = tenant
         self.values: dict[str, str] = {}
         self.status = TransactionStatus.IDLE
         self.is_closed = False
         self.is_reserved = False
-        self.opened_in_s = opened_in_s
-        self.connected_in_s = 0.0
-        self.lent_at = self.idle_since = self.heard_at = time.monotonic()
+        self.open_s = open_s
+        self.connect_s = 0.0
+        self.checked_out_at = self.idle_since = self.last_received_at = time.monotonic()
 
     def is_alive(self) -> bool:
         """Tell whether it is open."""
@@ -45,21 +45,22 @@
 
 @dataclass
 class Ended:
-    """What became of a request.
+    """The outcome of a request.
 
-    :param came_at: when it came, and when it was served or told otherwise
+    :param arrived_at: when it arrived
+    :param at: when it was served or refused
     """
 
     priority: int
-    came_at: float
+    arrived_at: float
     at: float
     was_served: bool
 
 
 class BurstPool:
-    """A pool before a member that serves each request for the same time.
+    """A pool of a member whose answers all take the same time.
 
-    :ivar is_lost: it takes no connection any more, and breaks those it has
+    :ivar is_lost: the member accepts no connections and breaks the open ones
     """
 
     def __init__(self, lease: int, opening_s: float, answer_s: float) -> None:
@@ -81,22 +82,22 @@
         return Ok(StandInConnection(tenant, self.opening_s))
 
     async def ask(self, tenant: str, priority: int, limit_s: float) -> None:
-        """Have one request served, or told that it isn't."""
-        came_at = time.monotonic()
-        start_by = came_at + limit_s
+        """Send one request; record whether it was served or refused."""
+        arrived_at = time.monotonic()
+        start_by = arrived_at + limit_s
         try:
             connection = await self.pool.getconn(
-                tenant, {}, priority, limit_s, target_at=came_at + limit_s, start_by=start_by
+                tenant, {}, priority, limit_s, target_at=arrived_at + limit_s, start_by=start_by
             )
         except NOT_SERVED:
-            self.ended.append(Ended(priority, came_at, time.monotonic(), was_served=False))
+            self.ended.append(Ended(priority, arrived_at, time.monotonic(), was_served=False))
             return
         await self._answer(connection)
-        self.ended.append(Ended(priority, came_at, time.monotonic(), was_served=True))
+        self.ended.append(Ended(priority, arrived_at, time.monotonic(), was_served=True))
 
     async def _answer(self, connection: StandInConnection) -> None:
         sent_at = time.monotonic()
-        self.pool.sent_on(connection)
+        self.pool.release_reservation(connection)
         self.pool.observed.sent(sent_at)
         until = time.monotonic() + self.answer_s
         while time.monotonic() < until or self.is_silent:
@@ -110,12 +111,12 @@
         await self.pool.putconn(connection)
 
     async def stop(self) -> None:
-        """Take nothing more."""
+        """Close the pool."""
         await self.pool.drain()
 
     async def watch(self) -> None:
-        """Look after the queue, as the proxy does of all pools."""
+        """Check the queue periodically, as the proxy does for all pools."""
         while True:
             await curio.sleep(0.1)
-            await self.pool.look_after_waiting(time.monotonic())
-            await self.pool.room_came()
+            await self.pool.check_waiting(time.monotonic())
+            await self.pool.serve_waiting()
--- a/limedyke/controller/leading/leader_service.py
+++ b/limedyke/controller/leading/leader_service.py
@@ -1,4 +1,4 @@
-"""What a controller does only while it leads: proxies, decisions and operators' changes."""
+"""The leader's services: proxy links, control decisions and state updates."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 from limedyke.messages.control import ControlUpdate, PromoteOrder, ProxyHello, QuorumStamp
 
 DECISION_INTERVAL_S = 0.05
-EVENTS_AT_ONCE = 64
-"""Between so many events the agreement and the links get their turn."""
-NEWS_INTERVAL_S = 0.02
-NEWS_PAUSE_PER_PROXY_S = 0.0002
-"""After news went to n proxies the next waits n times as long, so that sending stays a share
-of the processor time however many changes come; a single change goes at once."""
+EVENT_BATCH_SIZE = 64
+"""Events handled at a time; between batches the agreement and the links get a turn."""
+UPDATE_INTERVAL_S = 0.02
+UPDATE_PAUSE_PER_PROXY_S = 0.0002
+"""Pause after an update was sent, per proxy. It bounds the share of processor time that sending
+takes under many changes; a single change is still sent at once."""
 EVENTS = EventLog("leader")
 
 
@@ -48,11 +48,12 @@
     """Runs the leader's decisions on the events of the proxies' links.
 
     :param replica: the replicated state, current because this controller leads
-    :param platform_list_url: where the platform's list is, or empty
+    :param platform_list_url: URL of the platform's list of machines, or empty
     :param source_ip: local address to connect to the platform from, or empty
-    :param metrics: counts what is heard and decided; None keeps it from view
-    :param authority: promotes members that announce themselves; None where there is none
-    :param last_lead_began_at: when the leader before began to lead, as far as this controller knows
+    :param metrics: counts events and decisions; None for metrics that are not exported
+    :param authority: promotes members that announce themselves; None if there is none
+    :param last_lead_began_at: when the previous leader began to lead, as far as this controller
+        knows
 
     :ivar started_at: when this controller began to lead
     """
@@ -71,15 +72,15 @@
         self._replica = replica
         self._authority = authority
         self.started_at = boot_seconds()
-        self._meter = LeaderMetrics(metrics or ControllerMetrics(CollectorRegistry()))
+        self._metrics = LeaderMetrics(metrics or ControllerMetrics(CollectorRegistry()))
         self._timing = timing
         self._events: Mailbox[LeaderEvent] = Mailbox()
-        self.news = UpdateCache(replica.state, replica.updates)
-        self._news_waiting = curio.Event()
+        self.update_cache = UpdateCache(replica.state, replica.updates)
+        self._update_pending = curio.Event()
         self._platform: PlatformListReader | None = None
         if platform_list_url:
             self._platform = PlatformListReader(platform_list_url, source_ip, self._events.put)
-        self.sessions = ProxySessions(self._events.put, self.news.since, self._admits)
+        self.sessions = ProxySessions(self._events.put, self.update_cache.since, self._admits)
         self.decisions = LeaderDecisions(
             replica.state,
             timing,
@@ -94,12 +95,12 @@
         """Run until cancelled."""
         async with curio.TaskGroup(wait=any) as tasks:
             await tasks.spawn(self._run_decisions)
-            await tasks.spawn(self._spread_news)
+            await tasks.spawn(self._send_updates)
             if self._platform is not None:
                 await tasks.spawn(self._platform.run)
 
     async def state_changed(self, update: ControlUpdate, changed_homes: frozenset[str]) -> None:
-        """Take a change out of the log, for the decisions and the proxies."""
+        """Pass an applied change to the decisions and to the proxies."""
         for primary in update.primaries:
             EVENTS.info(
                 "primary-recorded",
@@ -108,9 +109,9 @@
                 primary=primary.primary or "none",
                 switching_over=primary.switching_over,
             )
-        self._meter.state_changed(update, boot_seconds())
+        self._metrics.state_changed(update, boot_seconds())
         await self._events.put(UpdateApplied(update, changed_homes))
-        await self._news_waiting.set()
+        await self._update_pending.set()
 
     async def _run_decisions(self) -> None:
         next_time = boot_seconds()
@@ -120,16 +121,16 @@
             if now >= next_time:
                 events.append(TimePassed())
                 next_time = now + DECISION_INTERVAL_S
-            for start in range(0, len(events), EVENTS_AT_ONCE):
-                for event in events[start : start + EVENTS_AT_ONCE]:
-                    self._meter.heard(event)
+            for start in range(0, len(events), EVENT_BATCH_SIZE):
+                for event in events[start : start + EVENT_BATCH_SIZE]:
+                    self._metrics.heard(event)
                     self.decisions.handle(event, now)
                 for command in self.decisions.take_commands():
                     await self._execute(command)
                 await curio.sleep(0)
 
     async def _execute(self, command: LeaderCommand) -> None:
-        self._meter.decided(command)
+        self._metrics.decided(command)
         match command:
             case AnswerHeartbeat():
                 await self._answer_heartbeat(command)
@@ -160,7 +161,7 @@
         await self._events.put(AuthorityAnswered(command.group, command.fence, outcome))
 
     async def _answer_heartbeat(self, command: AnswerHeartbeat) -> None:
-        """Prolong a proxy's leases, only under the leader lease."""
+        """Renew a proxy's leases, only under the leader lease."""
         if not self._replica.leads:
             return
         stamp = self._replica.agreement.quorum_stamp
@@ -174,21 +175,21 @@
         )
         await self.sessions.send(command.proxy, answer)
 
-    async def _spread_news(self) -> None:
-        """Send changes to the proxies; those that come close together go as one."""
+    async def _send_updates(self) -> None:
+        """Send changes to the proxies; changes close together are sent as one update."""
         while True:
-            await self._news_waiting.wait()
-            await curio.sleep(NEWS_INTERVAL_S)
-            self._news_waiting.clear()
-            await self.sessions.tell_news()
-            await curio.sleep(len(self.sessions) * NEWS_PAUSE_PER_PROXY_S)
+            await self._update_pending.wait()
+            await curio.sleep(UPDATE_INTERVAL_S)
+            self._update_pending.clear()
+            await self.sessions.notify_update()
+            await curio.sleep(len(self.sessions) * UPDATE_PAUSE_PER_PROXY_S)
 
     def _admits(self, hello: ProxyHello) -> bool:
         return self.decisions.admits(hello)
 
 
 def _log_order(command: SendToProxy) -> None:
-    """Note an order to promote; other messages are not worth a line."""
+    """Log an order to promote; other messages are not logged."""
     order = command.message
     if isinstance(order, PromoteOrder):
         EVENTS.info(
--- a/limedyke/controller/leading/proxy_sessions.py
+++ b/limedyke/controller/leading/proxy_sessions.py
@@ -47,13 +47,13 @@
 
 
 class ProxyLink:
-    """One proxy's link: messages to it wait here, and so does the news of the state."""
+    """The link of one proxy, with its outgoing messages and pending state updates."""
 
     def __init__(self, link: Link, hello: ProxyHello) -> None:
         self.link = link
         self.name = hello.name
         self.sent_index = hello.control_index
-        self.news = True
+        self.has_update = True
         self._revision = hello.revision
         self._answered = False
         self._outgoing: deque[object] = deque()
@@ -63,42 +63,42 @@
     async def send(self, message: object) -> None:
         """Queue a message; a proxy that does not read is disconnected."""
         if len(self._outgoing) >= OUTGOING_LIMIT:
-            await self.close("it does not read")
+            await self.close("the proxy does not read")
             return
         self._outgoing.append(message)
         await self._wakeup.set()
 
-    async def tell_news(self) -> None:
-        """Have the newest state sent."""
-        self.news = True
+    async def notify_update(self) -> None:
+        """Schedule sending the newest state."""
+        self.has_update = True
         await self._wakeup.set()
 
     async def close(self, reason: str) -> None:
-        """End the link once what is queued has been sent."""
+        """Close the link once the queued messages have been sent."""
         self._closing = self._closing or reason
         await self._wakeup.set()
 
-    async def write_all(self, news: Callable[[int], EncodedUpdate | None]) -> None:
-        """Send what is queued until the link is closed.
+    async def write_all(self, next_update: Callable[[int], EncodedUpdate | None]) -> None:
+        """Send queued messages until the link is closed.
 
-        :param news: returns the next message for the index that the proxy has; None when there
-            is nothing newer
+        :param next_update: returns the next message for the control index that the proxy has; None
+            if there is nothing newer
         """
         while True:
             await self._wakeup.wait()
             self._wakeup.clear()
-            if self.news:
-                self.news = False
-                await self._send_news(news)
+            if self.has_update:
+                self.has_update = False
+                await self._send_updates(next_update)
             while self._outgoing:
                 await self.link.send(self._outgoing.popleft())
             if self._closing:
                 EVENTS.info("proxy-link-closed", proxy=self.name, reason=self._closing)
                 raise LinkClosedError(self._closing)
 
-    async def _send_news(self, news: Callable[[int], EncodedUpdate | None]) -> None:
-        """Send what is new; the first time also that there is nothing new."""
-        while (found := news(self.sent_index)) is not None:
+    async def _send_updates(self, next_update: Callable[[int], EncodedUpdate | None]) -> None:
+        """Send state updates; the first time, confirm even if there is nothing new."""
+        while (found := next_update(self.sent_index)) is not None:
             is_newer = found.control_index > self.sent_index
             self.sent_index = found.control_index
             self._answered = True
@@ -119,19 +119,19 @@
 class ProxySessions:
     """All links of proxies; exists only while this controller serves as the leader.
 
-    :param post: takes the events for the leader's decisions
-    :param news: see ``ProxyLink.write_all``
+    :param post: receives the events for the leader's decisions
+    :param next_update: see ``ProxyLink.write_all``
     :param admits: tells whether a proxy may connect
     """
 
     def __init__(
         self,
         post: Callable[[LeaderEvent], Awaitable[None]],
-        news: Callable[[int], EncodedUpdate | None],
+        next_update: Callable[[int], EncodedUpdate | None],
         admits: Callable[[ProxyHello], bool],
     ) -> None:
         self._post = post
-        self._news = news
+        self._next_update = next_update
         self._admits = admits
         self._links: dict[str, ProxyLink] = {}
 
@@ -139,69 +139,69 @@
         return len(self._links)
 
     def traffic(self) -> tuple[int, int]:
-        """Return the bytes received and sent on the present links."""
-        counters = [entry.link.counters for entry in self._links.values()]
+        """Return the bytes received and sent on the current links."""
+        counters = [proxy_link.link.counters for proxy_link in self._links.values()]
         received = sum(counter.bytes_in for counter in counters)
         return received, sum(counter.bytes_out for counter in counters)
 
     async def send(self, proxy: str, message: object) -> None:
-        """Queue a message for a proxy, if it is linked."""
-        entry = self._links.get(proxy)
-        if entry is not None:
-            await entry.send(message)
+        """Queue a message for a proxy, if it is connected."""
+        proxy_link = self._links.get(proxy)
+        if proxy_link is not None:
+            await proxy_link.send(message)
 
-    async def tell_news(self) -> None:
-        """Have the newest state sent to all proxies."""
-        for entry in list(self._links.values()):
-            await entry.tell_news()
+    async def notify_update(self) -> None:
+        """Schedule sending the newest state to all proxies."""
+        for proxy_link in list(self._links.values()):
+            await proxy_link.notify_update()
 
     async def disconnect(self, proxy: str, reason: str) -> None:
         """Close a proxy's link."""
-        entry = self._links.get(proxy)
-        if entry is not None:
-            await entry.close(reason)
+        proxy_link = self._links.get(proxy)
+        if proxy_link is not None:
+            await proxy_link.close(reason)
 
     async def close_all(self, leader: str) -> None:
-        """Tell all proxies to go to another controller."""
-        for entry in list(self._links.values()):
-            await entry.send(NotLeader(leader))
-            await entry.close("this controller leads no longer")
+        """Redirect all proxies to another controller and close their links."""
+        for proxy_link in list(self._links.values()):
+            await proxy_link.send(NotLeader(leader))
+            await proxy_link.close("this controller no longer leads")
 
     async def serve(self, link: Link, hello: ProxyHello) -> None:
         """Serve one proxy until its link ends."""
         if hello.name != link.peer_name:
-            raise LinkClosedError(f"{link.peer_name} says it is {hello.name}")
+            raise LinkClosedError(f"the link of {link.peer_name} carries the hello of {hello.name}")
         if not self._admits(hello):
             await self._refuse(link, hello)
             return
-        older = self._links.get(hello.name)
-        if older is not None:
-            await older.close("the proxy connected anew")
-        entry = self._links[hello.name] = ProxyLink(link, hello)
+        previous = self._links.get(hello.name)
+        if previous is not None:
+            await previous.close("the proxy reconnected")
+        proxy_link = self._links[hello.name] = ProxyLink(link, hello)
         await self._post(ProxyConnected(hello))
-        await entry.tell_news()
+        await proxy_link.notify_update()
         try:
             async with curio.TaskGroup(wait=any) as tasks:
-                await tasks.spawn(serve_until_closed, self._read_all, entry)
-                await tasks.spawn(serve_until_closed, entry.write_all, self._news)
+                await tasks.spawn(serve_until_closed, self._read_all, proxy_link)
+                await tasks.spawn(serve_until_closed, proxy_link.write_all, self._next_update)
         finally:
-            if self._links.get(hello.name) is entry:
+            if self._links.get(hello.name) is proxy_link:
                 del self._links[hello.name]
                 await self._post(ProxyDisconnected(hello.name))
 
     async def _refuse(self, link: Link, hello: ProxyHello) -> None:
-        """Turn a proxy away whose name another process may still use; the present link stays."""
+        """Refuse a proxy whose name another process may still use; the current link stays."""
         EVENTS.warning("proxy-refused", proxy=hello.name, reason=EARLIER_PROCESS)
         number = ResultCode.PROXY_NAME_TAKEN.value.number
         await link.send(ProxyRefused(number, EARLIER_PROCESS, REFUSED_PAUSE_MS))
 
-    async def _read_all(self, entry: ProxyLink) -> None:
+    async def _read_all(self, proxy_link: ProxyLink) -> None:
         first = True
         while True:
-            message = await entry.link.receive()
-            if self._links.get(entry.name) is not entry:
-                raise LinkClosedError("the proxy connected anew")
-            event = _event_of(entry.name, message, first)
+            message = await proxy_link.link.receive()
+            if self._links.get(proxy_link.name) is not proxy_link:
+                raise LinkClosedError("the proxy reconnected")
+            event = _event_of(proxy_link.name, message, first)
             if isinstance(message, ProxyHeartbeat):
                 first = False
             await self._post(event)
--- a/limedyke/core/agreement/voter_policy.py
+++ b/limedyke/core/agreement/voter_policy.py
@@ -1,8 +1,9 @@
-"""Which change of the members the leader should make next, without an operator; sans-IO.
+"""Chooses the leader's next automatic membership change; sans-IO.
 
-Controllers that are no members announce themselves.  The leader makes them learners, and a
-caught-up learner a voter: in place of the voter of its name (whose disk is lost), while there
-are fewer voters than wanted, or in place of a voter that has been silent for long.
+Controllers that are not members announce themselves, and the leader adds them as learners. A
+caught-up learner is promoted to voter in three cases: it replaces the voter of its own name, whose
+disk is lost; there are fewer voters than wanted; or it replaces a voter that has been silent too
+long.
 """
 
 from __future__ import annotations
@@ -19,37 +20,42 @@
 from limedyke.messages.agreement import ControllerIdentity, MemberConfiguration
 
 STANDBYS_WANTED = 3
-"""Learners kept beside the wanted voters, ready to replace one that is lost."""
+"""Learners kept in addition to the wanted voters, ready to replace a lost one."""
 ANNOUNCEMENTS_MISSED = 3
 FORGET_LEARNER_FACTOR = 4
-"""A learner silent for so many times the limit of voters is dropped."""
+"""A learner is removed after this multiple of the voters' silence limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class WaitingController:
-    """A controller that is no member and announced itself.
+    """A controller that is not a member and has announced itself.
 
-    :param heard_at: seconds of the leader's clock
-    :param interval_s: after which it was asked to announce itself again
+    :param announced_at: time of its last announcement, in seconds of the leader's clock
+    :param interval_s: the announcement interval that it was asked to keep
     """
 
     identity: ControllerIdentity
     address: str
-    heard_at: float
+    announced_at: float
     interval_s: float = 0.0
 
     def is_present(self, now: float, least_age_s: float) -> bool:
-        """Tell whether it was heard within the last three announcements, or within an age."""
-        return now - self.heard_at <= max(least_age_s, ANNOUNCEMENTS_MISSED * self.interval_s)
+        """Tell whether it has announced itself recently.
+
+        :param least_age_s: the lower bound for the accepted age; it grows to three announcement
+            intervals
+        """
+        return now - self.announced_at <= max(least_age_s, ANNOUNCEMENTS_MISSED * self.interval_s)
 
 
 @dataclass(frozen=True, slots=True)
 class VoterPolicy:
     """The wanted members.
 
-    :param voters_wanted: how many voters there should be
+    :param voters_wanted: the target number of voters
     :param silence_limit_s: a voter silent for longer is replaced when a learner is ready
-    :param announcement_age_s: an announcement older than this counts no more
+    :param announcement_age_s: announcements older than this are ignored, unless their interval is
+        long
     """
 
     voters_wanted: int
@@ -60,29 +66,30 @@
         self,
         configuration: MemberConfiguration,
         caught_up: Collection[ControllerIdentity],
-        heard_at: Mapping[ControllerIdentity, float],
+        last_response_at: Mapping[ControllerIdentity, float],
         waiting: Collection[WaitingController],
         now: float,
     ) -> MembershipChange | None:
-        """Return the next change, or None when all is as wanted.
+        """Return the next change, or None if none is needed.
 
         :param caught_up: learners that hold all committed entries
-        :param heard_at: when each other member last answered the leader
+        :param last_response_at: when each other member last responded to the leader
+        :param waiting: the controllers that have announced themselves
         """
         for learner in configuration.learners:
             if learner in caught_up:
-                change = self._promotion_of(learner, configuration, heard_at, now)
+                change = self._promotion_of(learner, configuration, last_response_at, now)
                 if change is not None:
                     return change
         return self._addition(configuration, waiting, now) or self._removal(
-            configuration, heard_at, now
+            configuration, last_response_at, now
         )
 
     def _promotion_of(
         self,
         learner: ControllerIdentity,
         configuration: MemberConfiguration,
-        heard_at: Mapping[ControllerIdentity, float],
+        last_response_at: Mapping[ControllerIdentity, float],
         now: float,
     ) -> PromoteLearner | None:
         for voter in configuration.voters:
@@ -90,16 +97,18 @@
                 return PromoteLearner(learner, replaces=voter)
         if len(configuration.voters) < self.voters_wanted:
             return PromoteLearner(learner)
-        silent = self._most_silent(configuration.voters, heard_at)
-        if silent is not None and now - heard_at[silent] > self.silence_limit_s:
+        silent = self._most_silent(configuration.voters, last_response_at)
+        if silent is not None and now - last_response_at[silent] > self.silence_limit_s:
             return PromoteLearner(learner, replaces=silent)
         return None
 
     def _most_silent(
-        self, members: Collection[ControllerIdentity], heard_at: Mapping[ControllerIdentity, float]
+        self,
+        members: Collection[ControllerIdentity],
+        last_response_at: Mapping[ControllerIdentity, float],
     ) -> ControllerIdentity | None:
-        others = [member for member in members if member in heard_at]
-        return min(others, key=lambda member: heard_at[member], default=None)
+        others = [member for member in members if member in last_response_at]
+        return min(others, key=lambda member: last_response_at[member], default=None)
 
     def _addition(
         self,
@@ -122,11 +131,11 @@
     def _removal(
         self,
         configuration: MemberConfiguration,
-        heard_at: Mapping[ControllerIdentity, float],
+        last_response_at: Mapping[ControllerIdentity, float],
         now: float,
     ) -> RemoveMember | None:
-        silent = self._most_silent(configuration.learners, heard_at)
+        silent = self._most_silent(configuration.learners, last_response_at)
         limit_s = FORGET_LEARNER_FACTOR * self.silence_limit_s
-        if silent is not None and now - heard_at[silent] > limit_s:
+        if silent is not None and now - last_response_at[silent] > limit_s:
             return RemoveMember(silent)
         return None
--- a/limedyke/core/control/membership.py
+++ b/limedyke/core/control/membership.py
@@ -1,4 +1,4 @@
-"""Membership of proxies as the leader decides it: joined, suspected, leaving, gone."""
+"""The leader's decisions on proxy membership: serving, suspected, draining or gone."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 from limedyke.messages.control_entries import ProxyIncarnation, RecordProxies, RemoveProxies
 
 MAXIMUM_BATCH = 64
-"""Proxies in one entry.  Each that joins or leaves makes every controller look at all groups,
-and no controller may be busy for as long as its heartbeats must not fail to come."""
+"""Maximum number of proxies in one entry.  Each proxy that joins or leaves makes every controller
+visit all groups, and a controller that is busy for too long misses its heartbeats."""
 _SERVING = (ProxyState.SERVING,)
 
 
 def may_connect(known: ProxyRecord | None, hello: ProxyHello) -> bool:
-    """Tell whether a process may take a name over now.
+    """Return whether a process may take over a proxy name now.
 
-    Another process of that name may still hold leases.  It may be replaced when it is proven
-    to have ended; otherwise only when its record has left the log, which is after its leases
-    have run out.
+    Another process of that name may still hold leases.  It may be replaced once it is proven to
+    have ended; otherwise only after its record was removed from the log, which happens after its
+    leases have expired.
 
-    :param known: what the log holds of the name
+    :param known: the recorded proxy of that name, if any
     """
     return known is None or is_same_process(known, hello) or has_ended(known, hello)
 
 
 def is_same_process(known: ProxyRecord, hello: ProxyHello) -> bool:
-    """Tell whether a hello comes from the recorded process itself."""
+    """Return whether a hello comes from the recorded process itself."""
     return (known.folder_id, known.incarnation) == (hello.folder_id, hello.incarnation)
 
 
 def has_ended(known: ProxyRecord, hello: ProxyHello) -> bool:
-    """Tell whether the recorded process has ended: a later one holds the lock on its folder."""
+    """Return whether the recorded process has ended: a later one holds its folder's lock."""
     is_same_folder = bool(known.folder_id) and known.folder_id == hello.folder_id
     return is_same_folder and known.incarnation < hello.incarnation
 
 
 @dataclass(slots=True)
 class ProxySession:
-    """What the leader knows of a proxy that it does not keep in the log.
+    """The leader's knowledge of a proxy that is not kept in the log.
 
-    :param heard_at: when its last message arrived; the leader's start when there was none
-    :param record: what the log should hold of it; None before its hello
+    :param heard_at: when its last message arrived; the leader's start time if none has
+    :param record: the record that the log should hold; None before the proxy's hello
     """
 
     heard_at: float
@@ -57,10 +57,12 @@
 
 
 class ProxyMembership:
-    """Judges proxies by their own messages; the platform's list only shortens the patience.
+    """Decides on membership by the proxies' own messages.
+
+    The platform's list of leaving proxies only shortens the suspicion timeout.
 
     :param proxies: the replicated records by name, read only
-    :param now: when this controller began to lead
+    :param now: when this controller became the leader
     """
 
     def __init__(
@@ -72,23 +74,23 @@
         self._sessions: dict[str, ProxySession] = {
             name: ProxySession(heard_at=now) for name in proxies
         }
-        self._wanted: dict[str, ProxyRecord] = {}
-        self._ended: dict[str, int] = {}
-        self._hinted: frozenset[str] = frozenset()
+        self._pending_records: dict[str, ProxyRecord] = {}
+        self._pending_removals: dict[str, int] = {}
+        self._listed_as_leaving: frozenset[str] = frozenset()
 
     def session(self, proxy: str) -> ProxySession | None:
-        """Return what is known of a proxy."""
+        """Return the session of a proxy, if any."""
         return self._sessions.get(proxy)
 
     def is_live(self, proxy: str, now: float) -> bool:
-        """Tell whether a proxy is connected and was heard lately."""
+        """Return whether a proxy is connected and has sent a message recently."""
         session = self._sessions.get(proxy)
         if session is None or not session.connected:
             return False
         return now - session.heard_at < self._timing.live_s
 
     def connected(self, hello: ProxyHello, now: float) -> None:
-        """Take a proxy's hello; its record follows through the log."""
+        """Process a proxy's hello, and schedule its record for the log."""
         record = ProxyRecord(
             hello.name,
             hello.incarnation,
@@ -105,17 +107,17 @@
             revision=hello.revision,
             control_index=hello.control_index,
         )
-        self._ended.pop(hello.name, None)
-        self._want(record)
+        self._pending_removals.pop(hello.name, None)
+        self._schedule_record(record)
 
     def disconnected(self, proxy: str) -> None:
-        """Note that a proxy's link ended."""
+        """Record that a proxy's link closed."""
         session = self._sessions.get(proxy)
         if session is not None:
             session.connected = False
 
     def heartbeat(self, proxy: str, heartbeat: ProxyHeartbeat, now: float) -> None:
-        """Take a proxy's heartbeat."""
+        """Process a proxy's heartbeat."""
         session = self._sessions.get(proxy)
         if session is None or session.record is None:
             return
@@ -124,32 +126,32 @@
         session.control_index = heartbeat.control_index
         session.clients = heartbeat.clients
         if heartbeat.state is not ProxyState.GONE:
-            self._want(replace(session.record, state=heartbeat.state))
+            self._schedule_record(replace(session.record, state=heartbeat.state))
 
     def left(self, proxy: str, done: bool) -> None:
-        """Note that a proxy drains, or has ended."""
+        """Record that a proxy drains, or has finished draining."""
         session = self._sessions.get(proxy)
         if done:
-            self._end(proxy)
+            self._schedule_removal(proxy)
         elif session is not None and session.record is not None:
-            self._want(replace(session.record, state=ProxyState.DRAINING))
+            self._schedule_record(replace(session.record, state=ProxyState.DRAINING))
 
     def ended(self, proxy: str) -> None:
-        """Note that a proxy's process is known to have ended."""
+        """Record that a proxy's process has ended."""
         session = self._sessions.get(proxy)
         if session is not None:
             session.connected = False
             session.heard_at = float("-inf")
-        self._end(proxy)
+        self._schedule_removal(proxy)
 
-    def hint(self, leaving: frozenset[str]) -> None:
-        """Take the platform's list: it may be old, so it alone changes nothing."""
-        self._hinted = leaving
+    def set_listed_as_leaving(self, leaving: frozenset[str]) -> None:
+        """Set the proxies that the platform lists as leaving; the list alone changes nothing."""
+        self._listed_as_leaving = leaving
 
-    def judge(self, now: float, lease_holders: Mapping[str, float]) -> None:
+    def check_silence(self, now: float, lease_holders: Mapping[str, float]) -> None:
         """Suspect and remove silent proxies.
 
-        :param lease_holders: proxies whose leases have not run out; they are never removed
+        :param lease_holders: proxies with unexpired leases; they are never removed
         """
         for name, record in self._proxies.items():
             session = self._sessions.get(name)
@@ -157,47 +159,47 @@
                 session = self._sessions[name] = ProxySession(heard_at=now)
             silence_s = now - session.heard_at
             if silence_s > self._removal_silence_s and name not in lease_holders:
-                self._end(name)
-            elif silence_s > self._patience_s(name) and record.state is ProxyState.SERVING:
-                self._want(replace(record, state=ProxyState.SUSPECTED))
+                self._schedule_removal(name)
+            elif silence_s > self._suspicion_timeout_s(name) and record.state is ProxyState.SERVING:
+                self._schedule_record(replace(record, state=ProxyState.SUSPECTED))
 
     def take_entries(self) -> list[RecordProxies | RemoveProxies]:
-        """Return what has to go into the log, one entry of each sort; the rest comes later.
+        """Return the pending changes, at most one log entry of each kind; the rest follow later.
 
-        Those that serve no longer go first.
+        Proxies that no longer serve go first.
         """
         entries: list[RecordProxies | RemoveProxies] = []
-        wanted = sorted(self._wanted.values(), key=lambda record: record.state in _SERVING)
+        wanted = sorted(self._pending_records.values(), key=lambda record: record.state in _SERVING)
         if wanted:
             entries.append(RecordProxies(tuple(wanted[:MAXIMUM_BATCH])))
         for record in wanted[:MAXIMUM_BATCH]:
-            del self._wanted[record.name]
-        ended = list(islice(self._ended.items(), MAXIMUM_BATCH))
+            del self._pending_records[record.name]
+        ended = list(islice(self._pending_removals.items(), MAXIMUM_BATCH))
         if ended:
             incarnations = tuple(ProxyIncarnation(name, number) for name, number in ended)
             entries.append(RemoveProxies(incarnations))
         for name, _ in ended:
-            del self._ended[name]
+            del self._pending_removals[name]
         return entries
 
     def forget(self, proxy: str) -> None:
-        """Drop what is known of a proxy that the log holds no more, unless it is connected."""
+        """Drop the session of a proxy that was removed from the log, unless it is connected."""
         session = self._sessions.get(proxy)
         if session is not None and not session.connected:
             del self._sessions[proxy]
 
-    def _patience_s(self, proxy: str) -> float:
-        hinted = proxy in self._hinted
-        return self._timing.hinted_suspicion_s if hinted else self._timing.suspicion_s
+    def _suspicion_timeout_s(self, proxy: str) -> float:
+        is_listed = proxy in self._listed_as_leaving
+        return self._timing.hinted_suspicion_s if is_listed else self._timing.suspicion_s
 
-    def _want(self, record: ProxyRecord) -> None:
+    def _schedule_record(self, record: ProxyRecord) -> None:
         if self._proxies.get(record.name) == record:
-            self._wanted.pop(record.name, None)
+            self._pending_records.pop(record.name, None)
         else:
-            self._wanted[record.name] = record
+            self._pending_records[record.name] = record
 
-    def _end(self, proxy: str) -> None:
+    def _schedule_removal(self, proxy: str) -> None:
         record = self._proxies.get(proxy)
         if record is not None:
-            self._wanted.pop(proxy, None)
-            self._ended[proxy] = record.incarnation
+            self._pending_records.pop(proxy, None)
+            self._pending_removals[proxy] = record.incarnation
--- a/limedyke/core/control/primaries/primary_evaluator.py
+++ b/limedyke/core/control/primaries/primary_evaluator.py
@@ -1,4 +1,4 @@
-"""Whether a primary of announced members should be replaced, and by which member; sans-IO."""
+"""Decides whether a primary of announced members should be replaced, and ranks successors."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 
 
 class PrimaryEvaluator:
-    """Judges by what home proxies report and by what members announce.
+    """Evaluates primaries by the home proxies' reports and the members' announcements.
 
     :param members: the recorded members by identity, read only
     :param proxies: the recorded proxies by name, read only
-    :param book: when members were heard
-    :param membership: when proxies were heard
-    :param homes: the home proxies of each group: only they hold connections, and so judge members
-    :param now: when this controller began to lead
+    :param announcements: tells when members last announced themselves
+    :param membership: tells when proxies last sent a message
+    :param homes: the home proxies of each group; only they connect to members and report on them
+    :param now: when this controller became the leader
     """
 
     def __init__(
         self,
         members: Mapping[str, AnnouncedMember],
         proxies: Mapping[str, ProxyRecord],
-        book: AnnouncementTracker,
+        announcements: AnnouncementTracker,
         membership: ProxyMembership,
         homes: HomeDirectory,
         timing: ControlTiming,
@@ -46,130 +46,131 @@
         self._members = members
         self._by_group = GroupMembers(members)
         self._proxies = proxies
-        self._book = book
+        self._announcements = announcements
         self._membership = membership
         self._homes = homes
         self._timing = timing
         self._started_at = now
 
     def members_of(self, group: str) -> list[AnnouncedMember]:
-        """Return the members of a group whose records can be used."""
+        """Return the members of a group whose records are valid."""
         return self._by_group.of(group)
 
     def members_applied(
         self, changed: Iterable[AnnouncedMember], removed: Iterable[str]
     ) -> set[str]:
-        """Take a change of members out of the log; return the groups that it touches."""
+        """Apply a recorded change of members; return the affected groups."""
         return self._by_group.applied(changed, removed)
 
     def suspicion(
-        self, group: str, care: AuthorityGroupState, primary: str, now: float
+        self, group: str, state: AuthorityGroupState, primary: str, now: float
     ) -> Suspicion | None:
-        """Return why a primary should be replaced; None when it should not."""
+        """Return the suspicion against a primary; None if there is none."""
         member = self._members.get(primary)
         if member is None:
             return Suspicion(SuspicionReason.LEFT, "it has left")
-        if not self._able(group, care, primary, now):
+        if not self._eligible(group, state, primary, now):
             return None
         if member.state is MemberState.DRAINING:
             return Suspicion(SuspicionReason.DRAINS, "it is draining")
-        return self._votes_against(group, care, primary, now)
+        return self._vote_suspicion(group, state, primary, now)
 
-    def _votes_against(
-        self, group: str, care: AuthorityGroupState, primary: str, now: float
+    def _vote_suspicion(
+        self, group: str, state: AuthorityGroupState, primary: str, now: float
     ) -> Suspicion | None:
-        """Return what the home proxies report against a primary.
+        """Return the suspicion that follows from the home proxies' reports.
 
-        Home proxies that a new leader hasn't heard may still be on their way to it.
+        Home proxies that a new leader has not heard from may still be connecting to it.
         """
         timing = self._timing
         homes = self._homes.homes(group)
         live = {name for name in homes if self._membership.is_live(name, now)}
-        unreached = {name for name in live if care.reports.cannot_reach(name, primary)}
+        unreached = {name for name in live if state.reports.cannot_reach(name, primary)}
         majority = len(homes) // 2 + 1
         if len(live) < majority and now - self._started_at < timing.live_s:
             return None
         hold_s = vote_hold_s(unreached, live, majority, timing.report_hold_s, timing)
-        if hold_s is not None and len(live) < majority and self._most_proxies_are_missing(now):
+        if hold_s is not None and len(live) < majority and self._most_proxies_are_silent(now):
             hold_s = max(hold_s, timing.cut_off_hold_s)
-        if hold_s is not None and care.took_over_lately(now, timing.calm_s):
+        if hold_s is not None and state.took_over_recently(now, timing.calm_s):
             hold_s = max(hold_s, timing.settling_hold_s)
         if hold_s is not None:
             counted = f"{len(unreached)} of {len(homes)} home proxies, {len(live)} of them heard"
             return Suspicion(SuspicionReason.UNREACHABLE, f"{counted}, can't reach it", hold_s)
-        denied = {name for name in live if care.reports.was_denied(name, primary)}
+        denied = {name for name in live if state.reports.was_denied(name, primary)}
         if len(denied) >= majority:
             text = f"{len(denied)} of {len(homes)} home proxies were told that it does not lead"
             return Suspicion(SuspicionReason.DENIES, text, timing.demoted_hold_s)
-        return self._silence(care, primary, live, unreached, now)
+        return self._silence_suspicion(state, primary, live, unreached, now)
 
-    def _silence(
+    def _silence_suspicion(
         self,
-        care: AuthorityGroupState,
+        state: AuthorityGroupState,
         primary: str,
         live: set[str],
         unreached: set[str],
         now: float,
     ) -> Suspicion | None:
-        """Return what a primary's own silence says, where no majority speaks against it."""
-        silent_s = now - self._book.heard_at(primary)
+        """Return the suspicion that follows from a primary's silence, without a majority's vote."""
+        silent_s = now - self._announcements.last_announced_at(primary)
         if silent_s <= self._timing.member_silence_s:
             return None
         if unreached:
             text = f"silent for {silent_s:.1f} s, {len(unreached)} can't reach it"
             return Suspicion(SuspicionReason.SILENT, text)
-        if not any(care.reports.is_seen_by(name, primary) for name in live):
+        if not any(state.reports.has_report(name, primary) for name in live):
             text = f"silent for {silent_s:.1f} s, and nobody reaches it"
             return Suspicion(SuspicionReason.SILENT, text)
         return None
 
-    def _most_proxies_are_missing(self, now: float) -> bool:
-        """Tell whether this leader hears less than half of the proxies.
+    def _most_proxies_are_silent(self, now: float) -> bool:
+        """Return whether less than half of the serving proxies are live.
 
-        It may be cut off from them together with the observers it hears, and the primary may well
-        serve the others: to replace it would take it from most clients.
+        This leader and the observers that reach it may be partitioned from the rest, while the
+        primary still serves the other proxies. Replacing it would then disrupt most clients.
         """
         serving = [name for name, r in self._proxies.items() if r.state is ProxyState.SERVING]
-        heard = sum(self._membership.is_live(name, now) for name in serving)
-        return 2 * heard < len(serving)
+        live = sum(self._membership.is_live(name, now) for name in serving)
+        return 2 * live < len(serving)
 
     def candidates(
-        self, group: str, care: AuthorityGroupState, leaving: str, now: float
+        self, group: str, state: AuthorityGroupState, leaving: str, now: float
     ) -> list[AnnouncedMember]:
-        """Return the members that could lead, the best first."""
-        able = self._able(group, care, leaving, now)
-        return sorted(able, key=lambda member: self._rank(care, member, now))
+        """Return the members that could lead, the best candidate first."""
+        eligible = self._eligible(group, state, leaving, now)
+        return sorted(eligible, key=lambda member: self._rank(state, member, now))
 
-    def _able(
-        self, group: str, care: AuthorityGroupState, leaving: str, now: float
+    def _eligible(
+        self, group: str, state: AuthorityGroupState, leaving: str, now: float
     ) -> list[AnnouncedMember]:
-        """Return the members that could lead, in no order."""
+        """Return the members that could lead, in no particular order."""
         return [
             member
             for member in self.members_of(group)
             if member.identity != leaving
             and member.state is MemberState.READY
-            and care.excluded.get(member.identity, 0.0) <= now
+            and state.excluded.get(member.identity, 0.0) <= now
         ]
 
-    def _rank(self, care: AuthorityGroupState, member: AnnouncedMember, now: float) -> Rank:
-        """Order members: not emptied, heard, following, reached, leading already, far in the log.
+    def _rank(self, state: AuthorityGroupState, member: AnnouncedMember, now: float) -> Rank:
+        """Return the sort key of a candidate; the lowest is the best.
 
-        One that has started again is empty until a proxy has seen a log there: to promote it would
-        lose all that the group holds, so any other member goes before.  A member whose log is of
-        an older term has not followed the last change of primary: to promote it would bring
-        commits back that are lost, and lose all that came since.
+        A restarted member counts as empty until a proxy reports a log position for it. Promoting
+        it would lose all of the group's data, so every other member is preferred.  A member whose
+        log is in an older term has not followed the last change of primary. Promoting it would
+        restore lost commits, and lose all later ones.  The other criteria, in order: it announced
+        itself recently, few proxies fail to reach it, it already leads, its log is long.
         """
         name = member.identity
-        seen = care.reports.log_of(name)
+        seen = state.reports.log_of(name)
         log = seen or LogPosition()
-        heard_at = self._book.heard_at(name)
-        leads = member.is_primary and heard_at > care.recorded_at
+        heard_at = self._announcements.last_announced_at(name)
+        leads = member.is_primary and heard_at > state.recorded_at
         return (
-            name in care.reports.emptied and log.position == 0,
+            name in state.reports.emptied and log.position == 0,
             now - heard_at > self._timing.member_silence_s,
-            seen is not None and log.term < care.reports.newest_term(),
-            care.reports.unreachable_count(name),
+            seen is not None and log.term < state.reports.newest_term(),
+            state.reports.unreachable_count(name),
             not leads,
             -log.position,
             name,
--- a/limedyke/proxy/statements/clients/client.py
+++ b/limedyke/proxy/statements/clients/client.py
@@ -1,4 +1,4 @@
-"""One client's connection: reads its statements one after the other and answers them."""
+"""One client connection: reads its statements one after the other and answers them."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 from limedyke.proxy.statements.clients.client_codec import (
     ClientCodec,
     ClientEvent,
-    LeaveRequested,
     MalformedStatement,
     SessionEnded,
+    SessionEndRequested,
     SessionRequested,
     StatementReceived,
 )
@@ -37,12 +37,12 @@
 from limedyke.proxy.statements.groups import StatementGroups
 from limedyke.proxy.statements.settlement import settle_unanswered
 from limedyke.proxy.statements.statement_log import StatementLog, StatementUnderWay
-from limedyke.proxy.statements.statement_outcome import PlacedAnswer, TransactionLocation
-from limedyke.proxy.statements.statement_refusal import give_up
+from limedyke.proxy.statements.statement_outcome import StatementOutcome, TransactionLocation
+from limedyke.proxy.statements.statement_refusal import refuse_statement
 from limedyke.result_codes import ResultCode
 
 RECEIVE_BYTES = 64 * 1024
-ENDS_AN_OPERATION = frozenset(
+OPERATION_END_KINDS = frozenset(
     {
         StatementKind.READ,
         StatementKind.WRITE,
@@ -51,8 +51,9 @@
         StatementKind.ROLLBACK,
     }
 )
-"""Behind other statements, such as SET, the one that they prepare is already on its way."""
-SERVED_ELSEWHERE = frozenset(
+"""Statements after which a session may be closed. After others, such as SET, the client usually has
+sent the statement that they prepare already."""
+RETRYABLE_ELSEWHERE_CODES = frozenset(
     code.value.number
     for code in (
         ResultCode.FRESHNESS_UNPROVEN,
@@ -63,29 +64,30 @@
         ResultCode.TRANSACTION_LOST,
     )
 )
-"""What a proxy that is cut off answers, though another one may serve it."""
-KEY_UNKNOWN = ResultCode.ACCESS_KEY_UNKNOWN.value.number
-"""Ends the session: the key that it was opened with has been taken away."""
-STOPPED_RETRY_AFTER_MS = 10
-"""Another proxy may serve at once."""
-REST_BEFORE_LEAVING_S = 0.25
+"""Refusals by a proxy cut off from the controllers that another proxy might not give."""
+ACCESS_KEY_UNKNOWN_CODE = ResultCode.ACCESS_KEY_UNKNOWN.value.number
+"""Ends the session: the access key it was opened with was revoked."""
+STOPPING_RETRY_AFTER_MS = 10
+"""Short, because another proxy can serve the client at once."""
+IDLE_BEFORE_SESSION_END_S = 0.25
+"""Seconds a session must be idle before the first phase of a planned stop ends it."""
 EVENTS = EventLog("client")
 
 
-class LeaveAskedError(curio.CancelledError):
-    """The session is to end where it waits for its client."""
+class SessionEndRequestedError(curio.CancelledError):
+    """Raised in a client task that waits for its client when the session is to end."""
 
 
-class StopDeadlineError(LeaveAskedError):
-    """The proxy ends soon: the statement under way is told what is known of it."""
+class StopDeadlineError(SessionEndRequestedError):
+    """Raised in a client task whose statement must be answered now because the proxy exits."""
 
 
 @dataclass(slots=True)
 class ClientServices:
-    """What all clients of a proxy share.
+    """Services that all clients of a proxy share.
 
-    :param is_cut_off: whether the proxy has lost the controllers, so that others may serve better
-    :param stop: whether the proxy was asked to stop, and until when it does what
+    :param is_cut_off: tells whether the proxy has lost contact with the controllers
+    :param stop: state and schedule of a planned stop
     """
 
     groups: StatementGroups
@@ -99,7 +101,7 @@
 class StatementClient:
     """Serves one client until its connection ends.
 
-    :ivar is_waiting: it waits for the client
+    :ivar is_waiting: the task waits for data from the client
     """
 
     def __init__(self, sock: socket.socket, codec: ClientCodec, services: ClientServices) -> None:
@@ -107,9 +109,9 @@
         self._codec = codec
         self._services = services
         self._session: StatementSession | None = None
-        self._place: TransactionLocation | None = None
-        self._is_sent_away = False
-        self._is_over = False
+        self._location: TransactionLocation | None = None
+        self._must_reconnect_elsewhere = False
+        self._has_ended = False
         self._events: deque[ClientEvent] = deque()
         self.is_waiting = False
         self._waiting_since = 0.0
@@ -123,7 +125,7 @@
         return self._under_way is not None
 
     async def run(self) -> None:
-        """Serve the client; never raises for what the client or its network does."""
+        """Serve the client; errors of the client or its network are never raised."""
         try:
             while await self._serve_next():
                 continue
@@ -131,26 +133,26 @@
             self._ended_by = f"connection: {error}"
         finally:
             async with curio.disable_cancellation():
-                self._tell_unanswered()
+                self._log_unanswered()
                 await self._clean_up()
 
-    def _tell_unanswered(self) -> None:
-        """Log a statement whose client gets no answer any more."""
+    def _log_unanswered(self) -> None:
+        """Log a statement whose connection ended before it was answered."""
         if self._under_way is not None:
             was_sent = self._session is not None and self._session.was_sent
             self._services.log.unanswered(self._under_way, self._ended_by, was_sent)
 
     async def _clean_up(self) -> None:
-        if self._place is not None:
-            place, self._place = self._place, None
-            await self._services.executor.abandon(place)
+        if self._location is not None:
+            location, self._location = self._location, None
+            await self._services.executor.abandon(location)
         try:
             await self._socket.close()
         except OSError:
             return
 
     async def _serve_next(self) -> bool:
-        """Serve the client's next event; tell whether there can be another."""
+        """Serve the client's next event; return False when the session is over."""
         event = await self._next_event()
         match event:
             case SessionRequested():
@@ -159,7 +161,7 @@
                 return await self._serve_statement(event.statement)
             case MalformedStatement():
                 return await self._refuse_malformed(event)
-            case LeaveRequested():
+            case SessionEndRequested():
                 await self._end_session(ResultCode.DRAINING)
         return False
 
@@ -167,96 +169,96 @@
         while not self._events:
             try:
                 data = await self._receive()
-            except LeaveAskedError:
+            except SessionEndRequestedError:
                 if self._session is None or self._session.transaction is None:
-                    return LeaveRequested()
-                await self._lose_transaction(ResultCode.TRANSACTION_LOST)
+                    return SessionEndRequested()
+                await self._roll_back_idle_transaction(ResultCode.TRANSACTION_LOST)
                 continue
             if data is None:
-                await self._lose_transaction(ResultCode.IDLE_IN_TRANSACTION)
+                await self._roll_back_idle_transaction(ResultCode.IDLE_IN_TRANSACTION)
                 continue
             if not data:
                 return SessionEnded("closed by the client")
-            await self._stay_for_what_came()
+            await self._discard_end_request()
             self._events.extend(self._codec.feed(data))
         return self._events.popleft()
 
-    async def leave(self) -> None:
-        """End the session, or its transaction, if it waits for the client and the stop is so far.
+    async def end_if_due(self) -> None:
+        """End the session or its idle transaction if the stop schedule says so.
 
-        What a client has just been told may bring its next statement, which is on its way: at
-        first only sessions end that have rested for a while.
+        The first phase of a stop ends only sessions that have been idle for a while: a client that
+        just got an answer may have sent its next statement already.
         """
-        if self.is_waiting and self._is_due(time.monotonic()):
-            await self._interrupt(LeaveAskedError)
+        if self.is_waiting and self._is_end_due(time.monotonic()):
+            await self._interrupt(SessionEndRequestedError)
 
-    def _is_due(self, now: float) -> bool:
-        """Tell whether a session that waits for its client is to be ended now."""
+    def _is_end_due(self, now: float) -> bool:
+        """Tell whether the stop schedule ends a session that waits for its client now."""
         schedule = self._services.stop.schedule
         status = TransactionStatus.IDLE if self._session is None else self._session.status
         match status:
             case TransactionStatus.IDLE:
-                has_rested = now - self._waiting_since > REST_BEFORE_LEAVING_S
-                return has_rested or now >= schedule.statements_until
+                has_been_idle = now - self._waiting_since > IDLE_BEFORE_SESSION_END_S
+                return has_been_idle or now >= schedule.statements_until
             case TransactionStatus.IN_TRANSACTION:
                 return now >= schedule.statements_until
         return now >= schedule.answers_until
 
-    async def cut_short(self) -> None:
-        """Have the statement under way answered now with what is known of it."""
+    async def interrupt_statement(self) -> None:
+        """Interrupt the running statement and answer it with its known outcome."""
         if self.is_serving:
             await self._interrupt(StopDeadlineError)
 
-    async def _interrupt(self, error: type[LeaveAskedError]) -> None:
-        if self.task is not None and not self._is_over:
+    async def _interrupt(self, error: type[SessionEndRequestedError]) -> None:
+        if self.task is not None and not self._has_ended:
             await interrupt(self.task, error)
 
     async def _end_session(self, code: ResultCode) -> None:
-        """Tell the client that its session is over; what it has sent by then did not run."""
-        self._is_over = True
+        """End the session; statements that arrived meanwhile are answered as not run."""
+        self._has_ended = True
         limit_s = max(0.0, self._services.stop.schedule.ends_at - time.monotonic())
-        reason = refusal(code, retry_after_ms=STOPPED_RETRY_AFTER_MS)
+        reason = refusal(code, retry_after_ms=STOPPING_RETRY_AFTER_MS)
         await end_session(self._socket, self._codec, reason, tuple(self._events), limit_s)
 
-    async def _stay_for_what_came(self) -> None:
-        """Serve a statement that came at the moment the session was asked to leave.
+    async def _discard_end_request(self) -> None:
+        """Discard a pending request to end the session, because the client sent data.
 
-        Cancellation can't just be disabled while a statement runs: its time limits are
+        Cancellation can't be disabled for the whole statement instead, because timeouts are
         cancellations too.
         """
         if self._services.stop.is_stopping:
             async with curio.disable_cancellation():
-                await curio.check_cancellation(LeaveAskedError)
+                await curio.check_cancellation(SessionEndRequestedError)
 
     async def _receive(self) -> bytes | None:
-        """Return received bytes; None when an open transaction has rested for too long."""
-        rest_s = self._rest_limit_s()
+        """Return received bytes; None when an open transaction was idle for too long."""
+        idle_limit_s = self._idle_limit_s()
         self.is_waiting = True
         self._waiting_since = time.monotonic()
         try:
-            if rest_s is None:
+            if idle_limit_s is None:
                 return await self._socket.recv(RECEIVE_BYTES)
-            async with curio.timeout_after(rest_s):
+            async with curio.timeout_after(idle_limit_s):
                 return await self._socket.recv(RECEIVE_BYTES)
         except curio.TaskTimeout:
             return None
         finally:
             self.is_waiting = False
 
-    def _rest_limit_s(self) -> float | None:
-        """Return how long the client may rest; None for as long as it likes."""
+    def _idle_limit_s(self) -> float | None:
+        """Return the idle limit in seconds; None for no limit."""
         view = self._services.groups.view
         is_open = self._session is not None and self._session.transaction is not None
         if not is_open or view is None or not view.session_limits.idle_in_transaction_ms:
             return None
         return view.session_limits.idle_in_transaction_ms / 1_000
 
-    async def _lose_transaction(self, code: ResultCode) -> None:
-        """Roll back a transaction whose client rests; its next statement is told so."""
+    async def _roll_back_idle_transaction(self, code: ResultCode) -> None:
+        """Roll back an idle transaction; the answer to the client's next statement reports it."""
         self._session.lose_transaction(code)
-        if self._place is not None:
-            place, self._place = self._place, None
-            await self._services.executor.roll_back(place)
+        if self._location is not None:
+            location, self._location = self._location, None
+            await self._services.executor.roll_back(location)
 
     async def _open_session(self, event: SessionRequested) -> bool:
         opened = await self._admit(event)
@@ -269,9 +271,9 @@
         return True
 
     async def _admit(self, event: SessionRequested) -> Result[StatementSession, StatementAnswer]:
-        """Open a session, unless the proxy takes no more statements."""
+        """Open a session, unless the proxy is stopping and accepts no more statements."""
         if not self._services.stop.schedule.takes(StatementKind.READ, time.monotonic()):
-            return Err(refusal(ResultCode.DRAINING, retry_after_ms=STOPPED_RETRY_AFTER_MS))
+            return Err(refusal(ResultCode.DRAINING, retry_after_ms=STOPPING_RETRY_AFTER_MS))
         return await self._services.admission.open(event)
 
     async def _refuse_malformed(self, event: MalformedStatement) -> bool:
@@ -291,54 +293,54 @@
         started_at = time.monotonic()
         self._under_way = StatementUnderWay(session.database, statement, started_at)
         session.begin_statement(self._services.stop.schedule.answers_until)
-        answer = self._refused_at_once(session, statement) or await self._answer(session, statement)
+        answer = self._early_refusal(session, statement) or await self._answer(session, statement)
         self._services.log.answered(session.database, statement, answer, started_at)
         await self._socket.sendall(self._codec.answer(answer, session.status))
         self._under_way = None
-        self._note_refusal(answer)
-        return await self._goes_on(session, statement, answer)
+        self._mark_for_reconnect(answer)
+        return await self._continues_after(session, statement, answer)
 
-    def _refused_at_once(
+    def _early_refusal(
         self, session: StatementSession, statement: Statement
     ) -> StatementAnswer | None:
-        """Return why a statement is not served at all; None when it is."""
-        is_taken = self._services.stop.schedule.takes(statement.kind, time.monotonic())
+        """Return the refusal of a statement that is not run at all; None when it is run."""
+        is_accepted = self._services.stop.schedule.takes(statement.kind, time.monotonic())
         match session.status:
-            case TransactionStatus.IDLE if not is_taken:
-                return refusal(ResultCode.DRAINING, retry_after_ms=STOPPED_RETRY_AFTER_MS)
+            case TransactionStatus.IDLE if not is_accepted:
+                return refusal(ResultCode.DRAINING, retry_after_ms=STOPPING_RETRY_AFTER_MS)
             case TransactionStatus.IDLE:
                 return self._services.admission.renew(session)
         return None
 
-    async def _goes_on(
+    async def _continues_after(
         self, session: StatementSession, statement: Statement, answer: StatementAnswer
     ) -> bool:
-        """Tell whether the session goes on behind an answer; end it when it does not."""
-        if answer.code == KEY_UNKNOWN:
+        """Tell whether the session continues after an answer; end it otherwise."""
+        if answer.code == ACCESS_KEY_UNKNOWN_CODE:
             await self._end_session(ResultCode.ACCESS_KEY_UNKNOWN)
             return False
-        is_over = session.status is TransactionStatus.IDLE and statement.kind in ENDS_AN_OPERATION
-        if is_over and self._is_sent_away:
+        is_over = session.status is TransactionStatus.IDLE and statement.kind in OPERATION_END_KINDS
+        if is_over and self._must_reconnect_elsewhere:
             await self._end_session(ResultCode.NO_LEASE)
             return False
         return True
 
-    def _note_refusal(self, answer: StatementAnswer) -> None:
-        """Have the client come back to another proxy if that may serve what was refused here.
+    def _mark_for_reconnect(self, answer: StatementAnswer) -> None:
+        """Mark the session to be ended if another proxy might serve what was refused here.
 
-        A proxy that has lost the controllers knows no new primary and proves no position; another
-        one may be on the other side of the cut.
+        A proxy that lost the controllers learns no new primary and can prove no position; another
+        proxy may be on the other side of the network partition.
         """
-        if answer.code in SERVED_ELSEWHERE and self._services.is_cut_off():
-            self._is_sent_away = True
+        if answer.code in RETRYABLE_ELSEWHERE_CODES and self._services.is_cut_off():
+            self._must_reconnect_elsewhere = True
 
     async def _answer(self, session: StatementSession, statement: Statement) -> StatementAnswer:
         plan = session.plan(statement)
         match plan:
             case EndTransaction():
-                if self._place is not None:
-                    place, self._place = self._place, None
-                    await curio.spawn(self._services.executor.roll_back, place, daemon=True)
+                if self._location is not None:
+                    location, self._location = self._location, None
+                    await curio.spawn(self._services.executor.roll_back, location, daemon=True)
                 return plan.answer
             case RunOnMember():
                 return await self._run(session, plan)
@@ -346,17 +348,19 @@
 
     async def _run(self, session: StatementSession, run: RunOnMember) -> StatementAnswer:
         try:
-            placed = await self._services.executor.run(session, run, self._place)
+            outcome = await self._services.executor.run(session, run, self._location)
         except StopDeadlineError:
-            placed = await self._cut(session, run)
-        self._place = placed.place
-        return placed.answer
-
-    async def _cut(self, session: StatementSession, run: RunOnMember) -> PlacedAnswer:
-        """Give a statement up that no member has answered by the end of the stop."""
-        if self._place is not None:
-            await self._services.executor.abandon(self._place)
+            outcome = await self._outcome_of_interrupted(session, run)
+        self._location = outcome.location
+        return outcome.answer
+
+    async def _outcome_of_interrupted(
+        self, session: StatementSession, run: RunOnMember
+    ) -> StatementOutcome:
+        """Return the result of a statement that is unanswered when the stop deadline passes."""
+        if self._location is not None:
+            await self._services.executor.abandon(self._location)
         detail = "the proxy stops"
         if session.was_sent or session.transaction is not None:
             return settle_unanswered(session, run, detail)
-        return PlacedAnswer(give_up(session, ResultCode.DRAINING, detail))
+        return StatementOutcome(refuse_statement(session, ResultCode.DRAINING, detail))
