--- a/limedyke/postgres/frontend.py
+++ b/limedyke/postgres/frontend.py
@@ -64,7 +64,7 @@
     tls_required: bool = False
 
 
-class Frontend:
+class ClientLogin:
     """Takes one client from its first byte to a proved login.
 
     :param nonce: unguessable printable text for the SCRAM exchange
--- a/limedyke/proxy/clients/connection.py
+++ b/limedyke/proxy/clients/connection.py
@@ -1,4 +1,4 @@
-"""A client connection: the curio I/O around ``Frontend`` and ``Session``.
+"""A client connection: the curio I/O around ``ClientLogin`` and ``Session``.
 
 Each connection has one task that reads, runs and answers in turn; it does not
 read while a unit runs.  Events during a unit (a client that disconnects, an
@@ -38,7 +38,7 @@
 from limedyke.messages.work import AnswerChunk, AnswerEnd, WorkUnit
 from limedyke.postgres.client_framing import ClientFramer, FramingError
 from limedyke.postgres.client_messages import failure_response
-from limedyke.postgres.frontend import Frontend, refuse
+from limedyke.postgres.frontend import ClientLogin, refuse
 from limedyke.proxy.clients.client_socket import ClientGoneError, ClientSocket
 from limedyke.proxy.clients.services import ClientServices, current_moment
 from limedyke.result_codes import Failure, ResultCode
@@ -74,7 +74,7 @@
     def __init__(self, sock: socket.socket, services: ClientServices) -> None:
         self._socket = ClientSocket(sock)
         self._services = services
-        self._frontend: Frontend | None = None
+        self._frontend: ClientLogin | None = None
         self._framer: ClientFramer | None = None
         self.session: Session | None = None
         self.cancel_key: CancelKey | None = None
@@ -112,7 +112,7 @@
     async def _log_in(self) -> bool:
         """Run the login; return whether a session was opened."""
         nonce = secrets.token_urlsafe(NONCE_BYTES)
-        self._frontend = Frontend(self._services.login_policy, nonce)
+        self._frontend = ClientLogin(self._services.login_policy, nonce)
         while self.session is None:
             data = await self._socket.receive()
             for command in self._frontend.receive(data):
