--- a/features/support/client_side_process.py
+++ b/features/support/client_side_process.py
@@ -27,7 +27,7 @@
 from limedyke.garbage_collection import resume_garbage_collection
 from limedyke.messages.declaration import Group, Tenant, TenantAccess, User
 from limedyke.messages.work import AnswerEnd
-from limedyke.postgres.frontend import LoginPolicy
+from limedyke.postgres.client_login import LoginPolicy
 from limedyke.proxy.clients.connection import ClientConnection
 from limedyke.proxy.clients.login_directory import LoginDirectory
 from limedyke.proxy.clients.registry import ClientRegistry
--- a/limedyke/proxy/clients/connection.py
+++ b/limedyke/proxy/clients/connection.py
@@ -37,8 +37,8 @@
 from limedyke.event_log import EventLog
 from limedyke.messages.work import AnswerChunk, AnswerEnd, WorkUnit
 from limedyke.postgres.client_framing import ClientFramer, FramingError
+from limedyke.postgres.client_login import ClientLogin, refuse
 from limedyke.postgres.client_messages import failure_response
-from limedyke.postgres.frontend import ClientLogin, refuse
 from limedyke.proxy.clients.client_socket import ClientGoneError, ClientSocket
 from limedyke.proxy.clients.services import ClientServices, current_moment
 from limedyke.result_codes import Failure, ResultCode
--- a/limedyke/proxy/clients/services.py
+++ b/limedyke/proxy/clients/services.py
@@ -10,7 +10,7 @@
 from limedyke.core.sessions.client_exchange import Moment
 from limedyke.core.sessions.session_context import SessionContext
 from limedyke.messages.work import Access, AnswerEnd, WorkUnit
-from limedyke.postgres.frontend import LoginPolicy
+from limedyke.postgres.client_login import LoginPolicy
 from limedyke.proxy.clients.registry import ClientRegistry
 from limedyke.proxy.clients.tls import ClientTls
 from limedyke.proxy.executor import Executor
--- a/limedyke/proxy/server.py
+++ b/limedyke/proxy/server.py
@@ -16,8 +16,8 @@
 from limedyke.garbage_collection import resume_garbage_collection
 from limedyke.messages.handshake import PeerRole
 from limedyke.metrics import TrafficCounter, new_registry
+from limedyke.postgres.client_login import LoginPolicy
 from limedyke.postgres.client_messages import failure_response
-from limedyke.postgres.frontend import LoginPolicy
 from limedyke.proxy.back_ends import BackEnds
 from limedyke.proxy.clients.connection import ClientConnection
 from limedyke.proxy.clients.login_directory import LoginDirectory
