--- a/limedyke/core/sessions/client_exchange.py
+++ b/limedyke/core/sessions/client_exchange.py
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CancelOther:
+class CancelRunningUnit:
     """Cancel what the connection with this key data is running."""
 
     process_id: int
@@ -114,4 +114,4 @@
 
 Event = ClientMessages | AnswerReceived | UnitEnded | Tick | LeaveRequested
 SessionCommand = SendToClient | RunUnit | AbandonUnit | CloseClient
-LoginCommand = SendToClient | StartTls | CancelOther | LoginSucceeded | CloseClient
+LoginCommand = SendToClient | StartTls | CancelRunningUnit | LoginSucceeded | CloseClient
--- a/limedyke/postgres/client_login.py
+++ b/limedyke/postgres/client_login.py
@@ -8,7 +8,7 @@
 from result import Err
 
 from limedyke.core.sessions.client_exchange import (
-    CancelOther,
+    CancelRunningUnit,
     CloseClient,
     LoginCommand,
     LoginSucceeded,
@@ -120,7 +120,7 @@
                 self._gss_declined = True
                 return [SendToClient(DECLINE)]
             case CancelRequest(process_id, secret):
-                return [CancelOther(process_id, secret), CloseClient("cancel request")]
+                return [CancelRunningUnit(process_id, secret), CloseClient("cancel request")]
             case StartupRequest():
                 return self._begin_authentication(packet)
         return refuse(Failure(ResultCode.PROTOCOL_VIOLATION, "encryption was asked for before"))
--- a/limedyke/proxy/clients/connection.py
+++ b/limedyke/proxy/clients/connection.py
@@ -19,7 +19,7 @@
 from limedyke.core.sessions.client_exchange import (
     AbandonUnit,
     AnswerReceived,
-    CancelOther,
+    CancelRunningUnit,
     ClientMessages,
     CloseClient,
     LeaveRequested,
@@ -128,7 +128,7 @@
             case StartTls():
                 timeout_s = self._services.startup_timeout_s
                 await self._socket.start_tls(self._services.tls, timeout_s)
-            case CancelOther(process_id, secret):
+            case CancelRunningUnit(process_id, secret):
                 await self._cancel_other(CancelKey(process_id, secret))
             case LoginSucceeded():
                 return await self._open_session(command)
