--- a/limedyke/core/sessions/session_settings.py
+++ b/limedyke/core/sessions/session_settings.py
@@ -32,7 +32,7 @@
         """Bytes of the names and values in force."""
         return sum(len(name) + len(value) for name, value in self._current.items())
 
-    def to_replay(self) -> tuple[SessionSetting, ...]:
+    def settings_to_replay(self) -> tuple[SessionSetting, ...]:
         """Return the settings that a connection needs before a new transaction."""
         if self._replay is None:
             items = sorted(self._committed.items())
--- a/limedyke/core/units/unit_builder.py
+++ b/limedyke/core/units/unit_builder.py
@@ -40,7 +40,7 @@
         staleness_ms=staleness_ms,
         deadline_ms=context.request_deadline_ms,
         prepared=plan.prepared,
-        settings=state.settings.to_replay(),
+        settings=state.settings.settings_to_replay(),
         data=plan.data,
         leaves_state=plan.leaves_state,
     )
