--- a/limedyke/postgres/member_answer.py
+++ b/limedyke/postgres/member_answer.py
@@ -132,7 +132,7 @@
         self.pending_bytes = 0
         return data
 
-    def take_before_completion(self) -> bytes:
+    def take_buffered_before_completion(self) -> bytes:
         """Return what waits to be relayed ahead of the last CommandComplete."""
         if self._last_completion is None:
             return self.take()
--- a/limedyke/proxy/unit_exchange.py
+++ b/limedyke/proxy/unit_exchange.py
@@ -112,7 +112,7 @@
         if self.refused_before:
             self.reader.take()
         elif self._plan.is_write:
-            await self._relay_data(self.reader.take_before_completion())
+            await self._relay_data(self.reader.take_buffered_before_completion())
         else:
             await self._relay_data(self.reader.take())
 
