--- a/features/routing_outcomes.feature
+++ b/features/routing_outcomes.feature
@@ -1,6 +1,6 @@
 Feature: Answers and outcomes with real members
   A caller gets exactly the complete answer to its own request, and the reported outcome is true.
-  Scenarios also run with a safeguard disabled, to show that they detect the fault.
+  The checks also run with a safeguard disabled, to show that they detect the fault.
 
   Background:
     Given back ends: proxy p1 with the shared members
