--- a/features/support/http_callers.py
+++ b/features/support/http_test_clients.py
@@ -24,7 +24,7 @@
 """State of a connection in ``TCP_INFO``."""
 
 
-class CallCaller:
+class HttpTestClient:
     """One connection to the server."""
 
     def __init__(self) -> None:
@@ -36,19 +36,19 @@
         await self._socket.connect(split_address(address))
         await self._socket.sendall(data)
 
-    def send_at_once(self, address: str, data: bytes) -> None:
+    def send_blocking(self, address: str, data: bytes) -> None:
         """Connect and send without giving other tasks a turn."""
         with self._socket.blocking() as raw:
             raw.connect(split_address(address))
             raw.sendall(data)
 
-    def send_rest_at_once(self, data: bytes) -> None:
+    def send_rest_blocking(self, data: bytes) -> None:
         """Send without giving other tasks a turn."""
         with self._socket.blocking() as raw:
             raw.sendall(data)
 
-    def begin_to_connect(self, address: str) -> None:
-        """Ask for a connection, and lose the kernel's answers until ``hear_again``."""
+    def start_connecting(self, address: str) -> None:
+        """Ask for a connection, and lose the kernel's answers until ``stop_packet_loss``."""
         program = ctypes.create_string_buffer(DROP_ALL, len(DROP_ALL))
         filters = struct.pack("HP", 1, ctypes.addressof(program))
         self._socket.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, filters)
@@ -56,7 +56,7 @@
             raw.setblocking(False)
             raw.connect_ex(split_address(address))
 
-    async def hear_again(self) -> None:
+    async def stop_packet_loss(self) -> None:
         """Lose nothing any more, and return once the connection is open for this caller."""
         self._socket.setsockopt(socket.SOL_SOCKET, SO_DETACH_FILTER, 0)
         async with curio.timeout_after(HANDSHAKE_LIMIT_S):
@@ -79,7 +79,7 @@
             self.answer = b""
         return self.answer
 
-    def receive_at_once(self) -> None:
+    def receive_available(self) -> None:
         """Keep what has come so far, without giving other tasks a turn."""
         try:
             with self._socket.blocking() as raw:
