--- a/limedyke/proxy/members/group.py
+++ b/limedyke/proxy/members/group.py
@@ -104,7 +104,7 @@
         homes_changed, self._homes = homes != self._homes, homes
         if declared_anew or is_home != self._is_home:
             self._is_home = is_home
-            await self._watch()
+            await self._update_monitor()
         if changed or declared_anew or homes_changed or before != set(self.gates):
             await self._apply_limits()
         if changed or declared_anew:
@@ -150,8 +150,8 @@
 
     # Health monitoring
 
-    async def _watch(self) -> None:
-        await self._monitor.watch(self.make_probes() if self._is_home else {})
+    async def _update_monitor(self) -> None:
+        await self._monitor.set_members(self.make_probes() if self._is_home else {})
 
     def make_probes(self) -> dict[str, MemberProbe]:
         """Return a new probe for each member."""
--- a/limedyke/proxy/members/monitor.py
+++ b/limedyke/proxy/members/monitor.py
@@ -46,13 +46,13 @@
     recorded_term: int
 
 
-class _Watch:
+class _MonitoredMember:
     """One monitored member.
 
     :ivar pending_probes: number of probes that the probing tasks have yet to send
     :ivar probes_in_flight: probes without an answer yet
     :ivar confirmations_in_flight: queries of leadership rounds without an answer yet
-    :ivar tasks: the judging task and the probing tasks, all started with the watch
+    :ivar tasks: the judging task and the probing tasks, all started together
     """
 
     def __init__(self, probe: MemberProbe, judge: MemberHealthJudge) -> None:
@@ -96,65 +96,65 @@
         self._timing = timing
         self._report = report
         self._on_change = on_change
-        self._watches: dict[str, _Watch] = {}
+        self._members: dict[str, _MonitoredMember] = {}
         self._next_round: _ConfirmRound | None = None
         self._round_running = False
 
-    async def watch(self, probes: dict[str, MemberProbe]) -> None:
+    async def set_members(self, probes: dict[str, MemberProbe]) -> None:
         """Monitor exactly these members; stop monitoring all others."""
-        for name in list(self._watches):
-            known = self._watches[name].probe.endpoint
+        for name in list(self._members):
+            known = self._members[name].probe.endpoint
             if name not in probes or probes[name].endpoint != known:
-                await self._stop(self._watches.pop(name))
+                await self._stop(self._members.pop(name))
         for name, probe in probes.items():
-            if name not in self._watches:
+            if name not in self._members:
                 judge = MemberHealthJudge(self._timing, time.monotonic())
-                watch = self._watches[name] = _Watch(probe, judge)
-                await self._start(name, watch)
+                member = self._members[name] = _MonitoredMember(probe, judge)
+                await self._start(name, member)
 
-    async def _start(self, name: str, watch: _Watch) -> None:
-        """Start all tasks of a watch.
+    async def _start(self, name: str, member: _MonitoredMember) -> None:
+        """Start all tasks of a monitored member.
 
-        The probing tasks live as long as the watch.  With one task per probe, a task could be
-        spawned while the kernel cancels all others at shutdown, and would be left running.
+        The probing tasks live until the member is no longer monitored.  With one task per probe, a
+        task could be spawned while the kernel cancels all others at shutdown, and be left running.
         """
-        watch.tasks = [await curio.spawn(self._run, name, watch, daemon=True)]
+        member.tasks = [await curio.spawn(self._run, name, member, daemon=True)]
         for _ in range(MAXIMUM_PROBES):
-            watch.tasks.append(await curio.spawn(self._send_probes, name, watch, daemon=True))
+            member.tasks.append(await curio.spawn(self._send_probes, name, member, daemon=True))
 
-    async def _stop(self, watch: _Watch) -> None:
-        for task in watch.tasks:
+    async def _stop(self, member: _MonitoredMember) -> None:
+        for task in member.tasks:
             await task.cancel()
-        await watch.probe.close()
+        await member.probe.close()
 
     def probes(self) -> dict[str, MemberProbe]:
         """Return the probes of the monitored members, with their kept connections."""
-        return {name: watch.probe for name, watch in self._watches.items()}
+        return {name: member.probe for name, member in self._members.items()}
 
     async def close(self) -> None:
         """Stop monitoring all members."""
-        await self.watch({})
+        await self.set_members({})
 
     async def request_failed(self, name: str) -> None:
         """Record a failed request to a member, and probe it at once."""
-        watch = self._watches.get(name)
-        if watch is not None:
-            watch.judge.disturbed(time.monotonic())
-            await watch.wake.set()
+        member = self._members.get(name)
+        if member is not None:
+            member.judge.disturbed(time.monotonic())
+            await member.wake.set()
 
-    async def _run(self, name: str, watch: _Watch) -> None:
+    async def _run(self, name: str, member: _MonitoredMember) -> None:
         while True:
             now = time.monotonic()
-            self._count_request_answer(name, watch, now)
-            if watch.judge.wants_probe(now) and watch.probes_in_flight < MAXIMUM_PROBES:
-                watch.judge.probe_sent(now)
-                watch.probes_in_flight += 1
-                await watch.pending_probes.release()
-            watch.judge.tick(now)
-            await self._publish(name, watch)
-            watch.wake.clear()
-            wait_s = watch.judge.wait_s(now)
-            await curio.ignore_after(max(wait_s, 0.001), watch.wake.wait)
+            self._count_request_answer(name, member, now)
+            if member.judge.wants_probe(now) and member.probes_in_flight < MAXIMUM_PROBES:
+                member.judge.probe_sent(now)
+                member.probes_in_flight += 1
+                await member.pending_probes.release()
+            member.judge.tick(now)
+            await self._publish(name, member)
+            member.wake.clear()
+            wait_s = member.judge.wait_s(now)
+            await curio.ignore_after(max(wait_s, 0.001), member.wake.wait)
 
     async def probe_stalled_members(self) -> None:
         """Probe each member whose requests get no answers.
@@ -163,66 +163,66 @@
         would cost more than its probes.
         """
         now = time.monotonic()
-        for name, watch in self._watches.items():
+        for name, member in self._members.items():
             state = self._view.members.get(name)
-            if state is not None and _is_stalled(state, now) and not watch.judge.outstanding:
-                watch.judge.disturbed(now)
-                await watch.wake.set()
+            if state is not None and _is_stalled(state, now) and not member.judge.outstanding:
+                member.judge.disturbed(now)
+                await member.wake.set()
 
-    def _count_request_answer(self, name: str, watch: _Watch, now: float) -> None:
+    def _count_request_answer(self, name: str, member: _MonitoredMember, now: float) -> None:
         """Count a request that was answered while probes got no answer as an answered probe."""
         state = self._view.members.get(name)
-        silent_since = watch.judge.silent_since
+        silent_since = member.judge.silent_since
         if state is not None and silent_since is not None and state.seen_at > silent_since:
-            watch.judge.answered(now)
+            member.judge.answered(now)
 
-    async def _send_probes(self, name: str, watch: _Watch) -> None:
+    async def _send_probes(self, name: str, member: _MonitoredMember) -> None:
         while True:
-            await watch.pending_probes.acquire()
+            await member.pending_probes.acquire()
             try:
-                await self._probe(name, watch)
+                await self._probe(name, member)
             except OSError as error:
                 _log.warning("probe-failed", member=name, reason=error)
             finally:
-                watch.probes_in_flight -= 1
-            await watch.wake.set()
+                member.probes_in_flight -= 1
+            await member.wake.set()
 
-    async def _probe(self, name: str, watch: _Watch) -> None:
+    async def _probe(self, name: str, member: _MonitoredMember) -> None:
         asked_at = time.monotonic()
-        result = await watch.probe.ask(PROBE_TIMEOUT_FACTOR * watch.judge.silence_limit_s)
+        result = await member.probe.ask(PROBE_TIMEOUT_FACTOR * member.judge.silence_limit_s)
         now = time.monotonic()
         if isinstance(result, Ok):
-            watch.judge.take_role(result.ok_value.position.is_replica)
-            watch.judge.answered(now, result.ok_value.round_trip_s)
+            member.judge.take_role(result.ok_value.position.is_replica)
+            member.judge.answered(now, result.ok_value.round_trip_s)
             self._observe(name, result.ok_value.position, asked_at)
             state = self._view.members.get(name)
             if state is not None and result.ok_value.round_trip_s:
                 state.answered_in(result.ok_value.round_trip_s)
         elif is_overload(result.err_value):
-            watch.judge.overloaded(now)
+            member.judge.overloaded(now)
         elif not is_silence(result.err_value):
             self._view.restarted(name)
-            watch.judge.refused(now)
+            member.judge.refused(now)
 
     def _observe(self, name: str, answer: PositionAnswer, asked_at: float) -> None:
         now = time.monotonic()
         self._view.observed(name, answer.place, answer.is_replica, asked_at, now)
 
-    async def _publish(self, name: str, watch: _Watch) -> None:
+    async def _publish(self, name: str, member: _MonitoredMember) -> None:
         """Report the member when its health, term, role or recorded term changed."""
         state = self._view.members.get(name)
-        if state is None or not watch.judge.judged:
+        if state is None or not member.judge.judged:
             return
-        health = watch.judge.health
+        health = member.judge.health
         is_primary = state.is_replica is False
-        known_term = watch.reported.term if watch.reported is not None else 0
+        known_term = member.reported.term if member.reported is not None else 0
         term = state.place.term or known_term
         recorded_term = self._view.term if self._view.primary == name else 0
         present = _Reported(health, term, is_primary, recorded_term)
-        if present == watch.reported:
+        if present == member.reported:
             return
-        changed = watch.reported is None or watch.reported.health is not health
-        watch.reported = present
+        changed = member.reported is None or member.reported.health is not health
+        member.reported = present
         state.health = health
         if changed:
             _log.info("member-health", group=self._view.name, member=name, health=health)
@@ -266,9 +266,9 @@
         asked_at = time.monotonic()
         answers: dict[str, PositionAnswer] = {}
         changed = curio.Event()
-        for name, watch in self._watches.items():
-            if watch.confirmations_in_flight < MAXIMUM_PROBES:
-                await curio.spawn(self._ask, name, watch, answers, changed, daemon=True)
+        for name, member in self._members.items():
+            if member.confirmations_in_flight < MAXIMUM_PROBES:
+                await curio.spawn(self._ask, name, member, answers, changed, daemon=True)
         while not self._is_confirmed(answers, term, primary):
             left = asked_at + CONFIRM_TIMEOUT_S - time.monotonic()
             if left <= 0:
@@ -282,17 +282,17 @@
     async def _ask(
         self,
         name: str,
-        watch: _Watch,
+        member: _MonitoredMember,
         answers: dict[str, PositionAnswer],
         changed: curio.Event,
     ) -> None:
         """Query one member for a round."""
         asked_at = time.monotonic()
-        watch.confirmations_in_flight += 1
+        member.confirmations_in_flight += 1
         try:
-            result = await watch.probe.ask()
+            result = await member.probe.ask()
         finally:
-            watch.confirmations_in_flight -= 1
+            member.confirmations_in_flight -= 1
         if isinstance(result, Ok):
             answers[name] = result.ok_value.position
             self._observe(name, result.ok_value.position, asked_at)
