--- a/features/soak/checks.py
+++ b/features/soak/checks.py
@@ -7,7 +7,6 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from features.soak.lives import GRACE_S, Lives
 from features.soak.load import (
     BATCH_DATABASE,
     BURST,
@@ -17,6 +16,7 @@
     Asked,
     ClientRecord,
 )
+from features.soak.process_history import GRACE_S, Lives
 from features.support.line_platform.group import StandInGroup
 
 SHOWN = 5
--- a/features/soak/world.py
+++ b/features/soak/world.py
@@ -11,8 +11,8 @@
 
 import curio
 
-from features.soak.lives import Lives
 from features.soak.plan import Fault, FaultKind
+from features.soak.process_history import Lives
 from features.soak.relay import MemberRelay
 from features.soak.stops import Series, StopKind
 from features.support.line_platform.deployment import CONTROLLERS, PROXIES, Deployment
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -9,7 +9,6 @@
 from behave import given, step, then, when
 
 from features.soak.checks import check, check_load, check_stops
-from features.soak.lives import Life, Lives, handles
 from features.soak.load import (
     BATCH_DATABASE,
     MODEST,
@@ -21,6 +20,7 @@
     WriteTold,
 )
 from features.soak.plan import draw_plan
+from features.soak.process_history import Life, Lives, handles
 from features.soak.run import SoakShape, report, run_soak
 from features.soak.stops import draw_series
 from features.soak.waves import draw_waves
