--- a/limedyke_lab/checkers/material.py
+++ b/limedyke_lab/checkers/material.py
@@ -131,7 +131,7 @@
     return len(revisions.confirmations(history)) if seen_revisions(history) else 0
 
 
-MATERIAL: dict[str, Callable[[History], int]] = {
+CASE_COUNTS: dict[str, Callable[[History], int]] = {
     consistency.READ_YOUR_WRITES: reads_after_writes,
     consistency.ANSWERS: answers,
     consistency.ANSWERED: operations,
--- a/limedyke_lab/checkers/report.py
+++ b/limedyke_lab/checkers/report.py
@@ -13,7 +13,7 @@
     transactions,
     writes,
 )
-from limedyke_lab.checkers.material import MATERIAL
+from limedyke_lab.checkers.material import CASE_COUNTS
 from limedyke_lab.checkers.violation import Checker, Violation
 from limedyke_lab.history import History, read_records
 
@@ -68,14 +68,14 @@
     for gap in measures.failover_gaps(history):
         lines.append(f"{gap.event.name} of {gap.event.target}: gap {gap.gap_ms:.0f} ms")
     for name, count in count_by_checker(violations).items():
-        lines.append(f"checker {name}: {count} violations in {MATERIAL[name](history)} cases")
+        lines.append(f"checker {name}: {count} violations in {CASE_COUNTS[name](history)} cases")
     lines.extend(str(violation) for violation in violations[:SHOWN_VIOLATIONS])
     return lines
 
 
 def without_material(history: History, checkers: Iterable[str]) -> list[str]:
     """Return those of some checkers that found nothing to judge, whose zeros mean nothing."""
-    return [name for name in checkers if not MATERIAL[name](history)]
+    return [name for name in checkers if not CASE_COUNTS[name](history)]
 
 
 def run_check(history_file: Path, member_folder: Path | None) -> int:
