--- a/limedyke_lab/checkers/report.py
+++ b/limedyke_lab/checkers/report.py
@@ -32,7 +32,7 @@
     revisions.REVISIONS: revisions.check_revisions,
     revisions.IN_FORCE: revisions.check_in_force,
 }
-ALWAYS_WITH_MATERIAL = (
+CHECKERS_REQUIRING_CASES = (
     consistency.READ_YOUR_WRITES,
     consistency.ANSWERS,
     consistency.ANSWERED,
@@ -86,7 +86,7 @@
     history = read_records(files)
     violations = check_all(history)
     print("\n".join(describe(history, violations)))
-    nothing = without_material(history, ALWAYS_WITH_MATERIAL)
+    nothing = without_material(history, CHECKERS_REQUIRING_CASES)
     if nothing:
         print(f"too little to judge: {', '.join(nothing)}")
     return EXIT_VIOLATION if violations or nothing else EXIT_OK
--- a/limedyke_lab/demo.py
+++ b/limedyke_lab/demo.py
@@ -8,7 +8,7 @@
 from limedyke_lab.checkers import consistency, measures, transactions, writes
 from limedyke_lab.checkers.fault_windows import KILL, UNDO
 from limedyke_lab.checkers.report import (
-    ALWAYS_WITH_MATERIAL,
+    CHECKERS_REQUIRING_CASES,
     check_all,
     count_by_checker,
     describe,
@@ -64,7 +64,7 @@
     """
     violations = check_all(history)
     print("\n".join(describe(history, violations)))
-    nothing = without_material(history, (*ALWAYS_WITH_MATERIAL, REVISIONS, IN_FORCE))
+    nothing = without_material(history, (*CHECKERS_REQUIRING_CASES, REVISIONS, IN_FORCE))
     if nothing:
         _say(f"too little to judge: {', '.join(nothing)}")
     print(summary(history), flush=True)
--- a/limedyke_lab/experiments/fault_runs.py
+++ b/limedyke_lab/experiments/fault_runs.py
@@ -9,7 +9,7 @@
 
 from limedyke_lab.checkers import measures
 from limedyke_lab.checkers.report import (
-    ALWAYS_WITH_MATERIAL,
+    CHECKERS_REQUIRING_CASES,
     check_all,
     count_by_checker,
     without_material,
@@ -109,7 +109,7 @@
 
 
 def _too_little(history: History) -> list[str]:
-    return without_material(history, (*ALWAYS_WITH_MATERIAL, REVISIONS, IN_FORCE))
+    return without_material(history, (*CHECKERS_REQUIRING_CASES, REVISIONS, IN_FORCE))
 
 
 def _groups_without_writes(history: History, settings: FaultSettings) -> int:
