--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -19,6 +19,7 @@
 import fire
 
 from features.soak.checks import Violation, check, check_load, check_stops
+from features.soak.fault_injection import SoakDeployment, Striker, Worker
 from features.soak.load import (
     BATCH_DATABASE,
     BATCH_PRIORITY,
@@ -31,7 +32,6 @@
 from features.soak.plan import Fault, draw_plan
 from features.soak.stops import Series, draw_answer_time_s, draw_series
 from features.soak.waves import ANSWER_S, Wave, WaveLoad, draw_waves
-from features.soak.world import SoakDeployment, Striker, Worker
 from features.support.line_platform.deployment import CONTROLLERS, PROXIES, ZONES
 
 DEFAULT_SECONDS = 15.0
--- a/features/soak/versions.py
+++ b/features/soak/versions.py
@@ -24,9 +24,9 @@
 import fire
 
 from features.soak.checks import Violation, check, check_stops
+from features.soak.fault_injection import SoakDeployment
 from features.soak.load import TENANTS, SoakClient
 from features.soak.run import RECOVERY_S, SETTLE_S, START_LIMIT_S, Operator, SoakShape
-from features.soak.world import SoakDeployment
 from features.support.line_platform.deployment import CONTROLLERS
 from features.support.platform_path import PLATFORM_FOLDER
 from features.support.run_features import fleet_turn
