--- a/limedyke_lab/checkers/report.py
+++ b/limedyke_lab/checkers/report.py
@@ -73,7 +73,7 @@
     return lines
 
 
-def without_material(history: History, checkers: Iterable[str]) -> list[str]:
+def checkers_without_cases(history: History, checkers: Iterable[str]) -> list[str]:
     """Return those of some checkers that found nothing to judge, whose zeros mean nothing."""
     return [name for name in checkers if not CASE_COUNTS[name](history)]
 
@@ -86,7 +86,7 @@
     history = read_records(files)
     violations = check_all(history)
     print("\n".join(describe(history, violations)))
-    nothing = without_material(history, CHECKERS_REQUIRING_CASES)
+    nothing = checkers_without_cases(history, CHECKERS_REQUIRING_CASES)
     if nothing:
         print(f"too little to judge: {', '.join(nothing)}")
     return EXIT_VIOLATION if violations or nothing else EXIT_OK
--- a/limedyke_lab/demo.py
+++ b/limedyke_lab/demo.py
@@ -10,9 +10,9 @@
 from limedyke_lab.checkers.report import (
     CHECKERS_REQUIRING_CASES,
     check_all,
+    checkers_without_cases,
     count_by_checker,
     describe,
-    without_material,
 )
 from limedyke_lab.checkers.revisions import CONFIRMED, IN_FORCE, REVISIONS
 from limedyke_lab.fleet.fleet import Fleet, FleetOptions
@@ -64,7 +64,7 @@
     """
     violations = check_all(history)
     print("\n".join(describe(history, violations)))
-    nothing = without_material(history, (*CHECKERS_REQUIRING_CASES, REVISIONS, IN_FORCE))
+    nothing = checkers_without_cases(history, (*CHECKERS_REQUIRING_CASES, REVISIONS, IN_FORCE))
     if nothing:
         _say(f"too little to judge: {', '.join(nothing)}")
     print(summary(history), flush=True)
--- a/limedyke_lab/experiments/fault_runs.py
+++ b/limedyke_lab/experiments/fault_runs.py
@@ -11,8 +11,8 @@
 from limedyke_lab.checkers.report import (
     CHECKERS_REQUIRING_CASES,
     check_all,
+    checkers_without_cases,
     count_by_checker,
-    without_material,
 )
 from limedyke_lab.checkers.revisions import IN_FORCE, REVISIONS
 from limedyke_lab.experiments.baselines import BASELINES
@@ -109,7 +109,7 @@
 
 
 def _too_little(history: History) -> list[str]:
-    return without_material(history, (*CHECKERS_REQUIRING_CASES, REVISIONS, IN_FORCE))
+    return checkers_without_cases(history, (*CHECKERS_REQUIRING_CASES, REVISIONS, IN_FORCE))
 
 
 def _groups_without_writes(history: History, settings: FaultSettings) -> int:
