--- a/limedyke_lab/checkers/measures.py
+++ b/limedyke_lab/checkers/measures.py
@@ -121,7 +121,7 @@
     return max(pauses, default=0) / _NANOSECONDS_PER_MS
 
 
-def statements_done(history: History) -> int:
+def count_done_operations(history: History) -> int:
     """Return how many operations were answered as done."""
     return sum(operation.outcome is ClientOutcome.DONE for operation in history.operations)
 
--- a/limedyke_lab/demo.py
+++ b/limedyke_lab/demo.py
@@ -119,7 +119,7 @@
     gaps = [gap.gap_ms for gap in measures.failover_gaps(history)]
     mixed = counts[consistency.ANSWERS] + counts[transactions.TRANSACTIONS]
     values = {
-        "statements": measures.statements_done(history),
+        "statements": measures.count_done_operations(history),
         "replica_read_share": f"{measures.read_share(history).share:.3f}",
         "failover_gap_ms": f"{max(gaps, default=float('nan')):.0f}",
         "stale_reads": counts[consistency.READ_YOUR_WRITES],
--- a/limedyke_lab/experiments/fault_runs.py
+++ b/limedyke_lab/experiments/fault_runs.py
@@ -48,7 +48,7 @@
     counts = count_by_checker(violations)
     gaps = [gap.gap_ms for gap in measures.failover_gaps(history)]
     values: dict[str, Value] = {
-        "done": measures.statements_done(history),
+        "done": measures.count_done_operations(history),
         "violations": len(violations),
         "found_by": ",".join(name for name, number in counts.items() if number) or "none",
         "too_little": ",".join(_too_little(history)) or "none",
