--- a/limedyke_lab/checkers/report.py
+++ b/limedyke_lab/checkers/report.py
@@ -13,7 +13,7 @@
     transactions,
     writes,
 )
-from limedyke_lab.checkers.material import CASE_COUNTS
+from limedyke_lab.checkers.case_counts import CASE_COUNTS
 from limedyke_lab.checkers.violation import Checker, Violation
 from limedyke_lab.history import History, read_records
 
