--- a/limedyke_lab/simulator/run.py
+++ b/limedyke_lab/simulator/run.py
@@ -20,13 +20,13 @@
 from limedyke_lab.simulator.checkers import RunRecord, Violation, check_all
 from limedyke_lab.simulator.clients.operators import Operator, set_leaving
 from limedyke_lab.simulator.coverage import count
+from limedyke_lab.simulator.fault_injector import Strikes
 from limedyke_lab.simulator.faults import FIRST_AT_S, Fault, Targets, draw_faults
 from limedyke_lab.simulator.instruments import instruments
 from limedyke_lab.simulator.layout import BUDGETS, CONNECTION_LIMIT, OPERATORS, tenant_name
 from limedyke_lab.simulator.machine.curio_process import CurioProcess, SpinningError
 from limedyke_lab.simulator.machine.environment import Environment
 from limedyke_lab.simulator.members.member_log import Record
-from limedyke_lab.simulator.strikes import Strikes
 from limedyke_lab.simulator.world import World
 
 DEFAULT_FAULTS_S = 14.0
