--- a/limedyke_lab/experiments/fault_runs.py
+++ b/limedyke_lab/experiments/fault_runs.py
@@ -9,10 +9,10 @@
 
 from limedyke_lab.checkers import measures
 from limedyke_lab.checkers.report import (
-    ALWAYS_WITH_MATERIAL,
+    CHECKERS_REQUIRING_CASES,
     check_all,
+    checkers_without_cases,
     count_by_checker,
-    without_material,
 )
 from limedyke_lab.checkers.revisions import IN_FORCE, REVISIONS
 from limedyke_lab.experiments.baselines import BASELINES
@@ -48,7 +48,7 @@
     counts = count_by_checker(violations)
     gaps = [gap.gap_ms for gap in measures.failover_gaps(history)]
     values: dict[str, Value] = {
-        "done": measures.statements_done(history),
+        "done": measures.count_done_operations(history),
         "violations": len(violations),
         "found_by": ",".join(name for name, number in counts.items() if number) or "none",
         "too_little": ",".join(_too_little(history)) or "none",
@@ -109,7 +109,7 @@
 
 
 def _too_little(history: History) -> list[str]:
-    return without_material(history, (*ALWAYS_WITH_MATERIAL, REVISIONS, IN_FORCE))
+    return checkers_without_cases(history, (*CHECKERS_REQUIRING_CASES, REVISIONS, IN_FORCE))
 
 
 def _groups_without_writes(history: History, settings: FaultSettings) -> int:
