--- a/limedyke/core/sessions/__init__.py
+++ b/limedyke/core/sessions/__init__.py
@@ -1,1 +1,1 @@
-"""A PostgreSQL client's session: messages in, units and answers out."""
+"""PostgreSQL client sessions: turn client messages into work units and responses."""
--- a/limedyke/core/sessions/batch.py
+++ b/limedyke/core/sessions/batch.py
@@ -1,4 +1,4 @@
-"""What one batch of a client's messages asks for, and the names they use."""
+"""The plan of one batch of client messages, and the statement and portal names of a session."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 STATEMENT_NAME_PREFIX = "ld_"
 STATEMENT_NAME_DIGITS = 32
-# SQLSTATEs as PostgreSQL gives them.
+# SQLSTATE codes that PostgreSQL uses for the same errors.
 UNKNOWN_STATEMENT = "26000"
 DUPLICATE_STATEMENT = "42P05"
 CONFIGURATION_LIMIT = "53400"
@@ -40,7 +40,7 @@
 
 
 class BatchError(Exception):
-    """The batch is refused as a whole; ``answer`` is the ErrorResponse."""
+    """The whole batch is rejected; ``answer`` is the ErrorResponse to send."""
 
     def __init__(self, answer: bytes) -> None:
         super().__init__("refused")
@@ -51,8 +51,8 @@
 class ParsedStatement:
     """A statement that a session parsed.
 
-    :param prepared: its form at the back end, for a named one
-    :param parse: the client's Parse message, for the unnamed one
+    :param prepared: the statement as sent to the back end; set for named statements
+    :param parse: the client's Parse message; set for the unnamed statement
     """
 
     profile: StatementProfile
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class StatementNames:
-    """What a session's names stand for; kept between batches."""
+    """The prepared statements and portals of a session by name; kept between batches."""
 
     named: dict[bytes, ParsedStatement] = field(default_factory=dict)
     unnamed: ParsedStatement | None = None
@@ -70,7 +70,7 @@
 
     @property
     def size(self) -> int:
-        """Characters of the texts of the named statements."""
+        """Total length of the texts of the named statements, in characters."""
         return sum(len(known.prepared.text) for known in self.named.values() if known.prepared)
 
 
@@ -79,11 +79,11 @@
     """What one batch asks for.
 
     :param data: messages for the back end, ending in Query or Sync; empty when none is needed
-    :param slots: the expected answer, or None when it passes as it is
-    :param only_queries: every statement only asks for rows by its first words
-    :param is_partial: what follows in the batch belongs to the same implicit transaction: a
-        portal is left open, or something was written
-    :param local_answer: the whole answer, when no slots are given and nothing is to run
+    :param slots: the expected answer, or None to relay the answer unchanged
+    :param only_queries: every statement is a query, judged by its first words
+    :param is_partial: the rest of the batch belongs to the same implicit transaction, because a
+        portal is still open or something was written
+    :param local_answer: the complete answer, if no slots are given and nothing has to run
     """
 
     access: Access = Access.READ
@@ -101,9 +101,9 @@
 
 
 class LocalAnswers:
-    """Answers of the proxy itself, given by the session.
+    """Builds the answers to statements that the proxy executes itself.
 
-    :param run: carries out a change and returns the value to show, or raises ``BatchError``
+    :param run: applies a session change and returns the value to show, or raises ``BatchError``
     """
 
     __slots__ = ("run",)
@@ -112,14 +112,14 @@
         self.run = run
 
     def describe(self, profile: StatementProfile) -> bytes:
-        """Return what describes the rows of a statement."""
+        """Return the RowDescription or NoData of a statement."""
         change = _first_change(profile)
         if change is None or change.effect is not Effect.SHOW:
             return NO_DATA
         return text_row_description(change.name)
 
     def execute(self, profile: StatementProfile) -> bytes:
-        """Carry a statement out and return its answer without a description."""
+        """Execute a statement and return its answer without the row description."""
         change = _first_change(profile)
         if change is None:
             return EMPTY_QUERY
@@ -135,17 +135,17 @@
 
 
 def check_refusal(profile: StatementProfile) -> None:
-    """Raise ``BatchError`` for a statement the proxy doesn't carry."""
+    """Raise ``BatchError`` for a statement that the proxy doesn't support."""
     if profile.refusal:
         failure = Failure(ResultCode.FEATURE_NOT_SUPPORTED, f"Not carried: {profile.refusal}.")
         raise BatchError(failure_response(failure))
 
 
 def check_room(names: StatementNames, added: int, size: int) -> None:
-    """Raise ``BatchError`` when a session has no room for another named statement.
+    """Raise ``BatchError`` if one more named statement would exceed the limits of the session.
 
-    :param added: statements that the batch added before
-    :param size: length of its text
+    :param added: number of statements that the batch has added already
+    :param size: length of the text of the new statement
     """
     message = ""
     if len(names.named) + added >= MAXIMUM_PREPARED:
@@ -157,20 +157,20 @@
 
 
 def statement_name(text: bytes, parameter_types: tuple[int, ...]) -> str:
-    """Return the name at the back end of a statement with these types."""
+    """Return the name under which the back end knows a statement with these parameter types."""
     digest = hashlib.sha256(text + b"\0" + repr(parameter_types).encode())
     return STATEMENT_NAME_PREFIX + digest.hexdigest()[:STATEMENT_NAME_DIGITS]
 
 
 def with_body(kind: int, body: bytes) -> bytes:
-    """Return a whole message of this type and body."""
+    """Return the encoded message with this type and body."""
     return bytes((kind,)) + _LENGTH.pack(len(body) + _LENGTH.size) + body
 
 
 def plan_query(message: ClientMessage, profile: StatementProfile, local: LocalAnswers) -> BatchPlan:
-    """Plan a simple query, other than PREPARE and EXECUTE.
+    """Plan a simple query other than PREPARE and EXECUTE.
 
-    :raises BatchError: when it is refused
+    :raises BatchError: when the query is rejected
     """
     check_refusal(profile)
     if profile.local:
--- a/limedyke/core/sessions/batch_planning.py
+++ b/limedyke/core/sessions/batch_planning.py
@@ -1,4 +1,4 @@
-"""Plans the two kinds of batch for a session: a simple query, and extended messages."""
+"""Plans the two kinds of batch: simple queries and extended-protocol messages."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 ) -> BatchPlan:
     """Plan a simple query.
 
-    :raises BatchError: when it is refused
+    :raises BatchError: when the query is rejected
     :raises ValueError: when the message is malformed
     """
     raw = message.raw
@@ -45,10 +45,10 @@
     messages: list[ClientMessage],
     ready: bool,
 ) -> BatchPlan:
-    """Plan extended messages, without their Sync or Flush.
+    """Plan extended-protocol messages, without the Sync or Flush that ends them.
 
-    :param ready: a Sync ends the batch; else a Flush asks for the answers so far
-    :raises BatchError: when it is refused
+    :param ready: True if a Sync ended the batch, False if a Flush asked for the answers so far
+    :raises BatchError: when the batch is rejected
     :raises ValueError: when a message is malformed
     """
     planner = ExtendedPlanner(
@@ -60,10 +60,10 @@
 
 
 def _check_flush(state: SessionState, plan: BatchPlan, ready: bool) -> None:
-    """Refuse a part of a batch that can't be run apart from the rest.
+    """Reject a flushed part of a batch that can't run separately from the rest.
 
-    :param ready: the part ends the batch
-    :raises BatchError: when it is refused
+    :param ready: whether this part ends the batch
+    :raises BatchError: when the part is rejected
     """
     if ready or state.is_in_transaction or not plan.is_partial:
         return
--- a/limedyke/core/sessions/client_exchange.py
+++ b/limedyke/core/sessions/client_exchange.py
@@ -1,4 +1,4 @@
-"""What goes into and comes out of the sans-IO client side: events and commands."""
+"""Events that go into the sans-IO client side, and commands that come out of it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Moment:
-    """The time of an event: monotonic seconds, and Unix time in whole seconds."""
+    """The time of an event: monotonic time in seconds, and Unix time in whole seconds."""
 
     now: float
     unix_s: int
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientMessages:
-    """Whole messages that the client sent."""
+    """Complete messages that the client sent."""
 
     messages: list[ClientMessage]
     moment: Moment
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerReceived:
-    """Part of the answer to the unit under way."""
+    """Part of the answer to the running unit."""
 
     chunk: AnswerChunk
 
 
 @dataclass(frozen=True, slots=True)
 class UnitEnded:
-    """The unit under way has ended."""
+    """The running unit has ended."""
 
     end: AnswerEnd
     moment: Moment
@@ -42,16 +42,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time passes."""
+    """Periodic event for time limits."""
 
     moment: Moment
 
 
 @dataclass(frozen=True, slots=True)
 class LeaveRequested:
-    """The session is to end as soon as nothing of it is under way, for this reason.
+    """Ask the session to end as soon as it is idle; ``failure`` is the reason for the client.
 
-    To be repeated until it ends.
+    The event must be repeated until the session ends.
     """
 
     failure: Failure
@@ -67,33 +67,33 @@
 
 @dataclass(frozen=True, slots=True)
 class RunUnit:
-    """Run a unit; its answer comes back as ``AnswerReceived`` and ``UnitEnded``."""
+    """Run a unit; the answer comes back as ``AnswerReceived`` and ``UnitEnded`` events."""
 
     unit: WorkUnit
 
 
 @dataclass(frozen=True, slots=True)
 class AbandonUnit:
-    """Roll a transaction back or stop a unit; nothing comes back."""
+    """Roll back a transaction or stop a unit; no event comes back."""
 
     work: AbandonWork
 
 
 @dataclass(frozen=True, slots=True)
 class CloseClient:
-    """Close the client's connection once what was sent before has gone out."""
+    """Close the client's connection after all pending data has been sent."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class StartTls:
-    """Begin TLS on the connection now."""
+    """Start the TLS handshake on the connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class CancelOther:
-    """Cancel what the connection with this key data is running."""
+    """Cancel the unit that the connection with this cancel key is running."""
 
     process_id: int
     secret: int
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoginSucceeded:
-    """The client proved who it is.
+    """The client is authenticated.
 
     :param settings: session settings by lower-case name, from the startup packet
     """
--- a/limedyke/core/sessions/client_input.py
+++ b/limedyke/core/sessions/client_input.py
@@ -1,4 +1,4 @@
-"""What a client has sent and the session hasn't run yet: waiting messages, and an open batch."""
+"""Client messages that the session hasn't run yet: the queue and the open batch."""
 
 from __future__ import annotations
 
@@ -8,9 +8,11 @@
 
 
 class ClientInput:
-    """The input of one session; most sessions are idle, so the containers are made at need.
+    """The input of one session.
 
-    :ivar skip_to_sync: an error was answered, so that messages count again behind the next Sync
+    Containers are created lazily, because most sessions are idle.
+
+    :ivar skip_to_sync: after an error, messages are ignored until the next Sync
     """
 
     __slots__ = ("_batch", "_batch_bytes", "_waiting", "skip_to_sync")
@@ -23,30 +25,30 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether no message waits and no batch is open."""
+        """Whether no message is queued and no batch is open."""
         return not self._waiting and not self._batch
 
     @property
     def has_open_batch(self) -> bool:
-        """Whether extended messages wait for their Sync or Flush."""
+        """Whether extended-protocol messages wait for their Sync or Flush."""
         return bool(self._batch)
 
     def add(self, messages: list[ClientMessage]) -> None:
-        """Let messages wait behind those that came before."""
+        """Append messages to the queue."""
         if self._waiting is None:
             self._waiting = deque(messages)
         else:
             self._waiting.extend(messages)
 
     def next_message(self) -> ClientMessage | None:
-        """Take the next waiting message; None when none waits."""
+        """Remove and return the next queued message; None if the queue is empty."""
         if not self._waiting:
             self._waiting = None
             return None
         return self._waiting.popleft()
 
     def gather(self, message: ClientMessage) -> int:
-        """Add an extended message to the open batch; return the batch's size in bytes."""
+        """Add an extended-protocol message to the open batch; return the batch size in bytes."""
         if self.skip_to_sync:
             return self._batch_bytes
         if self._batch is None:
@@ -56,7 +58,7 @@
         return self._batch_bytes
 
     def take_batch(self) -> list[ClientMessage]:
-        """Take the messages of the open batch, which ends with this."""
+        """Return the messages of the open batch and close it."""
         messages = self._batch or []
         self._batch = None
         self._batch_bytes = 0
--- a/limedyke/core/sessions/extended_batch.py
+++ b/limedyke/core/sessions/extended_batch.py
@@ -1,10 +1,11 @@
 """Plans one batch of extended-protocol messages.
 
-Unnamed statements pass as they are; one parsed in an earlier batch is sent
-again, its answer hidden.  Named statements get a name made of text and types,
-so that any connection of the tenant can know them: the client's Parse is
-answered here and the statement is listed in ``prepared`` for the back end to
-parse where it isn't known.
+Unnamed statements are forwarded unchanged.  If one was parsed in an earlier
+batch, its Parse is sent again and the answer to it is hidden from the client.
+Named statements are renamed to a digest of their text and parameter types, so
+that all connections of the tenant can share them.  The proxy answers the
+client's Parse itself and lists the statement in ``prepared``; the back end
+parses it on each connection that doesn't have it yet.
 """
 
 from __future__ import annotations
@@ -63,10 +64,10 @@
 class ExtendedPlanner:
     """Plans a batch of extended-protocol messages.
 
-    :param names: the session's names; changed once the answer tells that they hold
-    :param profile_of: gives the profile of a statement's text
-    :param admit: gives the profile that holds at present, or raises ``BatchError``; it may ask
-        whether the batch opens a transaction
+    :param names: the session's names; registered once the answer confirms the statements
+    :param profile_of: returns the profile of a statement text
+    :param admit: returns the profile that applies in the current transaction state, or raises
+        ``BatchError``; its second argument tells whether the batch opens a transaction
     """
 
     def __init__(
@@ -95,9 +96,9 @@
         self._plan.only_queries = True
 
     def plan(self, messages: list[ClientMessage]) -> BatchPlan:
-        """Return the plan of messages without their Sync or Flush.
+        """Return the plan of the messages, given without their Sync or Flush.
 
-        :raises BatchError: when the batch is refused
+        :raises BatchError: when the batch is rejected
         :raises ValueError: when a message is malformed
         """
         self._messages = messages
@@ -159,7 +160,8 @@
         if len(rest) < 2:
             raise ValueError("Parse without parameter types")
         profile = self._profile_of(text)
-        # What holds at present holds for the answer only: the name may be used later.
+        # The current transaction state affects only this answer: the statement itself may be
+        # executed later, in another state.
         is_local = self._admit(profile, self._opens).local
         check_refusal(profile)
         if any(change.effect in (Effect.PREPARE, Effect.EXECUTE) for _, change in profile.changes):
@@ -211,7 +213,7 @@
         self._forward(with_body(message.kind, body), COMPLETES_BIND)
 
     def _find(self, name: bytes) -> ParsedStatement:
-        """Return the statement of a name and see that the back end will know it."""
+        """Return the statement with this name, and list it for the back end to parse."""
         known = self._names.unnamed
         if name:
             known = self._parsed.get(name)
@@ -261,7 +263,7 @@
         if len(rest) != len(NO_ROW_LIMIT):
             raise ValueError("Execute without row limit")
         known = self._portals.get(portal)
-        # A cursor's portal, or one that doesn't exist, is left to the member.
+        # The portal belongs to a cursor or doesn't exist; the member decides.
         profile = StatementProfile(Access.WRITE) if known is None else known.profile
         if profile.local:
             self._answer(self._local.execute(profile))
--- a/limedyke/core/sessions/extended_messages.py
+++ b/limedyke/core/sessions/extended_messages.py
@@ -1,4 +1,4 @@
-"""What single extended-protocol messages hold."""
+"""Parses the contents of single extended-protocol messages."""
 
 from __future__ import annotations
 
@@ -48,9 +48,9 @@
 
 
 def prepared_statement(text: bytes, body: bytes) -> PreparedStatement:
-    """Return the back end's form of a named statement.
+    """Return the form in which a named statement is sent to the back end.
 
-    :param body: of the Parse message
+    :param body: body of the Parse message
     :raises BatchError: when the text is not UTF-8
     """
     parsed = element3.Parse.parse(body)
--- a/limedyke/core/sessions/local_commands.py
+++ b/limedyke/core/sessions/local_commands.py
@@ -1,4 +1,4 @@
-"""Commands that the proxy answers itself: its own settings, prepared names, DISCARD."""
+"""Commands that the proxy executes itself: its own settings, DEALLOCATE, DISCARD."""
 
 from __future__ import annotations
 
@@ -40,10 +40,10 @@
 
 
 class LocalCommands:
-    """Carries out the commands of one batch.
+    """Executes the local commands of one batch.
 
-    :ivar notices: sent before the answer
-    :ivar statuses: sent before ReadyForQuery
+    :ivar notices: NoticeResponse messages to send before the answer
+    :ivar statuses: ParameterStatus messages to send before ReadyForQuery
     """
 
     __slots__ = ("_context", "_moment", "_state", "notices", "statuses")
@@ -58,12 +58,13 @@
     def admit(
         self, profile: StatementProfile, opens: Callable[[], bool] | None = None
     ) -> StatementProfile:
-        """Return the profile that holds in the present transaction state.
+        """Return the profile that applies in the current transaction state.
 
-        The end of a lost transaction, or of none, is answered here; after a lost
-        transaction nothing else is taken.
+        The proxy itself answers COMMIT and ROLLBACK when the transaction is lost or none is
+        open.  In a lost transaction it rejects every other statement.
 
-        :param opens: tells whether the batch opens a transaction itself, which an end may mean
+        :param opens: tells whether the batch itself opens a transaction, which a COMMIT or
+            ROLLBACK in the batch may then end
         """
         state = self._state
         if profile.changes:
@@ -85,7 +86,7 @@
         raise BatchError(error_response(FAILED_TRANSACTION, message))
 
     def _check_size(self, profile: StatementProfile) -> None:
-        """Refuse settings that would make the session too large to keep and to replay."""
+        """Reject settings that would make the session too large to store and to replay."""
         added = sum(
             len(change.name) + len(change.value)
             for _, change in profile.changes
@@ -96,7 +97,7 @@
             raise BatchError(error_response(CONFIGURATION_LIMIT, message))
 
     def _check_read_only(self, profile: StatementProfile) -> None:
-        """Refuse to make a transaction writable that was routed as a read-only one."""
+        """Reject making a transaction writable after it was routed as read-only."""
         if not self._state.read_only:
             return
         if any(change.name == READ_ONLY_MODE for _, change in profile.changes):
@@ -105,7 +106,10 @@
             raise BatchError(failure_response(failure))
 
     def run(self, change: SessionChange) -> str:
-        """Carry out a command and return the value to show; raises ``BatchError``."""
+        """Execute a command and return the value to show.
+
+        :raises BatchError: when the command fails
+        """
         match change.effect:
             case Effect.SET | Effect.RESET:
                 self._set(change.name, change.value)
@@ -122,9 +126,9 @@
         return ""
 
     def take_setting(self, name: str, value: str) -> Failure | None:
-        """Take one of the proxy's own settings; returns why a token is refused.
+        """Apply one of the proxy's own settings; return the failure if a token is rejected.
 
-        :raises BatchError: for another invalid value
+        :raises BatchError: for any other invalid value
         """
         if name == SESSION_TOKEN_SETTING:
             return self._take_token(value)
@@ -139,7 +143,7 @@
         return None
 
     def token_status(self) -> bytes:
-        """Return the ParameterStatus with the session's token; empty while no key is declared."""
+        """Return the ParameterStatus with the session token; empty if no key is declared."""
         token = self._token()
         return parameter_status(SESSION_TOKEN_SETTING, token) if token else b""
 
--- a/limedyke/core/sessions/session.py
+++ b/limedyke/core/sessions/session.py
@@ -1,8 +1,9 @@
-"""A client's session, sans-IO: events in, commands out.
+"""A client session as a sans-IO state machine: events in, commands out.
 
-One unit is under way at a time; further batches of the client wait and are
-answered in order.  The session knows the transaction state that the client
-sees, the position of its last write, and what a connection needs to serve it.
+A session runs one unit at a time; further batches of the client are queued
+and answered in order.  The session tracks the transaction state that the client
+sees, the log position of its last write, and the settings and prepared
+statements that a back-end connection needs to serve it.
 """
 
 from __future__ import annotations
@@ -53,11 +54,11 @@
 FUNCTION_CALL = ord("F")
 EXTENDED = frozenset(b"PBDEC")
 COPY_LEFTOVERS = frozenset(b"dcf")
-"""CopyData, CopyDone and CopyFail: ignored outside of a copy, as PostgreSQL does."""
+"""CopyData, CopyDone and CopyFail, which are ignored outside of COPY, as in PostgreSQL."""
 
 
 class Session:
-    """The session of one client from its login on."""
+    """The session of one client after its login."""
 
     __slots__ = ("_closed", "_context", "_input", "_leave", "_running", "state")
 
@@ -71,17 +72,17 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing runs, waits or is open for this client."""
+        """Whether no unit runs, no input is queued and no transaction is open."""
         runs_nothing = self._running is None and self._input.is_empty
         return runs_nothing and not self.state.is_in_transaction
 
     @property
     def running(self) -> WorkUnit | None:
-        """The unit under way."""
+        """The running unit, or None."""
         return None if self._running is None else self._running.unit
 
     def handle(self, event: Event) -> list[SessionCommand]:
-        """Take an event and return what to do."""
+        """Process an event and return the resulting commands."""
         if self._closed:
             return self._take_late(event)
         match event:
@@ -97,7 +98,7 @@
                 return self._take_leave(failure, moment)
 
     def _take_late(self, event: Event) -> list[SessionCommand]:
-        """Take an event after the client has gone: nothing may stay open for it."""
+        """Process an event after the client has gone: roll back a transaction left open."""
         if not isinstance(event, UnitEnded) or self._running is None:
             return []
         number = self._running.unit.transaction
@@ -107,7 +108,7 @@
         return [AbandonUnit(AbandonWork(0, number, False))]
 
     def abandon(self) -> list[SessionCommand]:
-        """Return what stops the client's work once the client is gone."""
+        """Close the session; return the commands that stop its work after the client has gone."""
         self._closed = True
         if self._running is not None:
             unit = self._running.unit
@@ -115,25 +116,26 @@
         return self._abandon_transaction()
 
     def end_now(self, failure: Failure) -> list[SessionCommand]:
-        """End the session whatever is under way.
+        """End the session at once, even if a unit is running.
 
-        :param failure: told where nothing is: it says that a request did not run
+        :param failure: sent to the client if no unit is running, as it states that the request
+            did not run
         """
         commands: list[SessionCommand] = []
-        told = failure
+        reported = failure
         if self._running is not None:
-            told = failure_when_cut(self.state, self._running, failure.code.value.meaning)
-        self._close(told, commands)
+            reported = failure_when_cut(self.state, self._running, failure.code.value.meaning)
+        self._close(reported, commands)
         return commands
 
     def cancel(self) -> list[SessionCommand]:
-        """Return what cancels the unit under way; nothing when none is."""
+        """Return the commands that cancel the running unit; none if no unit is running."""
         if self._running is None:
             return []
         unit = self._running.unit
         return [AbandonUnit(AbandonWork(unit.stream, unit.transaction, True))]
 
-    # Messages of the client
+    # Client messages
 
     def _take_messages(self, messages: list[ClientMessage], moment: Moment) -> list[SessionCommand]:
         if self._refuses_requests(moment):
@@ -145,7 +147,7 @@
         return self._advance([], moment)
 
     def _advance(self, commands: list[SessionCommand], moment: Moment) -> list[SessionCommand]:
-        """Take waiting messages until a unit runs or none is left."""
+        """Process queued messages until a unit is started or the queue is empty."""
         while self._running is None and not self._closed:
             message = self._input.next_message()
             if message is None:
@@ -211,9 +213,9 @@
         commands: list[SessionCommand],
         ready: bool,
     ) -> None:
-        """Plan a batch, then answer it here, run it, or refuse it.
+        """Plan a batch, then answer it locally, run it or reject it.
 
-        :param ready: whether ReadyForQuery ends its answer
+        :param ready: whether ReadyForQuery ends the answer
         """
         try:
             plan = make_plan()
@@ -232,7 +234,7 @@
         commands.append(RunUnit(unit))
 
     def _refuse(self, answer: bytes, commands: list[SessionCommand], ready: bool) -> None:
-        """Answer a batch with an error; an open transaction fails with it."""
+        """Answer a batch with an error; an open transaction fails as well."""
         state = self.state
         if state.is_in_transaction and not state.lost:
             commands.extend(self._abandon_transaction())
@@ -243,7 +245,7 @@
             self._input.skip_to_sync = True
         commands.append(SendToClient(answer))
 
-    # The answer
+    # Answers
 
     def _take_answer(self, data: bytes) -> list[SessionCommand]:
         if self._running is None:
@@ -273,7 +275,7 @@
             commands.append(SendToClient(answer))
         return self._advance(commands, moment)
 
-    # Limits, drain, end
+    # Idle limit, leaving and closing
 
     def _check_idle(self, moment: Moment) -> list[SessionCommand]:
         state = self.state
@@ -292,23 +294,23 @@
 
     @property
     def _may_leave(self) -> bool:
-        """Whether nothing is under way, or open other than a transaction that is lost."""
+        """Whether a session that was asked to leave is idle, apart from a lost transaction."""
         lost = self.state.lost and self._running is None and self._input.is_empty
         return self._leave is not None and (lost or self.is_idle)
 
     def _refuses_requests(self, moment: Moment) -> bool:
-        """Tell whether a request that arrives now is answered by the session's end."""
+        """Tell whether a request that arrives now is rejected by ending the session."""
         return self._may_leave and self._leave.refuses_requests(moment)
 
     def _take_leave(self, failure: Failure, moment: Moment) -> list[SessionCommand]:
-        """End the session unless its last answer or a request may still be on its way.
+        """End the session unless its last answer or a new request may be in transit.
 
-        One that may not end yet is refused by its next request's answer.
+        A session that can't end yet ends with an error on the client's next request.
         """
         if self._leave is None:
             self._leave = LeaveRequest.at(failure, moment)
         commands: list[SessionCommand] = []
-        if self._may_leave and self._leave.ends_unasked(moment, self.state.last_active):
+        if self._may_leave and self._leave.may_close_unprompted(moment, self.state.last_active):
             self._close(self._leave.failure, commands)
         return commands
 
--- a/limedyke/core/sessions/session_context.py
+++ b/limedyke/core/sessions/session_context.py
@@ -1,4 +1,4 @@
-"""What all sessions of a proxy share, and the greeting after a login."""
+"""State shared by all sessions of a proxy, and the messages sent after a login."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     "intervalstyle": ("IntervalStyle", "postgres"),
     "timezone": ("TimeZone", "UTC"),
 }
-"""Reported settings that a startup packet may choose: shown name and default."""
+"""Reported settings that a startup packet may set: lower-case name to reported name and default."""
 FIXED_SETTINGS = {
     "server_version": SERVER_VERSION,
     "server_encoding": "UTF8",
@@ -31,10 +31,10 @@
 
 @dataclass(slots=True)
 class SessionContext:
-    """Shared by the sessions of a proxy; ``authority`` is replaced when keys change.
+    """Shared by the sessions of a proxy; ``authority`` is replaced when the keys change.
 
-    :param next_number: gives numbers for units and transactions, unique in this process
-    :param find_tenant: gives a declared tenant by name
+    :param next_number: returns the next number for a unit or transaction, unique in this process
+    :param find_tenant: returns the declared tenant with this name, or None
     """
 
     statements: StatementCache
@@ -56,7 +56,7 @@
 
 
 def replayed_settings(settings: dict[str, str]) -> dict[str, str]:
-    """Return the startup settings that a connection needs: those other than its defaults."""
+    """Return the startup settings to replay on a connection: those that differ from the default."""
     replayed = {}
     for name, value in settings.items():
         default = REPORTED_SETTINGS.get(name, ("", None))[1]
--- a/limedyke/core/sessions/session_opening.py
+++ b/limedyke/core/sessions/session_opening.py
@@ -1,4 +1,4 @@
-"""Opens the session of a client that has proved who it is."""
+"""Opens the session of an authenticated client."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelKey:
-    """What a client must present to cancel: sent as BackendKeyData."""
+    """The key that a client must present to cancel; sent as BackendKeyData."""
 
     process_id: int
     secret: int = field(repr=False)
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenedSession:
-    """A new session and what to send first."""
+    """A new session and the first messages to send to the client."""
 
     session: Session
     greeting: bytes
@@ -49,7 +49,7 @@
 def open_session(
     context: SessionContext, login: LoginSucceeded, key: CancelKey, moment: Moment
 ) -> Result[OpenedSession, bytes]:
-    """Open a session, or return the ErrorResponse that refuses its startup settings."""
+    """Open a session, or return the ErrorResponse that rejects its startup settings."""
     own, others = _split_settings(login.settings)
     encoding = others.get("client_encoding", "utf8")
     if not is_carried_encoding(encoding):
--- a/limedyke/core/sessions/session_options.py
+++ b/limedyke/core/sessions/session_options.py
@@ -1,4 +1,4 @@
-"""The proxy's own settings of a session: ``limedyke.*``, by SET or from the startup packet."""
+"""The proxy's own session settings ``limedyke.*``, given by SET or in the startup packet."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OptionError:
-    """A setting the proxy doesn't take: SQLSTATE and reason."""
+    """A setting that the proxy rejects: SQLSTATE and reason."""
 
     sqlstate: str
     reason: str
@@ -43,11 +43,11 @@
     """Values of the proxy's own settings, other than the token.
 
     :param name: the session's name in the client's system, or empty
-    :param max_staleness_ms: oldest data a read may see; 0 for no bound of the session's own
-    :param once_key: key for the next request only, or empty
-    :param repeatable: whether reads may run again elsewhere
-    :param route: where statements go that have no hint of their own
-    :param monotonic_reads: whether a read binds later reads to what it saw
+    :param max_staleness_ms: maximum staleness of reads; 0 if the session sets no bound
+    :param once_key: at-most-once key of the next request, or empty
+    :param repeatable: whether a read may be retried on another member
+    :param route: route of statements that have no hint of their own
+    :param monotonic_reads: whether later reads must be at least as recent as this one
     """
 
     name: str = ""
@@ -64,7 +64,7 @@
 def set_option(
     options: SessionOptions, name: str, value: str
 ) -> Result[SessionOptions, OptionError]:
-    """Return the options with one of them set; an empty value returns it to its default."""
+    """Return the options with one of them set; an empty value resets it to the default."""
     lowered = value.strip().lower()
     match name:
         case str() if name == SESSION_NAME_SETTING:
@@ -99,7 +99,7 @@
 
 
 def parse_flag(value: str) -> bool | None:
-    """Return the truth of a flag's value, or None when it is neither."""
+    """Return the Boolean value of a flag, or None if it is neither true nor false."""
     if value in _TRUE:
         return True
     return False if value in _FALSE else None
--- a/limedyke/core/sessions/session_position.py
+++ b/limedyke/core/sessions/session_position.py
@@ -1,4 +1,4 @@
-"""Up to where a session has written, and the token that says so."""
+"""The log position of a session's writes, and its conversion to and from token claims."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class SessionPosition:
-    """The position that a session's reads must have reached.
+    """The log position that the session's reads must have reached.
 
-    ``barrier`` means that the session may have written behind ``required``:
-    reads go to the primary, or wait for its present position, until one
-    answer tells a position that covers it.
+    ``barrier`` means that the session may have written past ``required``.
+    Reads then go to the primary, or wait for the primary's current position,
+    until an answer reports a position that covers those writes.
     """
 
     __slots__ = ("barrier", "required")
@@ -23,18 +23,18 @@
         self.barrier = False
 
     def merge_claim(self, claim: TokenClaim) -> None:
-        """Take what a token says; it never takes the session back."""
+        """Merge the claim of a token; the required position never decreases."""
         self.required = max(self.required, claim.position)
         self.barrier = self.barrier or claim.barrier
 
     def claim(self) -> TokenClaim:
-        """Return what a token of this session says now."""
+        """Return the claim for a token of this session."""
         return TokenClaim(self.required, self.barrier)
 
     def take_end(self, end: AnswerEnd, binds: bool) -> bool:
-        """Take the position of a finished unit; tell whether the token changed.
+        """Record the position of a finished unit; tell whether the token changed.
 
-        :param binds: later reads must reach it; else it is ignored
+        :param binds: whether later reads must reach the position; if not, it is ignored
         """
         if not binds or end.position == NO_POSITION:
             return False
@@ -44,7 +44,7 @@
         return before != (self.required, self.barrier)
 
     def record_unknown_write(self) -> bool:
-        """Note that a write may have happened at an unknown position."""
+        """Record that a write may have happened at an unknown position."""
         changed = not self.barrier
         self.barrier = True
         return changed
--- a/limedyke/core/sessions/session_settings.py
+++ b/limedyke/core/sessions/session_settings.py
@@ -1,4 +1,4 @@
-"""The settings a session made, following the transactions they were made in."""
+"""Transactional state of the settings that a session has changed."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class SessionSettings:
-    """Settings in force, with those of the open transaction apart until it commits.
+    """Current settings; those of the open transaction stay separate until it commits.
 
-    :param startup: settings from the startup packet, to which RESET returns
+    :param startup: settings from the startup packet, which RESET restores
     """
 
     __slots__ = ("_committed", "_current", "_replay", "_savepoints", "_startup")
@@ -24,23 +24,23 @@
         self._replay: tuple[SessionSetting, ...] | None = None
 
     def get(self, name: str) -> str | None:
-        """Return the value in force, or None when the session didn't set it."""
+        """Return the current value, or None if the session didn't set it."""
         return self._current.get(name)
 
     @property
     def size(self) -> int:
-        """Bytes of the names and values in force."""
+        """Total length of the current names and values, in characters."""
         return sum(len(name) + len(value) for name, value in self._current.items())
 
     def to_replay(self) -> tuple[SessionSetting, ...]:
-        """Return the settings that a connection needs before a new transaction."""
+        """Return the settings to apply to a connection before a new transaction."""
         if self._replay is None:
             items = sorted(self._committed.items())
             self._replay = tuple(SessionSetting(name, value) for name, value in items)
         return self._replay
 
     def apply(self, change: SessionChange) -> None:
-        """Take the effect of a completed statement."""
+        """Apply the effect of a completed statement."""
         match change.effect:
             case Effect.SET:
                 self._current = {**self._current, change.name: change.value}
@@ -60,14 +60,14 @@
                 self.roll_back()
 
     def commit(self) -> None:
-        """Keep what was set since the last commit."""
+        """Keep the changes since the last commit."""
         self._savepoints = None
         if self._current is not self._committed:
             self._committed = self._current
             self._replay = None
 
     def roll_back(self) -> None:
-        """Forget what was set since the last commit."""
+        """Discard the changes since the last commit."""
         self._savepoints = None
         self._current = self._committed
 
--- a/limedyke/core/sessions/session_state.py
+++ b/limedyke/core/sessions/session_state.py
@@ -1,4 +1,4 @@
-"""What a session carries from one batch to the next."""
+"""The state that a session keeps between batches."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
     :param status: transaction state as the client sees it
     :param transaction: number of the open transaction, 0 for none
-    :param read_only: the open transaction was begun as a read-only one
+    :param read_only: the open transaction was begun as read-only
     :param wrote: the open transaction may have written
-    :param lost: the client's transaction is gone at the back end, but the client must still end it
-    :param last_active: monotonic seconds of the last message or answer
+    :param lost: the back end no longer has the transaction, but the client must still end it
+    :param last_active: monotonic time in seconds of the last message or answer
     """
 
     owner: TokenOwner
@@ -41,16 +41,16 @@
 
     @property
     def is_in_transaction(self) -> bool:
-        """Whether the client has a transaction to end."""
+        """Whether the client sees an open or failed transaction."""
         return self.status is not TransactionStatus.IDLE
 
     @property
     def ready_message(self) -> bytes:
-        """The ReadyForQuery that tells the client this state."""
+        """The ReadyForQuery message with the current transaction state."""
         return _READY_BY_STATUS[self.status]
 
     def end_transaction(self) -> None:
-        """Return to the idle state; portals end with the transaction."""
+        """Reset to the idle state; portals end with the transaction."""
         self.status = TransactionStatus.IDLE
         self.transaction = 0
         self.read_only = False
@@ -59,12 +59,12 @@
         self.end_portals()
 
     def end_portals(self) -> None:
-        """Forget the portals, unless a transaction is open, with which they end."""
+        """Forget the portals; in an open transaction they are kept until it ends."""
         if self.names.portals and not self.is_in_transaction:
             self.names.portals = {}
 
     def lose_transaction(self) -> None:
-        """Keep the client in a failed transaction that the back end no longer has."""
+        """Put the client into a failed transaction, as the back end no longer has it."""
         self.status = TransactionStatus.FAILED
         self.transaction = 0
         self.lost = True
--- a/limedyke/core/sessions/session_token.py
+++ b/limedyke/core/sessions/session_token.py
@@ -1,7 +1,8 @@
-"""Session tokens: an authenticated place in a group's history that a client carries around.
+"""Session tokens: signed log positions that a client presents to any proxy.
 
-A token binds tenant, group and user, and says up to where the session has
-written.  It holds no secret and can't be changed without the signing key.
+A token is bound to tenant, group and user, and states the log position up to
+which the session has written.  It holds no secret and can't be altered without
+the signing key.
 """
 
 from __future__ import annotations
@@ -30,24 +31,24 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenOwner:
-    """Who a token is issued to."""
+    """The tenant, group and user that a token is issued to."""
 
     tenant: str
     group: str
     user: str
 
     def digest(self) -> bytes:
-        """Return a short digest by which a token of somebody else is recognised."""
+        """Return a short digest that tells tokens of different owners apart."""
         text = "\0".join((self.tenant, self.group, self.user)).encode()
         return hashlib.sha256(text).digest()[:OWNER_BYTES]
 
 
 @dataclass(frozen=True, slots=True)
 class TokenClaim:
-    """What a token says.
+    """The content of a token.
 
-    :param position: all of the session's writes are at or before this position
-    :param barrier: the session may have written behind it, too
+    :param position: all known writes of the session are at or before this position
+    :param barrier: the session may also have written after it
     """
 
     position: LogPosition
@@ -55,9 +56,9 @@
 
 
 class TokenAuthority:
-    """Issues and checks tokens.
+    """Issues and verifies tokens.
 
-    :param keys: key bytes by key id; the highest id signs, all verify
+    :param keys: key bytes by key id; the highest id signs, all of them verify
     """
 
     __slots__ = ("_keys", "_newest")
@@ -67,7 +68,7 @@
         self._newest = max(keys, default=None)
 
     def issue(self, owner: TokenOwner, claim: TokenClaim, unix_s: int) -> str:
-        """Return a token, or an empty text while no key is declared."""
+        """Return a token, or an empty string if no key is declared."""
         if self._newest is None:
             return ""
         flags = BARRIER_FLAG if claim.barrier else 0
@@ -85,7 +86,7 @@
         return urlsafe_b64encode(fields + mac).rstrip(b"=").decode()
 
     def check(self, token: str, owner: TokenOwner, unix_s: int) -> Result[TokenClaim, Failure]:
-        """Return what a token says, or why it is refused.
+        """Return the claim of a token, or the failure if it is rejected.
 
         Fails with SESSION_TOKEN_INVALID, SESSION_TOKEN_FOREIGN or SESSION_TOKEN_EXPIRED.
         """
@@ -113,7 +114,7 @@
 
 
 def _decode(token: str) -> bytes | None:
-    """Return the bytes of a token of the right length and in its one canonical spelling."""
+    """Return the bytes of a token, or None if its length or encoding isn't canonical."""
     try:
         data = urlsafe_b64decode(token.encode("ascii") + b"=" * (-len(token) % 4))
     except (binascii.Error, ValueError):
