--- a/limedyke/core/sessions/batch.py
+++ b/limedyke/core/sessions/batch.py
@@ -141,7 +141,7 @@
         raise BatchError(failure_response(failure))
 
 
-def check_room(names: StatementNames, added: int, size: int) -> None:
+def check_statement_limits(names: StatementNames, added: int, size: int) -> None:
     """Raise ``BatchError`` if one more named statement would exceed the limits of the session.
 
     :param added: number of statements that the batch has added already
--- a/limedyke/core/sessions/extended_batch.py
+++ b/limedyke/core/sessions/extended_batch.py
@@ -22,7 +22,7 @@
     ParsedStatement,
     StatementNames,
     check_refusal,
-    check_room,
+    check_statement_limits,
     with_body,
 )
 from limedyke.core.sessions.extended_messages import (
@@ -35,9 +35,9 @@
     Effect,
     SessionChange,
     StatementProfile,
-    leaves_open_behind_commit,
+    leaves_transaction_open_after_commit,
 )
-from limedyke.core.sql.statement_commands import OPEN_BEHIND_COMMIT
+from limedyke.core.sql.statement_commands import BEGIN_AFTER_COMMIT
 from limedyke.core.units.answer_tracker import (
     COMPLETES_BIND,
     COMPLETES_CLOSE,
@@ -88,10 +88,10 @@
         self._parsed: dict[bytes, ParsedStatement] = {}
         self._closed: set[bytes] = set()
         self._portals = dict(names.portals) if names.portals else {}
-        self._sent_unnamed = False
+        self._unnamed_sent = False
         self._needs_tracker = False
         self._effects: list[Effect] = []
-        self._unexecuted: set[bytes] = set()
+        self._unfinished_portals: set[bytes] = set()
         self._messages: list[ClientMessage] = []
         self._plan.only_queries = True
 
@@ -103,40 +103,40 @@
         """
         self._messages = messages
         for message in messages:
-            self._take(message)
+            self._plan_message(message)
         plan = self._plan
-        if leaves_open_behind_commit(self._effects):
-            check_refusal(StatementProfile(Access.WRITE, refusal=OPEN_BEHIND_COMMIT))
+        if leaves_transaction_open_after_commit(self._effects):
+            check_refusal(StatementProfile(Access.WRITE, refusal=BEGIN_AFTER_COMMIT))
         if self._data or self._prepared:
             self._data.append(SYNC)
             plan.data = b"".join(self._data)
         wrote = plan.access is Access.WRITE or bool(self._effects)
-        plan.is_partial = bool(self._unexecuted) or wrote
+        plan.is_partial = bool(self._unfinished_portals) or wrote
         plan.prepared = tuple(self._prepared.values())
         if self._needs_tracker or not plan.data:
             plan.slots = self._slots
         self._names.portals = self._portals
         return plan
 
-    def _opens(self) -> bool:
+    def _opens_transaction(self) -> bool:
         """Tell whether the batch opens a transaction."""
         return any(
             may_open_transaction(message, self._names, self._profile_of)
             for message in self._messages
         )
 
-    def _take(self, message: ClientMessage) -> None:
+    def _plan_message(self, message: ClientMessage) -> None:
         match chr(message.kind):
             case "P":
-                self._take_parse(message)
+                self._plan_parse(message)
             case "B":
-                self._take_bind(message)
+                self._plan_bind(message)
             case "D":
-                self._take_describe(message)
+                self._plan_describe(message)
             case "E":
-                self._take_execute(message)
+                self._plan_execute(message)
             case "C":
-                self._take_close(message)
+                self._plan_close(message)
 
     def _forward(
         self,
@@ -150,11 +150,11 @@
         if changes or hidden:
             self._needs_tracker = True
 
-    def _answer(self, answer: bytes, registration: Registration | None = None) -> None:
+    def _answer_locally(self, answer: bytes, registration: Registration | None = None) -> None:
         self._slots.append(AnswerSlot(frozenset(), False, answer, (), registration))
         self._needs_tracker = True
 
-    def _take_parse(self, message: ClientMessage) -> None:
+    def _plan_parse(self, message: ClientMessage) -> None:
         body = message.body
         name, text, rest = body.split(b"\0", 2)
         if len(rest) < 2:
@@ -162,7 +162,7 @@
         profile = self._profile_of(text)
         # The current transaction state affects only this answer: the statement itself may be
         # executed later, in another state.
-        is_local = self._admit(profile, self._opens).local
+        is_local = self._admit(profile, self._opens_transaction).local
         check_refusal(profile)
         if any(change.effect in (Effect.PREPARE, Effect.EXECUTE) for _, change in profile.changes):
             check_refusal(StatementProfile(Access.WRITE, refusal="PREPARE in extended protocol"))
@@ -172,10 +172,10 @@
         known = ParsedStatement(profile, parse=message.raw)
         self._names.unnamed = known
         if is_local:
-            self._sent_unnamed = False
-            self._answer(PARSE_COMPLETE)
+            self._unnamed_sent = False
+            self._answer_locally(PARSE_COMPLETE)
             return
-        self._sent_unnamed = True
+        self._unnamed_sent = True
         self._forward(message.raw, COMPLETES_PARSE)
 
     def _parse_named(
@@ -186,7 +186,7 @@
             shown = name.decode("utf-8", "replace")
             message = f'prepared statement "{shown}" already exists'
             raise BatchError(error_response(DUPLICATE_STATEMENT, message))
-        check_room(self._names, len(self._parsed), len(text))
+        check_statement_limits(self._names, len(self._parsed), len(text))
         if profile.local:
             known = ParsedStatement(profile)
         else:
@@ -195,24 +195,24 @@
             self._prepared[known.prepared.name] = known.prepared
         self._parsed[name] = known
         self._closed.discard(name)
-        self._answer(PARSE_COMPLETE, Registration(name, known))
+        self._answer_locally(PARSE_COMPLETE, Registration(name, known))
 
-    def _take_bind(self, message: ClientMessage) -> None:
+    def _plan_bind(self, message: ClientMessage) -> None:
         portal, name, rest = message.body.split(b"\0", 2)
-        known = self._find(name)
+        known = self._find_statement(name)
         self._portals[portal] = known
         if known.profile.local:
-            self._answer(BIND_COMPLETE)
+            self._answer_locally(BIND_COMPLETE)
             return
-        self._unexecuted.add(portal)
+        self._unfinished_portals.add(portal)
         if not name:
-            self._send_unnamed_again(known)
+            self._ensure_unnamed_sent(known)
             self._forward(message.raw, COMPLETES_BIND)
             return
         body = portal + b"\0" + known.prepared.name.encode() + b"\0" + rest
         self._forward(with_body(message.kind, body), COMPLETES_BIND)
 
-    def _find(self, name: bytes) -> ParsedStatement:
+    def _find_statement(self, name: bytes) -> ParsedStatement:
         """Return the statement with this name, and list it for the back end to parse."""
         known = self._names.unnamed
         if name:
@@ -223,42 +223,42 @@
             shown = name.decode("utf-8", "replace")
             message = f'prepared statement "{shown}" does not exist'
             raise BatchError(error_response(UNKNOWN_STATEMENT, message))
-        profile = self._admit(known.profile, self._opens)
+        profile = self._admit(known.profile, self._opens_transaction)
         if profile is not known.profile:
             return replace(known, profile=profile)
         if known.prepared is not None:
             self._prepared[known.prepared.name] = known.prepared
         return known
 
-    def _send_unnamed_again(self, known: ParsedStatement) -> None:
-        if not self._sent_unnamed:
+    def _ensure_unnamed_sent(self, known: ParsedStatement) -> None:
+        if not self._unnamed_sent:
             self._forward(known.parse, COMPLETES_PARSE, hidden=True)
-            self._sent_unnamed = True
+            self._unnamed_sent = True
 
-    def _take_describe(self, message: ClientMessage) -> None:
+    def _plan_describe(self, message: ClientMessage) -> None:
         kind, name = split_target(message.body)
         if kind == b"S":
             self._describe_statement(message, name)
             return
         known = self._portals.get(name)
         if known is not None and known.profile.local:
-            self._answer(self._local.describe(known.profile))
+            self._answer_locally(self._local.describe(known.profile))
             return
         self._forward(message.raw, COMPLETES_DESCRIBE)
 
     def _describe_statement(self, message: ClientMessage, name: bytes) -> None:
-        known = self._find(name)
+        known = self._find_statement(name)
         if known.profile.local:
-            self._answer(NO_PARAMETERS + self._local.describe(known.profile))
+            self._answer_locally(NO_PARAMETERS + self._local.describe(known.profile))
             return
         if not name:
-            self._send_unnamed_again(known)
+            self._ensure_unnamed_sent(known)
             self._forward(message.raw, COMPLETES_DESCRIBE)
             return
         body = b"S" + known.prepared.name.encode() + b"\0"
         self._forward(with_body(message.kind, body), COMPLETES_DESCRIBE)
 
-    def _take_execute(self, message: ClientMessage) -> None:
+    def _plan_execute(self, message: ClientMessage) -> None:
         portal, rest = message.body.split(b"\0", 1)
         if len(rest) != len(NO_ROW_LIMIT):
             raise ValueError("Execute without row limit")
@@ -266,11 +266,11 @@
         # The portal belongs to a cursor or doesn't exist; the member decides.
         profile = StatementProfile(Access.WRITE) if known is None else known.profile
         if profile.local:
-            self._answer(self._local.execute(profile))
+            self._answer_locally(self._local.execute(profile))
             return
         self._add_profile(profile)
         if rest == NO_ROW_LIMIT:
-            self._unexecuted.discard(portal)
+            self._unfinished_portals.discard(portal)
         changes = tuple(change for _, change in profile.changes)
         self._forward(message.raw, COMPLETES_EXECUTE, changes)
 
@@ -287,19 +287,19 @@
         if profile.hints is not NO_HINTS:
             plan.hints = profile.hints
 
-    def _take_close(self, message: ClientMessage) -> None:
+    def _plan_close(self, message: ClientMessage) -> None:
         kind, name = split_target(message.body)
         if kind == b"P":
             known = self._portals.pop(name, None)
             if known is not None and known.profile.local:
-                self._answer(CLOSE_COMPLETE)
+                self._answer_locally(CLOSE_COMPLETE)
                 return
             self._forward(message.raw, COMPLETES_CLOSE)
             return
         if not name:
             self._names.unnamed = None
-            self._answer(CLOSE_COMPLETE)
+            self._answer_locally(CLOSE_COMPLETE)
             return
         self._parsed.pop(name, None)
         self._closed.add(name)
-        self._answer(CLOSE_COMPLETE, Registration(name, None))
+        self._answer_locally(CLOSE_COMPLETE, Registration(name, None))
--- a/limedyke/core/sessions/local_commands.py
+++ b/limedyke/core/sessions/local_commands.py
@@ -125,13 +125,13 @@
                 self._end_transaction()
         return ""
 
-    def take_setting(self, name: str, value: str) -> Failure | None:
+    def apply_setting(self, name: str, value: str) -> Failure | None:
         """Apply one of the proxy's own settings; return the failure if a token is rejected.
 
         :raises BatchError: for any other invalid value
         """
         if name == SESSION_TOKEN_SETTING:
-            return self._take_token(value)
+            return self._apply_token(value)
         if name == BARRIER:
             self._set_barrier(value)
             return None
@@ -154,7 +154,7 @@
         self._state.end_transaction()
 
     def _set(self, name: str, value: str) -> None:
-        failure = self.take_setting(name, value)
+        failure = self.apply_setting(name, value)
         if failure is not None:
             raise BatchError(failure_response(failure))
         if name == SESSION_NAME_SETTING and value:
@@ -162,7 +162,7 @@
         if name in (SESSION_TOKEN_SETTING, SESSION_NAME_SETTING, BARRIER):
             self.statuses += self.token_status()
 
-    def _take_token(self, token: str) -> Failure | None:
+    def _apply_token(self, token: str) -> Failure | None:
         if not token:
             return None
         state = self._state
--- a/limedyke/core/sessions/session.py
+++ b/limedyke/core/sessions/session.py
@@ -84,20 +84,20 @@
     def handle(self, event: Event) -> list[SessionCommand]:
         """Process an event and return the resulting commands."""
         if self._closed:
-            return self._take_late(event)
+            return self._handle_after_close(event)
         match event:
             case AnswerReceived(chunk):
-                return self._take_answer(chunk.data)
+                return self._handle_answer(chunk.data)
             case UnitEnded(end, moment):
                 return self._take_end(end, moment)
             case ClientMessages(messages, moment):
-                return self._take_messages(messages, moment)
+                return self._handle_messages(messages, moment)
             case Tick(moment):
-                return self._check_idle(moment)
+                return self._check_idle_transaction(moment)
             case LeaveRequested(failure, moment):
-                return self._take_leave(failure, moment)
+                return self._handle_leave_request(failure, moment)
 
-    def _take_late(self, event: Event) -> list[SessionCommand]:
+    def _handle_after_close(self, event: Event) -> list[SessionCommand]:
         """Process an event after the client has gone: roll back a transaction left open."""
         if not isinstance(event, UnitEnded) or self._running is None:
             return []
@@ -137,7 +137,9 @@
 
     # Client messages
 
-    def _take_messages(self, messages: list[ClientMessage], moment: Moment) -> list[SessionCommand]:
+    def _handle_messages(
+        self, messages: list[ClientMessage], moment: Moment
+    ) -> list[SessionCommand]:
         if self._refuses_requests(moment):
             commands: list[SessionCommand] = []
             self._close(self._leave.failure, commands)
@@ -153,13 +155,13 @@
             if message is None:
                 break
             try:
-                self._take_message(message, commands, moment)
+                self._process_message(message, commands, moment)
             except ValueError:
                 failure = Failure(ResultCode.PROTOCOL_VIOLATION, "malformed message")
                 self._close(failure, commands)
         return commands
 
-    def _take_message(
+    def _process_message(
         self, message: ClientMessage, commands: list[SessionCommand], moment: Moment
     ) -> None:
         kind = message.kind
@@ -193,7 +195,7 @@
         self._input.skip_to_sync = False
         local = LocalCommands(self._context, self.state, moment)
         plan = partial(plan_simple, self._context, self.state, local, message)
-        self._start(plan, local, commands, ready=True)
+        self._run_batch(plan, local, commands, ready=True)
 
     def _start_batch(self, commands: list[SessionCommand], moment: Moment, ready: bool) -> None:
         messages = self._input.take_batch()
@@ -204,9 +206,9 @@
             return
         local = LocalCommands(self._context, self.state, moment)
         plan = partial(plan_extended, self._context, self.state, local, messages, ready)
-        self._start(plan, local, commands, ready)
+        self._run_batch(plan, local, commands, ready)
 
-    def _start(
+    def _run_batch(
         self,
         make_plan: Callable[[], BatchPlan],
         local: LocalCommands,
@@ -247,7 +249,7 @@
 
     # Answers
 
-    def _take_answer(self, data: bytes) -> list[SessionCommand]:
+    def _handle_answer(self, data: bytes) -> list[SessionCommand]:
         if self._running is None:
             return []
         data = take_answer_part(self.state, self._running, data)
@@ -277,7 +279,7 @@
 
     # Idle limit, leaving and closing
 
-    def _check_idle(self, moment: Moment) -> list[SessionCommand]:
+    def _check_idle_transaction(self, moment: Moment) -> list[SessionCommand]:
         state = self.state
         if self._running is not None or not state.is_in_transaction:
             return []
@@ -302,7 +304,7 @@
         """Tell whether a request that arrives now is rejected by ending the session."""
         return self._may_leave and self._leave.refuses_requests(moment)
 
-    def _take_leave(self, failure: Failure, moment: Moment) -> list[SessionCommand]:
+    def _handle_leave_request(self, failure: Failure, moment: Moment) -> list[SessionCommand]:
         """End the session unless its last answer or a new request may be in transit.
 
         A session that can't end yet ends with an error on the client's next request.
--- a/limedyke/core/sessions/session_opening.py
+++ b/limedyke/core/sessions/session_opening.py
@@ -14,7 +14,7 @@
 from limedyke.core.sessions.session_settings import SessionSettings
 from limedyke.core.sessions.session_state import SessionState
 from limedyke.core.sessions.session_token import TokenOwner
-from limedyke.core.sql.statement_commands import PROTECTED_SETTINGS, is_carried_encoding
+from limedyke.core.sql.statement_commands import PROTECTED_SETTINGS, is_supported_encoding
 from limedyke.messages.work import TransactionStatus
 from limedyke.postgres.client_messages import (
     READY,
@@ -52,7 +52,7 @@
     """Open a session, or return the ErrorResponse that rejects its startup settings."""
     own, others = _split_settings(login.settings)
     encoding = others.get("client_encoding", "utf8")
-    if not is_carried_encoding(encoding):
+    if not is_supported_encoding(encoding):
         failure = Failure(ResultCode.FEATURE_NOT_SUPPORTED, f"client encoding {encoding}")
         return Err(failure_response(failure, "FATAL"))
     protected = [name for name in others if name in PROTECTED_SETTINGS]
@@ -64,7 +64,7 @@
     state.last_active = moment.now
     local = LocalCommands(context, state, moment)
     try:
-        failure = _take_own_settings(local, own)
+        failure = _apply_own_settings(local, own)
     except BatchError as error:
         return Err(as_fatal(error.answer))
     if failure is not None:
@@ -87,9 +87,9 @@
     return own, others
 
 
-def _take_own_settings(local: LocalCommands, settings: dict[str, str]) -> Failure | None:
+def _apply_own_settings(local: LocalCommands, settings: dict[str, str]) -> Failure | None:
     for name, value in settings.items():
-        failure = local.take_setting(name, value)
+        failure = local.apply_setting(name, value)
         if failure is not None:
             return failure
     return None
--- a/limedyke/core/sql/sql_prepare.py
+++ b/limedyke/core/sql/sql_prepare.py
@@ -10,7 +10,7 @@
     ParsedStatement,
     StatementNames,
     check_refusal,
-    check_room,
+    check_statement_limits,
     statement_name,
     with_body,
 )
@@ -67,7 +67,7 @@
     if name in names.named:
         message = f'prepared statement "{change.name}" already exists'
         raise BatchError(error_response(DUPLICATE_STATEMENT, message))
-    check_room(names, 0, len(change.value))
+    check_statement_limits(names, 0, len(change.value))
     unknown = [name for name in change.types if name not in TYPE_OIDS]
     if unknown:
         _refuse(f"PREPARE with a parameter of type {unknown[0]}")
--- a/limedyke/core/sql/statement.py
+++ b/limedyke/core/sql/statement.py
@@ -36,7 +36,7 @@
 TRANSACTION_OPENERS = (Effect.BEGIN, Effect.BEGIN_READ_ONLY, Effect.BEGIN_READ_WRITE)
 
 
-def leaves_open_behind_commit(effects: Iterable[Effect]) -> bool:
+def leaves_transaction_open_after_commit(effects: Iterable[Effect]) -> bool:
     """Tell whether a transaction is open at the end of a batch that has committed another.
 
     The commit would be acknowledged without a position, which is asked for outside of
--- a/limedyke/core/sql/statement_classifier.py
+++ b/limedyke/core/sql/statement_classifier.py
@@ -20,7 +20,7 @@
     Effect,
     SessionChange,
     StatementProfile,
-    leaves_open_behind_commit,
+    leaves_transaction_open_after_commit,
 )
 from limedyke.messages.work import Access
 
@@ -102,8 +102,8 @@
     effects = {item.effect for _, item in changes}
     if not refusal and effects & {Effect.PREPARE, Effect.EXECUTE}:
         refusal = "PREPARE and EXECUTE together with other statements"
-    if not refusal and leaves_open_behind_commit([item.effect for _, item in changes]):
-        refusal = commands.OPEN_BEHIND_COMMIT
+    if not refusal and leaves_transaction_open_after_commit([item.effect for _, item in changes]):
+        refusal = commands.BEGIN_AFTER_COMMIT
     reads = all(profile.access is Access.READ for profile in profiles)
     return StatementProfile(
         Access.READ if reads else Access.WRITE,
--- a/limedyke/core/sql/statement_commands.py
+++ b/limedyke/core/sql/statement_commands.py
@@ -14,7 +14,7 @@
 
 LIST_SETTINGS = frozenset({"search_path", "temp_tablespaces"})
 _ENCODINGS = frozenset({"utf8", "unicode", "sqlascii", "latin1", "default"})
-OPEN_BEHIND_COMMIT = "a transaction begun in the batch that commits another"
+BEGIN_AFTER_COMMIT = "a transaction begun in the batch that commits another"
 READ_ONLY_MODE = "transaction_read_only"
 PROTECTED_SETTINGS = {
     "session_authorization": "SET SESSION AUTHORIZATION",
@@ -53,7 +53,7 @@
     profile = replace(change(effect), may_commit=effect is Effect.COMMIT)
     if "CHAIN" in words and "NO" not in words:
         if effect is Effect.COMMIT:
-            return refused(OPEN_BEHIND_COMMIT)
+            return refused(BEGIN_AFTER_COMMIT)
         chained = (0, SessionChange(Effect.BEGIN))
         return replace(profile, changes=(*profile.changes, chained), may_open_transaction=True)
     return profile
@@ -99,7 +99,7 @@
     return "".join(unquote_name(token) for token in tokens).lower()
 
 
-def is_carried_encoding(name: str) -> bool:
+def is_supported_encoding(name: str) -> bool:
     """Tell whether the proxy carries a client encoding.
 
     As in PostgreSQL only letters and digits count, in any case: asyncpg sends ``'utf-8'``, its
@@ -112,7 +112,7 @@
     if name in PROTECTED_SETTINGS:
         return refused(PROTECTED_SETTINGS[name])
     value = _setting_value(name, values)
-    if name == "client_encoding" and not is_carried_encoding(value):
+    if name == "client_encoding" and not is_supported_encoding(value):
         return refused(f"client encoding {value}")
     is_default = len(values) == 1 and values[0].upper == "DEFAULT"
     if name.startswith(SESSION_PREFIX):
--- a/limedyke/transport/acceptor.py
+++ b/limedyke/transport/acceptor.py
@@ -16,7 +16,7 @@
 from curio.io import Socket
 
 from limedyke.event_log import EventLog
-from limedyke.transport.listener_filter import drop_requests
+from limedyke.transport.listener_filter import drop_syn_packets
 from limedyke.transport.round_trip import round_trip_s
 
 ACCEPT_PAUSE_S = 0.1
@@ -117,7 +117,7 @@
         Without this one may be under way at any moment at which the listener closes.
         """
         try:
-            drop_requests(raw)
+            drop_syn_packets(raw)
         except OSError as error:
             self._events.info("no-packet-filter", reason=error)
             return False
--- a/limedyke/transport/listener_filter.py
+++ b/limedyke/transport/listener_filter.py
@@ -32,7 +32,7 @@
 )
 
 
-def drop_requests(listener: socket.socket) -> None:
+def drop_syn_packets(listener: socket.socket) -> None:
     """Have the kernel drop requests for connections; handshakes under way go on.
 
     Whoever asked asks again after 1 s.
