--- a/limedyke/postgres/client_authentication.py
+++ b/limedyke/postgres/client_authentication.py
@@ -1,7 +1,7 @@
 """Authentication of clients by SCRAM-SHA-256 against declared verifiers.
 
-An unknown user goes through the same exchange with keys made up from a
-secret of this process, so that it can't be told from a wrong password.
+For an unknown user the same exchange runs with a mock verifier derived from a
+secret, so that a client can't tell an unknown user from a wrong password.
 """
 
 from __future__ import annotations
@@ -56,9 +56,9 @@
 
 
 def mock_verifier(process_secret: bytes, user: str, database: str) -> Verifier:
-    """Return a verifier that no password fits, the same each time for one user.
+    """Return a verifier that no password matches; it is stable for each user and database.
 
-    It has the form of those that ``make_verifier`` and PostgreSQL make by default.
+    It has the default form of the verifiers made by ``make_verifier`` and by PostgreSQL.
     """
     seed = hmac.new(process_secret, f"{user}\0{database}".encode(), hashlib.sha512).digest()
     return Verifier(ITERATIONS, seed[:SALT_BYTES], seed[:32], seed[32:])
@@ -67,15 +67,15 @@
 class ScramExchange:
     """The server's side of one SCRAM exchange.
 
-    :param verifier: declared or made up; a made-up one never succeeds
-    :param nonce: unguessable printable text
+    :param verifier: a declared verifier or a mock one, with which the exchange always fails
+    :param nonce: unpredictable printable text
     """
 
     __slots__ = ("_finished", "_server", "_started")
 
     def __init__(self, verifier: Verifier, nonce: str) -> None:
         keys = (verifier.salt, verifier.stored_key, verifier.server_key, verifier.iterations)
-        # libpq leaves the SCRAM user name empty; the startup packet's counts.
+        # libpq leaves the SCRAM user name empty; the user name of the startup packet applies.
         self._server = _MECHANISM.make_server(lambda _user: keys, s_nonce=nonce)
         self._started = False
         self._finished = False
@@ -86,7 +86,7 @@
         return self._finished
 
     def receive(self, body: bytes) -> Result[bytes, Failure]:
-        """Take the body of a SASL message and return the answer to send."""
+        """Process the body of a SASL message and return the response to send."""
         try:
             if not self._started:
                 return self._receive_first(body)
--- a/limedyke/postgres/client_framing.py
+++ b/limedyke/postgres/client_framing.py
@@ -1,8 +1,8 @@
-"""Cuts a client's byte stream into PostgreSQL messages, kept as the bytes that arrived.
+"""Splits a client byte stream into PostgreSQL messages, which keep their original bytes.
 
-The size of a message is checked from its header, before its body is kept.
-``pq_message_stream`` of py-postgresql serves the trusted side only: it has no
-size limit, and its C version raises SystemError on a length below four.
+The size of a message is checked from its header, before its body is buffered.
+``pq_message_stream`` of py-postgresql is used only for the trusted side: it has
+no size limit, and its C version raises SystemError on a length below four.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     """One message of a client.
 
     :param kind: the type byte, such as ``ord("Q")``
-    :param raw: the whole message with type and length
+    :param raw: the complete message including type and length
     """
 
     kind: int
@@ -37,7 +37,7 @@
 
 
 class FramingError(Exception):
-    """The stream can't be cut further; ``failure`` says why."""
+    """The stream can't be split any further; ``failure`` is the reason."""
 
     def __init__(self, failure: Failure) -> None:
         super().__init__(str(failure))
@@ -45,9 +45,9 @@
 
 
 class ClientFramer:
-    """Cuts typed messages out of received bytes; keeps nothing between whole messages.
+    """Splits received bytes into typed messages; holds no buffer between complete messages.
 
-    :param maximum_bytes: largest message accepted, with its header
+    :param maximum_bytes: largest accepted message, including its header
     """
 
     __slots__ = ("_buffer", "maximum_bytes")
@@ -57,7 +57,7 @@
         self._buffer: bytearray | None = None
 
     def feed(self, data: bytes) -> list[ClientMessage]:
-        """Add received bytes and return the messages now whole.
+        """Add received bytes and return the messages that are now complete.
 
         :raises FramingError: on a length below four or above the limit
         """
@@ -82,7 +82,7 @@
 
     @property
     def has_partial(self) -> bool:
-        """Whether part of a message is waiting for the rest."""
+        """Whether an incomplete message is buffered."""
         return self._buffer is not None
 
     def _is_first_whole(self, buffer: bytearray) -> bool:
@@ -102,7 +102,7 @@
 
 
 class StartupFramer:
-    """Cuts the untyped packets that begin a connection."""
+    """Splits off the untyped packets at the beginning of a connection."""
 
     __slots__ = ("_buffer",)
 
@@ -112,9 +112,9 @@
     def feed(self, data: bytes) -> tuple[bytes | None, bytes]:
         """Add received bytes.
 
-        :returns: the packet without its length, or None when it isn't whole, and the bytes
-            that came behind it
-        :raises FramingError: on an impossible length
+        :returns: the packet without its length, or None if it is incomplete, and the bytes
+            that follow it
+        :raises FramingError: on an invalid length
         """
         self._buffer += data
         if len(self._buffer) < LENGTH_BYTES:
--- a/limedyke/postgres/client_messages.py
+++ b/limedyke/postgres/client_messages.py
@@ -41,7 +41,7 @@
 def _with_fields(
     kind: bytes, severity: str, sqlstate: str, message: str, detail: str, hint: str
 ) -> bytes:
-    """Return a message of fields; py-postgresql leaves out the byte that ends them."""
+    """Return a message with these fields; py-postgresql omits the terminating zero byte."""
     values = {"S": severity, "V": severity, "C": sqlstate, "M": message, "D": detail, "H": hint}
     fields = [key + value.replace("\0", " ") + "\0" for key, value in values.items() if value]
     body = "".join(fields).encode() + b"\0"
@@ -49,7 +49,7 @@
 
 
 def failure_response(failure: Failure, severity: str = "ERROR") -> bytes:
-    """Return the ErrorResponse of a numbered code: detail, outcome and when to come back."""
+    """Return the ErrorResponse of a result code, with detail, outcome and retry hint."""
     code = failure.code
     outcome = f"Outcome: {OUTCOME_WORDS[code.outcome]}."
     detail = f"{failure.detail} {outcome}".strip()
@@ -61,7 +61,7 @@
 
 
 def as_fatal(error: bytes) -> bytes:
-    """Return an ErrorResponse of severity ERROR as one that ends the connection."""
+    """Return an ErrorResponse of severity ERROR with its severity changed to FATAL."""
     body = error[HEADER_BYTES:].replace(b"SERROR\0VERROR\0", b"SFATAL\0VFATAL\0", 1)
     return error[:HEADER_BYTES] + body
 
@@ -93,12 +93,12 @@
 
 
 def backend_key_data(process_id: int, secret: int) -> bytes:
-    """Return the BackendKeyData by which a client may cancel."""
+    """Return the BackendKeyData, with which a client may cancel its requests."""
     return element3.KillInformation(process_id, secret).bytes()
 
 
 def negotiate_protocol_version(newest_minor: int, unknown_options: tuple[str, ...]) -> bytes:
-    """Return NegotiateProtocolVersion, which py-postgresql doesn't have."""
+    """Return a NegotiateProtocolVersion, which py-postgresql doesn't implement."""
     options = b"".join(option.encode() + b"\0" for option in unknown_options)
     body = struct.pack("!II", newest_minor, len(unknown_options)) + options
     return b"v" + struct.pack("!I", len(body) + 4) + body
--- a/limedyke/postgres/client_startup.py
+++ b/limedyke/postgres/client_startup.py
@@ -1,4 +1,4 @@
-"""The packets that begin a client's connection, as typed values."""
+"""Parses the packets at the beginning of a client connection."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SslRequest:
-    """The client asks for TLS."""
+    """The client requests TLS."""
 
 
 @dataclass(frozen=True, slots=True)
 class GssRequest:
-    """The client asks for GSSAPI encryption, which is declined."""
+    """The client requests GSSAPI encryption, which is declined."""
 
 
 @dataclass(frozen=True, slots=True)
 class CancelRequest:
-    """The client asks, on a connection of its own, to cancel what another one runs."""
+    """The client requests, on a separate connection, to cancel the query of another connection."""
 
     process_id: int
     secret: int
@@ -43,12 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StartupRequest:
-    """The client wants a session.
+    """The client requests a session.
 
-    :param database: as given, ``tenant/group``
+    :param database: the requested database, in the form ``tenant/group``
     :param settings: session settings by lower-case name, from parameters and ``options``
-    :param minor_version: minor protocol version asked for
-    :param unknown_protocol_options: ``_pq_.`` options, none of which is known
+    :param minor_version: requested minor protocol version
+    :param unknown_protocol_options: ``_pq_.`` options, none of which the proxy supports
     """
 
     user: str
@@ -62,7 +62,10 @@
 
 
 def parse_startup_packet(packet: bytes) -> Result[StartupPacket, Failure]:
-    """Parse a packet without its length; fails with PROTOCOL_VIOLATION or FEATURE_NOT_SUPPORTED."""
+    """Parse a startup packet, given without its length.
+
+    Fails with PROTOCOL_VIOLATION or FEATURE_NOT_SUPPORTED.
+    """
     (code,) = _CODE.unpack_from(packet)
     if code == SSL_CODE:
         return Ok(SslRequest())
--- a/limedyke/postgres/frontend.py
+++ b/limedyke/postgres/frontend.py
@@ -1,4 +1,4 @@
-"""The login of a client, sans-IO: received bytes in, commands out."""
+"""The login of a client as a sans-IO state machine: received bytes in, commands out."""
 
 from __future__ import annotations
 
@@ -47,15 +47,15 @@
 TERMINATE_MESSAGE = ord("X")
 
 VerifierLookup = Callable[[str, str, str], Verifier | None]
-"""Gives the verifier of (tenant, group, user); None when any of them isn't declared."""
+"""Returns the verifier of (tenant, group, user), or None if any of them isn't declared."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoginPolicy:
-    """What logins are checked against; shared by all connections.
+    """The policy for logins, shared by all connections.
 
-    :param find_verifier: gives the declared verifier
-    :param mock_secret: makes up verifiers of unknown users; the same on every proxy
+    :param find_verifier: returns the declared verifier
+    :param mock_secret: secret for the mock verifiers of unknown users; the same on every proxy
     """
 
     find_verifier: VerifierLookup
@@ -65,9 +65,9 @@
 
 
 class Frontend:
-    """Takes one client from its first byte to a proved login.
+    """Handles one client from the first byte until it is authenticated.
 
-    :param nonce: unguessable printable text for the SCRAM exchange
+    :param nonce: unpredictable printable text for the SCRAM exchange
     """
 
     __slots__ = (
@@ -92,7 +92,7 @@
         self._gss_declined = False
 
     def receive(self, data: bytes) -> list[LoginCommand]:
-        """Take received bytes and return what to do."""
+        """Process received bytes and return the resulting commands."""
         try:
             if self._startup is None:
                 return self._receive_startup(data)
@@ -110,9 +110,9 @@
         if rest:
             detail = "data behind a startup packet"
             return refuse(Failure(ResultCode.PROTOCOL_VIOLATION, detail))
-        return self._take_startup(parsed.ok_value)
+        return self._handle_startup(parsed.ok_value)
 
-    def _take_startup(self, packet: StartupPacket) -> list[LoginCommand]:
+    def _handle_startup(self, packet: StartupPacket) -> list[LoginCommand]:
         match packet:
             case SslRequest():
                 return self._answer_ssl_request()
@@ -173,10 +173,10 @@
         if not self._exchange.is_finished:
             return [SendToClient(answer.ok_value)]
         tenant, _, group = self._startup.database.partition(DATABASE_SEPARATOR)
-        proved = LoginSucceeded(tenant, group, self._startup.user, self._startup.settings)
-        return [SendToClient(answer.ok_value + authentication(AUTHENTICATION_OK)), proved]
+        succeeded = LoginSucceeded(tenant, group, self._startup.user, self._startup.settings)
+        return [SendToClient(answer.ok_value + authentication(AUTHENTICATION_OK)), succeeded]
 
 
 def refuse(failure: Failure) -> list[LoginCommand]:
-    """Return the commands that refuse a client for good."""
+    """Return the commands that reject a client and close its connection."""
     return [SendToClient(failure_response(failure, "FATAL")), CloseClient(str(failure))]
--- a/limedyke/postgres/internal_query.py
+++ b/limedyke/postgres/internal_query.py
@@ -1,4 +1,4 @@
-"""The answer to a statement of the proxy itself, gathered frame by frame."""
+"""Collects the result of a query that the proxy itself runs, frame by frame."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True, slots=True)
 class InternalQueryResult:
-    """Answer to a statement of the proxy itself.
+    """The result of a query that the proxy itself runs.
 
     :param rows: column values of all rows
-    :param tags: the command tags in order
-    :param sqlstate: of the first error, or empty
-    :param status: ReadyForQuery state after it
+    :param tags: command tags in order
+    :param sqlstate: SQLSTATE of the first error, or empty
+    :param status: transaction status of the ReadyForQuery
     """
 
     rows: tuple[tuple[bytes | None, ...], ...]
@@ -31,7 +31,7 @@
 
 
 class InternalQueryReader:
-    """Takes frames up to ReadyForQuery."""
+    """Processes frames up to ReadyForQuery."""
 
     def __init__(self) -> None:
         self._rows: list[tuple[bytes | None, ...]] = []
@@ -39,7 +39,7 @@
         self._error: bytes | None = None
 
     def feed(self, frame: Frame) -> InternalQueryResult | None:
-        """Take a frame; return the answer when that was its last."""
+        """Process a frame; return the result if this frame was the last one."""
         kind, body = frame
         if kind == frames.DATA_ROW:
             self._rows.append(frames.row_values(body))
--- a/limedyke/postgres/member_answer.py
+++ b/limedyke/postgres/member_answer.py
@@ -1,9 +1,9 @@
-"""Reads a member's answer to one exchange: which frames belong to the caller, and is it whole.
+"""Reads a member's answer to one exchange and separates the caller's answer from position checks.
 
-An exchange is up to three pieces sent in one go, each answered up to its own
-ReadyForQuery: a position check, the caller's batch, and a position check
-behind it.  Each check carries a mark that its answer repeats, so a duplicated
-or swapped answer never passes for the caller's.
+An exchange has up to three stages, pipelined in one send: a position check,
+the caller's batch, and a second position check.  Each stage is answered up to
+its own ReadyForQuery.  Each check carries a mark that its answer repeats, so a
+duplicated or reordered answer is never mistaken for the caller's.
 """
 
 from __future__ import annotations
@@ -57,37 +57,38 @@
 
 
 class AnswerViolationError(Exception):
-    """The answer does not fit what was sent; the connection must be closed."""
+    """The answer does not match the request; the connection must be closed."""
 
     def __init__(self, detail: str, code: ResultCode = ResultCode.PROTOCOL_VIOLATION) -> None:
         super().__init__(detail)
         self.code = code
 
 
-class _Piece(enum.Enum):
+class _Stage(enum.Enum):
     CHECK_BEFORE = "check-before"
     CALLER = "caller"
-    CHECK_BEHIND = "check-behind"
+    CHECK_AFTER = "check-behind"
     DONE = "done"
 
 
 class AnswerReader:
-    """Takes the frames of one exchange until ``done``.
+    """Processes the frames of one exchange until ``done``.
 
     :param mark_before: mark of the position check sent before the batch, or None
-    :param mark_after: mark of the position check sent behind it, or None
-    :param parses: Parse messages the proxy put before the caller's; their answers are dropped
+    :param mark_after: mark of the position check sent after the batch, or None
+    :param parses: number of Parse messages that the proxy sent before the caller's messages;
+        their answers are dropped
     """
 
     def __init__(
         self, mark_before: int | None = None, mark_after: int | None = None, parses: int = 0
     ) -> None:
         self._mark_before = mark_before
-        self._mark_behind = mark_after
+        self._mark_after = mark_after
         self._parses = parses
-        self._piece = _Piece.CALLER if mark_before is None else _Piece.CHECK_BEFORE
+        self._stage = _Stage.CALLER if mark_before is None else _Stage.CHECK_BEFORE
         self._check: PositionAnswer | None = None
-        self._check_shape = b""
+        self._check_frame_kinds = b""
         self._pending: list[bytes] = []
         self._last_completion: int | None = None
         self.pending_bytes = 0
@@ -103,29 +104,29 @@
     @property
     def checked_before(self) -> bool:
         """Whether the check sent before the batch has been answered."""
-        return self._piece is not _Piece.CHECK_BEFORE
+        return self._stage is not _Stage.CHECK_BEFORE
 
     @property
     def caller_answered(self) -> bool:
-        """Whether the answer to the caller's batch has come to its end."""
-        return self._piece in (_Piece.CHECK_BEHIND, _Piece.DONE)
+        """Whether the caller's batch has been answered completely."""
+        return self._stage in (_Stage.CHECK_AFTER, _Stage.DONE)
 
     def feed(self, received: Iterable[Frame]) -> None:
-        """Take received frames.
+        """Process received frames.
 
-        :raises AnswerViolationError: on a frame that cannot belong to the expected answer
+        :raises AnswerViolationError: on a frame that can't belong to the expected answer
         """
         for frame in received:
-            piece = self._piece
-            if piece is _Piece.CALLER:
-                self._caller_frame(frame)
-            elif piece is _Piece.DONE:
-                self._stray_frame(frame)
+            stage = self._stage
+            if stage is _Stage.CALLER:
+                self._process_caller_frame(frame)
+            elif stage is _Stage.DONE:
+                self._process_stray_frame(frame)
             else:
-                self._check_frame(frame)
+                self._process_check_frame(frame)
 
     def take(self) -> bytes:
-        """Return all of the answer that waits to be relayed."""
+        """Return and clear all buffered answer bytes."""
         data = b"".join(self._pending)
         self._pending.clear()
         self._last_completion = None
@@ -133,7 +134,7 @@
         return data
 
     def take_before_completion(self) -> bytes:
-        """Return what waits to be relayed ahead of the last CommandComplete."""
+        """Return and clear the buffered answer bytes before the last CommandComplete."""
         if self._last_completion is None:
             return self.take()
         held = self._pending[self._last_completion :]
@@ -143,14 +144,14 @@
         self.pending_bytes = sum(map(len, held))
         return data
 
-    def _caller_frame(self, frame: Frame) -> None:
+    def _process_caller_frame(self, frame: Frame) -> None:
         kind, body = frame
         if kind == frames.READY:
             self.status = TransactionStatus(body.decode())
-            self._next_piece(self._mark_behind)
+            self._enter_next_stage(self._mark_after)
             return
         if kind == frames.COMMAND_COMPLETE:
-            self._completion(body)
+            self._record_completion(body)
         elif kind == frames.ERROR:
             self.sqlstate = self.sqlstate or frames.error_sqlstate(body)
         elif kind == frames.PARSE_COMPLETE and self._parses > 0:
@@ -166,7 +167,7 @@
         self._pending.append(data)
         self.pending_bytes += len(data)
 
-    def _completion(self, body: bytes) -> None:
+    def _record_completion(self, body: bytes) -> None:
         self.tag = body.rstrip(b"\0")
         self._last_completion = len(self._pending)
         if self.tag.startswith(SESSION_CHANGING_TAGS):
@@ -174,58 +175,58 @@
         if self.tag.startswith(COMMIT_TAGS):
             self.committed = True
 
-    def _next_piece(self, mark_after: int | None) -> None:
+    def _enter_next_stage(self, mark_after: int | None) -> None:
         if mark_after is None:
-            self._piece = _Piece.DONE
+            self._stage = _Stage.DONE
             self.done = True
         else:
-            self._piece = _Piece.CHECK_BEHIND
+            self._stage = _Stage.CHECK_AFTER
 
-    def _check_frame(self, frame: Frame) -> None:
+    def _process_check_frame(self, frame: Frame) -> None:
         kind, body = frame
         if kind in (frames.NOTICE, frames.PARAMETER_STATUS, frames.NOTIFICATION):
             return
-        self._check_shape += kind
+        self._check_frame_kinds += kind
         if kind == frames.DATA_ROW:
-            self._check_row(body)
+            self._parse_check_row(body)
         elif kind == frames.ERROR:
-            self._check_error(body)
+            self._verify_check_error(body)
         elif kind == frames.READY:
-            self._check_end(body)
+            self._finish_check(body)
 
-    def _check_row(self, body: bytes) -> None:
-        before = self._piece is _Piece.CHECK_BEFORE
-        mark = self._mark_before if before else self._mark_behind
+    def _parse_check_row(self, body: bytes) -> None:
+        before = self._stage is _Stage.CHECK_BEFORE
+        mark = self._mark_before if before else self._mark_after
         answer = frames.read_position_row(body, mark or 0)
         if isinstance(answer, Err):
             raise AnswerViolationError(answer.err_value.detail)
         self._check = answer.ok_value
 
-    def _check_error(self, body: bytes) -> None:
+    def _verify_check_error(self, body: bytes) -> None:
         sqlstate = frames.error_sqlstate(body)
         in_failed_transaction = (
-            self._piece is _Piece.CHECK_BEHIND
+            self._stage is _Stage.CHECK_AFTER
             and self.status is TransactionStatus.FAILED
             and sqlstate == FAILED_TRANSACTION_SQLSTATE
         )
         if not in_failed_transaction:
             raise AnswerViolationError(f"position check failed with {sqlstate}")
 
-    def _check_end(self, body: bytes) -> None:
-        shape, self._check_shape = self._check_shape, b""
+    def _finish_check(self, body: bytes) -> None:
+        shape, self._check_frame_kinds = self._check_frame_kinds, b""
         if shape not in (b"TDCZ", b"EZ"):
             raise AnswerViolationError(f"position check answered by {shape!r}")
-        if self._piece is _Piece.CHECK_BEFORE:
+        if self._stage is _Stage.CHECK_BEFORE:
             self.position_before = self._check
-            self._piece = _Piece.CALLER
+            self._stage = _Stage.CALLER
         else:
             if body != self.status.value.encode():
                 raise AnswerViolationError("transaction state changed behind the batch")
             self.position_after = self._check
-            self._piece = _Piece.DONE
+            self._stage = _Stage.DONE
             self.done = True
         self._check = None
 
-    def _stray_frame(self, frame: Frame) -> None:
+    def _process_stray_frame(self, frame: Frame) -> None:
         if frame[0] not in (frames.NOTICE, frames.PARAMETER_STATUS, frames.NOTIFICATION):
             raise AnswerViolationError(f"message {frame[0]!r} after the end of the answer")
--- a/limedyke/postgres/member_batch.py
+++ b/limedyke/postgres/member_batch.py
@@ -1,4 +1,4 @@
-"""What a caller's batch asks, apart from names: for requests that run at most once."""
+"""Digests and repeated answers of batches, for requests that run at most once."""
 
 from __future__ import annotations
 
@@ -37,16 +37,16 @@
 
 
 def batch_digest(data: bytes, prepared: Iterable[PreparedStatement]) -> str:
-    """Return a digest of what the batch executes: texts and values, without names."""
+    """Return a digest of the texts and values that a batch executes, without statement names."""
     texts = {statement.name.encode(): statement.text.encode() for statement in prepared}
     digest = hashlib.sha256()
     for kind, body in split_batch(data):
-        for part in _meaning(kind, body, texts):
+        for part in _digest_parts(kind, body, texts):
             digest.update(len(part).to_bytes(8, "big") + part)
     return digest.hexdigest()
 
 
-def _meaning(kind: bytes, body: bytes, texts: dict[bytes, bytes]) -> Iterable[bytes]:
+def _digest_parts(kind: bytes, body: bytes, texts: dict[bytes, bytes]) -> Iterable[bytes]:
     if kind == _QUERY:
         yield body.rstrip(b"\0").strip()
     elif kind == _PARSE:
@@ -62,19 +62,19 @@
 
 
 def repeated_answer(data: bytes, tag: str) -> bytes:
-    """Return the answer to a batch that ran before: a notice and the first command tag."""
+    """Return the answer to a repeated batch: a notice and the command tag of its first run."""
     notice = notice_response(DUPLICATE_SQLSTATE, DUPLICATE_TEXT, "NOTICE")
     completion = element3.Complete(tag.encode()).bytes()
-    pieces = []
+    messages = []
     for kind, body in split_batch(data):
         if kind in (_QUERY, _EXECUTE):
-            pieces += [notice, completion]
+            messages += [notice, completion]
         elif kind == _PARSE:
-            pieces.append(_PARSE_COMPLETE)
+            messages.append(_PARSE_COMPLETE)
         elif kind == _BIND:
-            pieces.append(_BIND_COMPLETE)
+            messages.append(_BIND_COMPLETE)
         elif kind == _CLOSE:
-            pieces.append(_CLOSE_COMPLETE)
+            messages.append(_CLOSE_COMPLETE)
         elif kind == _DESCRIBE:
-            pieces.append(_NO_DATA if body[:1] == b"P" else _NO_PARAMETERS + _NO_DATA)
-    return b"".join(pieces)
+            messages.append(_NO_DATA if body[:1] == b"P" else _NO_PARAMETERS + _NO_DATA)
+    return b"".join(messages)
--- a/limedyke/postgres/member_frames.py
+++ b/limedyke/postgres/member_frames.py
@@ -1,7 +1,7 @@
-"""Messages that the proxy itself sends to a member, and how it reads the answers.
+"""Encodes the proxy's own messages to members and parses the answers.
 
-Framing is py-postgresql's: ``pq_message_stream`` splits received bytes into
-``(type, body)`` pairs, here called frames.
+``pq_message_stream`` of py-postgresql splits received bytes into
+``(type, body)`` pairs, which are called frames here.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Return the bytes of a received frame, as they were."""
+    """Return the original bytes of a received frame."""
     kind, body = frame
     return _HEADER.pack(kind, len(body) + _LENGTH_BYTES) + body
 
@@ -61,8 +61,8 @@
 def position_query(mark: int) -> bytes:
     """Return the position query with ``mark`` as a fourth column.
 
-    The mark, distinct for each use on a connection, proves that an answer
-    belongs to this very query.
+    The mark is unique on the connection and proves that an answer belongs to
+    this query.
     """
     return query(f"{POSITION_SQL}, {mark}")
 
@@ -85,12 +85,12 @@
 
 
 def quote_identifier(name: str) -> str:
-    """Return ``name``, which may have dots, as quoted SQL identifiers."""
+    """Return ``name``, which may be qualified with dots, as quoted SQL identifiers."""
     return ".".join('"' + part.replace('"', '""') + '"' for part in name.split("."))
 
 
 def parse_position(text: bytes) -> int | None:
-    """Return the byte position of ``X/Y``, or None when it is malformed."""
+    """Return the byte position of an ``X/Y`` log position, or None if it is malformed."""
     match = _POSITION.match(text)
     if match is None:
         return None
@@ -128,8 +128,8 @@
 class PositionAnswer:
     """The answer to a position query.
 
-    :param place: term and position; the position of a member that has none is 0
-    :param is_replica: whether the member follows a primary
+    :param place: term and position; 0 for a member that has no position
+    :param is_replica: whether the member is in recovery, following a primary
     """
 
     __slots__ = ("is_replica", "place")
@@ -140,7 +140,7 @@
 
 
 def read_position_row(body: bytes, mark: int) -> Result[PositionAnswer, Failure]:
-    """Read the DataRow of a position query, and check its mark."""
+    """Parse the DataRow of a position query and check its mark."""
     values = row_values(body)
     if len(values) != _POSITION_COLUMNS or values[3] != str(mark).encode():
         return Err(Failure(ResultCode.PROTOCOL_VIOLATION, "answer of another query"))
--- a/limedyke/postgres/member_login.py
+++ b/limedyke/postgres/member_login.py
@@ -1,4 +1,4 @@
-"""Login at a member as a sans-IO state machine: startup packet, SCRAM-SHA-256, first ready."""
+"""Login at a member as a sans-IO state machine, from the startup packet to ReadyForQuery."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class AuthenticationRequest(enum.IntEnum):
-    """Codes of PostgreSQL's authentication requests."""
+    """Codes of PostgreSQL authentication requests."""
 
     OK = 0
     SASL = 10
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberCredentials:
-    """Who logs in at a member, and to which database."""
+    """User, password and database for the login at a member."""
 
     user: str
     database: str
@@ -35,12 +35,12 @@
 
 
 class MemberLogin:
-    """One login: feed it frames until ``ready``; it returns bytes to send."""
+    """One login; feed it frames until ``ready`` is true, and send the bytes it returns."""
 
     def __init__(self, credentials: MemberCredentials) -> None:
         self._credentials = credentials
         self._scram: ScramClient | None = None
-        self._proved = False
+        self._server_verified = False
         self._authenticated = False
         self.ready = False
         self.backend_key: tuple[int, int] | None = None
@@ -58,7 +58,7 @@
         ).bytes()
 
     def receive(self, frame: frames.Frame) -> Result[bytes, Failure]:
-        """Take a frame; return the bytes to send (may be none) or the failed login."""
+        """Process a frame; return the bytes to send (possibly none) or the login failure."""
         kind, body = frame
         if kind == frames.AUTHENTICATION:
             return self._authenticate(element3.Authentication.parse(body))
@@ -81,26 +81,26 @@
 
     def _authenticate(self, message: element3.Authentication) -> Result[bytes, Failure]:
         try:
-            return self._answer(message.request, message.salt)
+            return self._respond(message.request, message.salt)
         except (ScramException, UnicodeDecodeError) as error:
             return Err(Failure(ResultCode.NO_MEMBER, f"login: {error}"))
 
-    def _answer(self, request: int, data: bytes) -> Result[bytes, Failure]:
-        if request == AuthenticationRequest.OK and self._proved:
+    def _respond(self, request: int, data: bytes) -> Result[bytes, Failure]:
+        if request == AuthenticationRequest.OK and self._server_verified:
             self._authenticated = True
             return Ok(b"")
         if request == AuthenticationRequest.SASL and self._scram is None:
-            return self._first(data)
+            return self._start_scram(data)
         if request == AuthenticationRequest.SASL_CONTINUE and self._scram is not None:
             self._scram.set_server_first(data.decode())
             return Ok(_sasl_message(self._scram.get_client_final().encode()))
         if request == AuthenticationRequest.SASL_FINAL and self._scram is not None:
             self._scram.set_server_final(data.decode())
-            self._proved = True
+            self._server_verified = True
             return Ok(b"")
         return Err(Failure(ResultCode.NO_MEMBER, f"login: authentication {request} refused"))
 
-    def _first(self, data: bytes) -> Result[bytes, Failure]:
+    def _start_scram(self, data: bytes) -> Result[bytes, Failure]:
         if MECHANISM.encode() not in data.split(b"\0"):
             return Err(Failure(ResultCode.NO_MEMBER, "login: no SCRAM-SHA-256 offered"))
         user = self._credentials.user
@@ -111,5 +111,5 @@
 
 
 def _sasl_message(data: bytes) -> bytes:
-    """Return a SASL response; unlike a password it has no terminating zero byte."""
+    """Return a SASL response, which has no terminating zero byte, unlike a password message."""
     return frames.encode_frame((element3.Password.type, data))
