--- a/limedyke/core/sql/known_functions.py
+++ b/limedyke/core/sql/known_functions.py
@@ -1,4 +1,4 @@
-"""Names of PostgreSQL's own functions that write nothing and leave no session state.
+"""Names of built-in PostgreSQL functions that write nothing and leave no session state.
 
 A call of any other function makes a statement a write.
 """
@@ -64,7 +64,7 @@
 SET_CONFIG_FUNCTION = "set_config"
 NOTIFY_FUNCTIONS = frozenset({"pg_notify"})
 
-# Followed by an opening bracket without being a function call.
+# Words that may precede an opening parenthesis without being a function call.
 _WORDS_BEFORE_BRACKET = """
     all and any array as between bigint bit both by case char character check conflict cross cube
     decimal distinct else end escape except explain filter float for from full group having
--- a/limedyke/core/sql/read_proof.py
+++ b/limedyke/core/sql/read_proof.py
@@ -1,4 +1,4 @@
-"""Proves by sqlglot that a query reads only: the grammar's tree and every function's name."""
+"""Proves that a query is read-only, from its sqlglot parse tree and the functions it calls."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def has_unknown_call(tokens: list[Token]) -> bool:
-    """Tell whether a name that isn't a known reading function stands before a bracket."""
+    """Tell whether any call may be of a function that isn't known to be read-only."""
     for index in range(len(tokens) - 1):
         if tokens[index + 1].upper != "(":
             continue
@@ -44,7 +44,7 @@
 
 
 def is_unknown_call(tokens: list[Token], index: int) -> bool:
-    """Tell whether the token before a bracket may call a function that isn't known to read."""
+    """Tell whether the token, which precedes ``(``, may name a function not known as read-only."""
     token = tokens[index]
     if token.kind not in (TokenKind.WORD, TokenKind.NAME):
         return False
@@ -59,10 +59,10 @@
 
 
 def reads_only(shape: bytes, tokens: list[Token]) -> bool:
-    """Tell whether one query certainly writes nothing.
+    """Tell whether a single query is proved to write nothing.
 
-    :param shape: its text with literals folded
-    :param tokens: its tokens
+    :param shape: text of the query with literals folded
+    :param tokens: tokens of the query
     """
     if len(shape) > MAXIMUM_SHAPE_BYTES:
         return False
@@ -76,20 +76,20 @@
         return False
     if any(name.lower() not in READING_FUNCTIONS for name in _called_names(tree)):
         return False
-    return not _has_foreign_call(tokens, _declared_names(tree))
+    return not _has_undeclared_call(tokens, _declared_names(tree))
 
 
 def _called_names(tree: exp.Expression) -> list[str]:
-    """Return the names of functions that sqlglot doesn't know itself."""
+    """Return the names of called functions that sqlglot doesn't know."""
     return [node.name for node in tree.find_all(exp.Anonymous, exp.AnonymousAggFunc)]
 
 
 def _declared_names(tree: exp.Expression) -> set[str]:
-    """Return the names that may stand before a list of columns: those of CTEs and aliases."""
+    """Return the names of CTEs and aliases, which may precede a column list in parentheses."""
     return {alias.name.lower() for alias in tree.find_all(exp.TableAlias) if alias.name}
 
 
-def _has_foreign_call(tokens: list[Token], declared: set[str]) -> bool:
+def _has_undeclared_call(tokens: list[Token], declared: set[str]) -> bool:
     for index in range(len(tokens) - 1):
         if tokens[index + 1].upper != "(":
             continue
--- a/limedyke/core/sql/sql_lexer.py
+++ b/limedyke/core/sql/sql_lexer.py
@@ -1,9 +1,10 @@
-"""Cuts statement text into tokens by one regular expression, and folds literals.
+"""Splits statement text into tokens with one regular expression, and folds literals.
 
-This is what is cheap enough for every statement; the grammar is left to
-sqlglot.  Text that can't be cut (an unfinished string, nested comments) is
-reported as such and treated as unknown by the callers.  Text is bytes in an
-encoding in which quotes and backslashes are never part of a longer character.
+Lexing is cheap enough for every statement; parsing the grammar is left to
+sqlglot.  Text that can't be split (an unterminated string, nested comments)
+raises ``LexicalError``, and callers treat the statement as unknown.  Text is
+bytes in an encoding in which quotes and backslashes are never part of a
+multi-byte character.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 _QUOTED_NAME = rb'"(?:[^"]|"")*+"'
 _BROKEN = rb"['\"]|/\*"
 
-# A word right before a quote may be the prefix of a string, as in E'...' and U&'...'.
+# A word directly before a quote may be a string prefix, as in E'...' and U&'...'.
 _PLAIN_WORD = rb"[A-Za-z_\x80-\xff][" + _WORD_CHARACTER + rb"]*+(?!&?')"
 _PLAIN_SYMBOLS = rb"[\s,()=<>*+.;:%&|!\[\]{}?@#~^`]++"
 _FOLD = re.compile(
@@ -34,7 +35,7 @@
     + rb")|(?P<broken>" + _BROKEN + rb")|(?P<other>.)|\Z)",
     re.DOTALL,
 )  # fmt: skip
-"""A run without literals, in one step, and what ends it."""
+"""Matches a run of text without literals, followed by the token that ends it."""
 _LEX = re.compile(
     rb"(?P<space>\s+|" + _COMMENT + rb")|(?P<string>" + _STRING + rb")|(?P<number>" + _NUMBER
     + rb")|(?P<word>[A-Za-z_\x80-\xff][" + _WORD_CHARACTER + rb"]*+)|(?P<name>" + _QUOTED_NAME
@@ -50,7 +51,7 @@
 
 
 class TokenKind(enum.Enum):
-    """Kinds of token."""
+    """The kind of a token."""
 
     WORD = "word"
     NAME = "name"
@@ -66,8 +67,8 @@
 class Token(NamedTuple):
     """One token.
 
-    :param upper: its text in upper case when it is an unquoted word or symbol
-    :param start: its offset in the text
+    :param upper: the text in upper case for an unquoted word or symbol, otherwise empty
+    :param start: offset of the token in the text
     """
 
     kind: TokenKind
@@ -77,18 +78,18 @@
 
     @property
     def end(self) -> int:
-        """The offset behind it."""
+        """Offset of the first byte after the token."""
         return self.start + len(self.text)
 
 
 class LexicalError(Exception):
-    """The text can't be cut into tokens."""
+    """The text can't be split into tokens."""
 
 
 def lex(text: bytes) -> list[Token]:
-    """Return the tokens of a text, without space and comments.
+    """Return the tokens of a text, without whitespace and comments.
 
-    :raises LexicalError: on an unfinished literal or nested comment
+    :raises LexicalError: on an unterminated literal or a nested comment
     """
     tokens = []
     for match in _LEX.finditer(text):
@@ -122,9 +123,9 @@
 
 
 def fold(text: bytes) -> bytes:
-    """Return the shape of a text: literals replaced, comments and repeats in lists left out.
+    """Return the shape of a text: literals replaced, comments and repeated list items removed.
 
-    :raises LexicalError: on an unfinished literal or nested comment
+    :raises LexicalError: on an unterminated literal or a nested comment
     """
     shape = _FOLD.sub(_fold_match, text)
     shape = _LITERAL_LIST.sub(rb"\1", shape)
@@ -134,7 +135,7 @@
 def find_hints(text: bytes) -> list[tuple[str, str]]:
     """Return the ``limedyke_name='value'`` pairs in the comments of a text.
 
-    :raises LexicalError: on an unfinished literal or nested comment
+    :raises LexicalError: on an unterminated literal or a nested comment
     """
     hints = []
     for match in _FOLD.finditer(text):
@@ -149,7 +150,7 @@
 
 
 def unquote_string(text: bytes) -> str:
-    """Return the value of a plain or E'' string literal."""
+    """Return the value of a plain, E'' or dollar-quoted string literal."""
     if text.startswith(b"$"):
         tag_end = text.index(b"$", 1) + 1
         return text[tag_end:-tag_end].decode("utf-8", "replace")
@@ -161,7 +162,7 @@
 
 
 def unquote_name(token: Token) -> str:
-    """Return the name that a word or quoted name stands for."""
+    """Return the identifier that a word or quoted name denotes."""
     if token.kind is TokenKind.NAME:
         return token.text[1:-1].replace(b'""', b'"').decode("utf-8", "replace")
     return token.text.decode("utf-8", "replace").lower()
--- a/limedyke/core/sql/sql_prepare.py
+++ b/limedyke/core/sql/sql_prepare.py
@@ -1,4 +1,4 @@
-"""PREPARE and EXECUTE as SQL: the statement is kept by the session and renamed."""
+"""Plans SQL PREPARE and EXECUTE: the session keeps the statement under a name of its own."""
 
 from __future__ import annotations
 
@@ -56,9 +56,9 @@
 def plan_prepare(
     change: SessionChange, profile: StatementProfile, names: StatementNames
 ) -> BatchPlan:
-    """Plan PREPARE: the back end parses the statement; the answer is the proxy's.
+    """Plan PREPARE: the back end parses the statement, and the proxy answers the client.
 
-    :param profile: that of the prepared statement
+    :param profile: profile of the prepared statement
     """
     check_refusal(profile)
     if profile.local or profile.changes:
@@ -81,7 +81,7 @@
 
 
 def plan_execute(message: ClientMessage, change: SessionChange, names: StatementNames) -> BatchPlan:
-    """Plan EXECUTE: the client's name is replaced by that at the back end."""
+    """Plan EXECUTE: the client's statement name is replaced by the name at the back end."""
     known = names.named.get(change.name.encode())
     if known is None or known.prepared is None:
         text = f'prepared statement "{change.name}" does not exist'
--- a/limedyke/core/sql/statement.py
+++ b/limedyke/core/sql/statement.py
@@ -1,4 +1,4 @@
-"""What the proxy knows of a statement: whether it only reads, and what it does to the session."""
+"""Statement profiles: whether a statement only reads, and its effects on the session."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Effect(enum.Enum):
-    """What a statement does to the session."""
+    """The effect of a statement on the session."""
 
     BEGIN = "begin"
     BEGIN_READ_ONLY = "begin read only"
@@ -37,10 +37,10 @@
 
 
 def leaves_transaction_open_after_commit(effects: Iterable[Effect]) -> bool:
-    """Tell whether a transaction is open at the end of a batch that has committed another.
+    """Tell whether a batch commits one transaction and leaves another one open.
 
-    The commit would be acknowledged without a position, which is asked for outside of
-    transactions only.
+    The proxy queries the log position only outside of transactions, so the commit would be
+    acknowledged without a position.
     """
     committed = False
     is_open = False
@@ -57,9 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionChange:
-    """One effect; name and value are those of the setting, savepoint or prepared statement.
+    """One effect on the session.
 
-    :param value: a setting's value as for ``set_config``; a prepared statement's text
+    :param name: name of the setting, savepoint or prepared statement
+    :param value: value of the setting as ``set_config`` takes it, or text of the statement
     :param types: parameter types of PREPARE, as written
     """
 
@@ -70,7 +71,7 @@
 
 
 class RouteHint(enum.StrEnum):
-    """Where the client wants a statement to run."""
+    """The member role on which the client wants a statement to run."""
 
     NONE = ""
     PRIMARY = "primary"
@@ -79,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatementHints:
-    """Hints in the comments of a statement."""
+    """Hints from the comments of a statement."""
 
     once_key: str = ""
     repeatable: bool = True
@@ -91,19 +92,19 @@
 
 @dataclass(frozen=True, slots=True)
 class StatementProfile:
-    """What is known of a text of one or more statements.
+    """The classification of a text of one or more statements.
 
-    :param access: READ only when it is certain that nothing is written
-    :param statements: number of statements that answer with a completion; 0 when unknown
-    :param changes: effects on the session: index of the statement and the effect
-    :param local: the proxy answers it itself
-    :param leaves_state: it may leave state on its connection that can't be replayed
+    :param access: READ only if the text is proved to write nothing
+    :param statements: number of statements that answer with a CommandComplete; 0 if unknown
+    :param changes: effects on the session, each with the index of its statement
+    :param local: the proxy executes the statement itself
+    :param leaves_state: it may leave state on the connection that can't be replayed
     :param may_open_transaction: it may leave a transaction open
     :param may_commit: it may end a transaction
-    :param only_queries: by its first words it only asks for rows, so that the client may say
-        that the functions it calls write nothing
-    :param refusal: why the proxy doesn't carry it, or empty
-    :param command: tag of the answer when it is ``local``
+    :param only_queries: it is a query, judged by its first words; the client may then declare by
+        a hint that the functions it calls write nothing
+    :param refusal: reason why the proxy doesn't support it, or empty
+    :param command: command tag of the answer if it is ``local``
     """
 
     access: Access
--- a/limedyke/core/sql/statement_cache.py
+++ b/limedyke/core/sql/statement_cache.py
@@ -1,4 +1,4 @@
-"""Bounded cache of statement profiles: by text, and by shape where only literals differ."""
+"""Bounded cache of statement profiles, by text and by shape (the text with folded literals)."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 
 class LruCache(Generic[Key, Value]):
-    """The most recently used entries, ``capacity`` of them."""
+    """Cache of at most ``capacity`` entries that evicts the least recently used one."""
 
     def __init__(self, capacity: int) -> None:
         self._entries: OrderedDict[Key, Value] = OrderedDict()
         self._capacity = capacity
 
     def get(self, key: Key) -> Value | None:
-        """Return the entry and mark it used."""
+        """Return the entry and mark it as recently used; None if there is none."""
         value = self._entries.get(key)
         if value is not None:
             self._entries.move_to_end(key)
         return value
 
     def put(self, key: Key, value: Value) -> None:
-        """Add an entry and drop the least recently used above the capacity."""
+        """Add an entry; evict the least recently used one if the capacity is exceeded."""
         self._entries[key] = value
         self._entries.move_to_end(key)
         if len(self._entries) > self._capacity:
@@ -43,10 +43,10 @@
 
 
 class StatementCache:
-    """Profiles of the statements seen lately.
+    """Profiles of the recently used statements.
 
-    :param entries: most texts, and most shapes, remembered
-    :ivar parsed: texts that went to the classifier
+    :param entries: maximum number of cached texts, and of cached shapes
+    :ivar parsed: number of texts passed to the classifier
     """
 
     def __init__(self, entries: int = DEFAULT_ENTRIES) -> None:
@@ -56,7 +56,7 @@
 
     @property
     def sizes(self) -> tuple[int, int]:
-        """How many texts, and how many shapes, are remembered."""
+        """The numbers of cached texts and of cached shapes."""
         return len(self._by_text), len(self._by_shape)
 
     def get_profile(self, text: bytes) -> StatementProfile:
@@ -84,7 +84,7 @@
                 return known
         self.parsed += 1
         profile = classify(text)
-        # Literals may matter to what changes the session, so these are cached by text only.
+        # The literals of statements that change the session matter; cache these by text only.
         if shape is not None and not profile.changes and len(shape) <= MAXIMUM_CACHED_TEXT_BYTES:
             self._by_shape.put(shape, profile)
         return profile
--- a/limedyke/core/sql/statement_classifier.py
+++ b/limedyke/core/sql/statement_classifier.py
@@ -1,4 +1,4 @@
-"""Classifies a text of statements: what only reads, what changes the session, what is refused."""
+"""Classifies statements: read or write, effects on the session, and rejected statements."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
         tokens = lex(text)
     except LexicalError:
         return UNKNOWN_PROFILE
-    statements = _split(tokens)
+    statements = _split_statements(tokens)
     if not statements:
         return EMPTY_PROFILE
     profiles = [_classify_one(text, statement) for statement in statements]
@@ -62,19 +62,19 @@
 
 
 def _classify_large(text: bytes) -> StatementProfile:
-    """Classify by the first word only: one plain write, or unknown."""
+    """Classify a large text by its first word: a single plain write, or unknown."""
     if text.lstrip()[:6].upper() in LARGE_WRITES and b";" not in text:
         return StatementProfile(Access.WRITE)
     return UNKNOWN_PROFILE
 
 
-def _split(tokens: list[Token]) -> list[list[Token]]:
-    """Return the tokens of each statement; a routine's body stays in one piece."""
+def _split_statements(tokens: list[Token]) -> list[list[Token]]:
+    """Return the tokens of each statement; the body of a routine isn't split."""
     statements: list[list[Token]] = []
     statement: list[Token] = []
     depth = 0
     for index, token in enumerate(tokens):
-        if depth or _begins_body(tokens, index):
+        if depth or _starts_atomic_body(tokens, index):
             depth += (token.upper in BODY_OPENERS) - (token.upper == BODY_END)
         if token.upper != SEPARATOR or depth:
             statement.append(token)
@@ -86,13 +86,13 @@
     return statements
 
 
-def _begins_body(tokens: list[Token], index: int) -> bool:
-    """Tell whether BEGIN ATOMIC stands here, whose body holds statements of its own."""
+def _starts_atomic_body(tokens: list[Token], index: int) -> bool:
+    """Tell whether BEGIN ATOMIC starts at this token; its body contains statements."""
     return [token.upper for token in tokens[index : index + 2]] == ["BEGIN", "ATOMIC"]
 
 
 def _combine(profiles: list[StatementProfile]) -> StatementProfile:
-    """Return the profile of several statements run as one unit: the worst of them."""
+    """Return the profile of several statements run as one unit: the most restrictive of all."""
     refusal = next((profile.refusal for profile in profiles if profile.refusal), "")
     if not refusal and any(profile.local for profile in profiles):
         refusal = "a statement that the proxy answers, together with others"
@@ -141,7 +141,7 @@
 
 
 def _sets_for_transaction_only(tokens: list[Token]) -> bool:
-    """Tell whether each call of set_config ends in the word ``true``."""
+    """Tell whether the last argument of each set_config call is ``true``, that is, is_local."""
     for index, token in enumerate(tokens[:-1]):
         is_call = tokens[index + 1].upper == "(" and token.kind in (TokenKind.WORD, TokenKind.NAME)
         if not is_call or unquote_name(token) != SET_CONFIG_FUNCTION:
@@ -174,7 +174,7 @@
 
 
 def _calls_unknown(tokens: list[Token]) -> bool:
-    """Like ``has_unknown_call``, past the column list of INSERT INTO table (...)."""
+    """Like ``has_unknown_call``, but skips the table name in INSERT INTO table (...)."""
     start = 0
     for index, token in enumerate(tokens[:8]):
         if token.upper == "(":
@@ -208,11 +208,11 @@
         case "DEALLOCATE":
             return commands.deallocate(tokens)
         case "UNLISTEN":
-            return replace(commands.change(Effect.NOTHING), local=True, command="UNLISTEN")
+            return replace(commands.effect_profile(Effect.NOTHING), local=True, command="UNLISTEN")
         case "PREPARE":
             return _classify_prepare(text, tokens, words)
         case "EXECUTE" if len(tokens) > 1:
-            return commands.change(Effect.EXECUTE, unquote_name(tokens[1]))
+            return commands.effect_profile(Effect.EXECUTE, unquote_name(tokens[1]))
         case "DECLARE":
             if "WITH HOLD" in " ".join(words):
                 return commands.refused("cursors WITH HOLD")
@@ -236,7 +236,7 @@
 
 
 def _classify_explain(text: bytes, tokens: list[Token], words: list[str]) -> StatementProfile:
-    """EXPLAIN reads, unless ANALYZE runs a statement that doesn't."""
+    """Classify EXPLAIN: it only reads, unless ANALYZE executes a statement that writes."""
     position = 1
     runs = False
     if words[1:2] == ["("]:
--- a/limedyke/core/sql/statement_commands.py
+++ b/limedyke/core/sql/statement_commands.py
@@ -1,4 +1,4 @@
-"""Effects of single commands: transaction control, settings, prepared statements.
+"""Profiles of single commands: transaction control, settings and prepared statements.
 
 Each function takes the tokens of one statement and returns its profile.
 """
@@ -23,34 +23,34 @@
 
 
 def refused(reason: str) -> StatementProfile:
-    """Return the profile of a statement that the proxy doesn't carry."""
+    """Return the profile of a statement that the proxy rejects."""
     return StatementProfile(Access.WRITE, refusal=reason)
 
 
-def change(effect: Effect, name: str = "", value: str = "") -> StatementProfile:
-    """Return the profile of a statement with one effect on the session, which writes nothing."""
+def effect_profile(effect: Effect, name: str = "", value: str = "") -> StatementProfile:
+    """Return the profile of a read-only statement with one effect on the session."""
     return StatementProfile(Access.READ, changes=((0, SessionChange(effect, name, value)),))
 
 
 def begin(words: list[str]) -> StatementProfile:
-    """BEGIN and START TRANSACTION, with their modes."""
+    """Classify BEGIN and START TRANSACTION, with their modes."""
     modes = " ".join(words)
     effect = Effect.BEGIN
     if "READ WRITE" in modes or "SERIALIZABLE" in words:
         effect = Effect.BEGIN_READ_WRITE
     elif "READ ONLY" in modes:
         effect = Effect.BEGIN_READ_ONLY
-    return replace(change(effect), may_open_transaction=True)
+    return replace(effect_profile(effect), may_open_transaction=True)
 
 
 def end(words: list[str]) -> StatementProfile:
-    """COMMIT, END, ROLLBACK and ABORT, with AND CHAIN and ROLLBACK TO."""
+    """Classify COMMIT, END, ROLLBACK and ABORT, with AND CHAIN and ROLLBACK TO."""
     if "PREPARED" in words:
         return refused("two-phase commit")
     effect = Effect.COMMIT if words[0] in ("COMMIT", "END") else Effect.ROLLBACK
     if "TO" in words[1:3]:
-        return change(Effect.ROLLBACK_TO, words[-1].lower())
-    profile = replace(change(effect), may_commit=effect is Effect.COMMIT)
+        return effect_profile(Effect.ROLLBACK_TO, words[-1].lower())
+    profile = replace(effect_profile(effect), may_commit=effect is Effect.COMMIT)
     if "CHAIN" in words and "NO" not in words:
         if effect is Effect.COMMIT:
             return refused(BEGIN_AFTER_COMMIT)
@@ -60,7 +60,7 @@
 
 
 def set_command(tokens: list[Token]) -> StatementProfile:
-    """SET in all its forms."""
+    """Classify SET in all its forms."""
     words = [token.upper for token in tokens]
     rest = tokens[1:]
     local = len(words) > 1 and words[1] == "LOCAL"
@@ -69,11 +69,11 @@
     head = [token.upper for token in rest[:2]]
     if head[:1] in (["TRANSACTION"], ["CONSTRAINTS"]):
         name = READ_ONLY_MODE if "READ WRITE" in " ".join(words) else ""
-        return change(Effect.SET_LOCAL, name)
+        return effect_profile(Effect.SET_LOCAL, name)
     if head[:1] in (["AUTHORIZATION"], ["SESSION"]):
         return refused("SET SESSION AUTHORIZATION")
     if head[:1] == ["CHARACTERISTICS"]:
-        return _characteristics(" ".join(words))
+        return _session_characteristics(" ".join(words))
     if head == ["TIME", "ZONE"]:
         return _assign("timezone", rest[2:], local)
     if head[:1] == ["NAMES"]:
@@ -100,10 +100,10 @@
 
 
 def is_supported_encoding(name: str) -> bool:
-    """Tell whether the proxy carries a client encoding.
+    """Tell whether the proxy supports a client encoding.
 
-    As in PostgreSQL only letters and digits count, in any case: asyncpg sends ``'utf-8'``, its
-    quotes included.
+    As in PostgreSQL, only letters and digits are compared, without regard to case: asyncpg sends
+    ``'utf-8'`` including the quotes.
     """
     return "".join(filter(str.isalnum, name)).lower() in _ENCODINGS
 
@@ -117,17 +117,17 @@
     is_default = len(values) == 1 and values[0].upper == "DEFAULT"
     if name.startswith(SESSION_PREFIX):
         effect = Effect.RESET if is_default else Effect.SET
-        profile = change(effect, name, "" if is_default else value)
+        profile = effect_profile(effect, name, "" if is_default else value)
         return replace(profile, local=True, command="SET")
     if local or name == READ_ONLY_MODE:
-        return change(Effect.SET_LOCAL, name, value)
+        return effect_profile(Effect.SET_LOCAL, name, value)
     effect = Effect.RESET if is_default else Effect.SET
-    profile = change(effect, name, "" if is_default else value)
+    profile = effect_profile(effect, name, "" if is_default else value)
     return replace(profile, leaves_state=True)
 
 
 def _setting_value(name: str, tokens: list[Token]) -> str:
-    """Return the value in the form that ``set_config`` takes."""
+    """Return the value in the form that ``set_config`` expects."""
     parts: list[str] = []
     part = ""
     for token in tokens:
@@ -152,8 +152,8 @@
     return f'"{escaped}"'
 
 
-def _characteristics(words: str) -> StatementProfile:
-    """SET SESSION CHARACTERISTICS AS TRANSACTION, kept as the settings it stands for."""
+def _session_characteristics(words: str) -> StatementProfile:
+    """Classify SET SESSION CHARACTERISTICS AS TRANSACTION as the settings it is equivalent to."""
     changes = []
     if "READ ONLY" in words:
         changes.append(SessionChange(Effect.SET, "default_transaction_read_only", "on"))
@@ -168,50 +168,50 @@
 
 
 def reset(tokens: list[Token]) -> StatementProfile:
-    """RESET name, RESET ALL, RESET TIME ZONE, RESET ROLE."""
+    """Classify RESET name, RESET ALL, RESET TIME ZONE and RESET ROLE."""
     words = [token.upper for token in tokens]
     if words[1:] == ["ALL"]:
-        return replace(change(Effect.RESET_ALL), leaves_state=True)
+        return replace(effect_profile(Effect.RESET_ALL), leaves_state=True)
     if words[1:3] == ["SESSION", "AUTHORIZATION"]:
         return refused("RESET SESSION AUTHORIZATION")
     name = setting_name(tokens[1:])
     if words[1:3] == ["TIME", "ZONE"]:
         name = "timezone"
-    profile = change(Effect.RESET, name)
+    profile = effect_profile(Effect.RESET, name)
     if name.startswith(SESSION_PREFIX):
         return replace(profile, local=True, command="RESET")
     return replace(profile, leaves_state=True)
 
 
 def show(tokens: list[Token]) -> StatementProfile:
-    """SHOW name: the proxy's own settings are answered here, the others by a member."""
+    """Classify SHOW name: the proxy answers its own settings, a member the others."""
     name = setting_name(tokens[1:])
     if not name.startswith(SESSION_PREFIX):
         return StatementProfile(Access.READ)
-    profile = change(Effect.SHOW, name)
+    profile = effect_profile(Effect.SHOW, name)
     return replace(profile, local=True, command="SHOW")
 
 
 def discard(words: list[str]) -> StatementProfile:
-    """DISCARD: what it names is kept by the proxy, so the proxy answers."""
+    """Classify DISCARD: the proxy keeps the discarded state, so it answers the command itself."""
     effect = Effect.DISCARD_ALL if words[1:] == ["ALL"] else Effect.NOTHING
-    return replace(change(effect), local=True, command=" ".join(words))
+    return replace(effect_profile(effect), local=True, command=" ".join(words))
 
 
 def deallocate(tokens: list[Token]) -> StatementProfile:
-    """DEALLOCATE [PREPARE] name | ALL."""
+    """Classify DEALLOCATE [PREPARE] name | ALL."""
     rest = tokens[1:]
     if rest and rest[0].upper == "PREPARE" and len(rest) > 1:
         rest = rest[1:]
     if not rest:
         return StatementProfile(Access.WRITE)
     if rest[0].upper == "ALL":
-        profile = change(Effect.DEALLOCATE_ALL)
+        profile = effect_profile(Effect.DEALLOCATE_ALL)
         return replace(profile, local=True, command="DEALLOCATE ALL")
-    profile = change(Effect.DEALLOCATE, unquote_name(rest[0]))
+    profile = effect_profile(Effect.DEALLOCATE, unquote_name(rest[0]))
     return replace(profile, local=True, command="DEALLOCATE")
 
 
 def savepoint(tokens: list[Token], effect: Effect) -> StatementProfile:
-    """SAVEPOINT and RELEASE: the name is the last word."""
-    return change(effect, unquote_name(tokens[-1]))
+    """Classify SAVEPOINT, RELEASE and ROLLBACK TO; the last token is the savepoint's name."""
+    return effect_profile(effect, unquote_name(tokens[-1]))
