--- a/features/steps/session_safeguards_steps.py
+++ b/features/steps/session_safeguards_steps.py
@@ -21,15 +21,15 @@
     return b"\0" * 32
 
 
-def _forget_loss(position: SessionPosition) -> bool:
+def _ignore_unknown_write(position: SessionPosition) -> bool:
     return False
 
 
-def _take_claim_back(position: SessionPosition, claim: TokenClaim) -> None:
+def _overwrite_required(position: SessionPosition, claim: TokenClaim) -> None:
     position.required = claim.position
 
 
-def _never_rolled(state: object, running: object, end: object) -> bool:
+def _binds_nothing(state: object, running: object, end: object) -> bool:
     """Judge as if the rollback in a batch undid all of it."""
     return False
 
@@ -37,13 +37,13 @@
 SAFEGUARDS: dict[str, Callable[[], AbstractContextManager]] = {
     "signature": lambda: mock.patch.object(TokenAuthority, "_mac", _accept_any_mac),
     "owner": lambda: mock.patch.object(TokenOwner, "digest", lambda owner: b"x" * 16),
-    "never back": lambda: mock.patch.object(SessionPosition, "merge_claim", _take_claim_back),
+    "never back": lambda: mock.patch.object(SessionPosition, "merge_claim", _overwrite_required),
     "barrier by name": lambda: mock.patch.object(session_opening, "SESSION_NAME_SETTING", "off"),
     "barrier on loss": lambda: mock.patch.object(
-        SessionPosition, "record_unknown_write", _forget_loss
+        SessionPosition, "record_unknown_write", _ignore_unknown_write
     ),
     "write behind rollback": lambda: mock.patch(
-        "limedyke.core.units.unit_answer.binds_position", _never_rolled
+        "limedyke.core.units.unit_answer.binds_position", _binds_nothing
     ),
 }
 
--- a/features/steps/session_statements_steps.py
+++ b/features/steps/session_statements_steps.py
@@ -115,7 +115,7 @@
     trusted = mock.Mock(return_value=[])
     with (
         mock.patch.object(read_proof, "_called_names", trusted),
-        mock.patch.object(read_proof, "_has_foreign_call", mock.Mock(return_value=False)),
+        mock.patch.object(read_proof, "_has_undeclared_call", mock.Mock(return_value=False)),
     ):
         try:
             check_never_read(100)
