--- a/limedyke/transport/early_listeners.py
+++ b/limedyke/transport/early_listeners.py
@@ -1,8 +1,9 @@
-"""Sockets that listen before the rest of a process is loaded.
+"""Sockets that listen before the rest of a program is imported.
 
-Loading takes a proxy some tenths of a second. Who connects meanwhile would be refused, and most
-clients have no second address to go to; here they wait in the backlog and are served when the
-process is there. This module loads nothing that takes time: a program may import it first of all.
+Importing the modules of a proxy takes some tenths of a second. Clients that connect during that
+time would be refused, and most of them have no second address to try; with an early listener they
+wait in the backlog until the proxy accepts them. This module has no slow imports, so that a program
+can import it first.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 
 
 def listen_early(address: str) -> None:
-    """Listen at an address from now on; ``take_listener`` gives the socket away.
+    """Listen at an address; ``take_listener`` hands over the socket.
 
-    An address that can't be had is left alone: who takes the listener tries again, and reports it.
+    Errors are ignored here, as the later owner of the address tries again and reports them.
     """
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -32,5 +33,5 @@
 
 
 def take_listener(address: str) -> socket.socket | None:
-    """Return the socket that listens at an address already, once; None when none does."""
+    """Remove and return the early listener of an address; None if there is none."""
     return _listening.pop(address, None)
--- a/limedyke/transport/framing.py
+++ b/limedyke/transport/framing.py
@@ -1,7 +1,7 @@
-"""Frames of the internal protocol: a four-byte length, then the message bytes.
+"""Frames of the internal protocol: a four-byte length followed by the message bytes.
 
-The two highest bits of the length say how the bytes are compressed: by themselves, or against the
-messages before them on the link (``compression``).  Receivers see the message.
+The two highest bits of the length tell how the message is compressed: individually, or as part of
+the compressed stream of the link (``compression``).  Receivers get the decompressed message.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class FrameError(Exception):
-    """A frame that can't be taken; ``failure`` carries the code."""
+    """A frame is invalid; ``failure`` holds the result code."""
 
     def __init__(self, failure: Failure) -> None:
         super().__init__(failure.detail)
@@ -29,39 +29,39 @@
 
 
 class FrameTooLargeError(FrameError):
-    """A peer announced a frame above ``MAXIMUM_FRAME_BYTES``, or its message is that large."""
+    """A frame, or the message in it, is larger than ``MAXIMUM_FRAME_BYTES``."""
 
     def __init__(self, size: int) -> None:
         super().__init__(Failure(ResultCode.MESSAGE_TOO_LARGE, f"internal frame of {size} bytes"))
 
 
 class FrameDamagedError(FrameError):
-    """A compressed frame does not decompress, or says that it is compressed in two ways."""
+    """A compressed frame can't be decompressed, or has both compression flags set."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(Failure(ResultCode.PROTOCOL_VIOLATION, f"compressed frame: {reason}"))
 
 
 def frame(data: bytes) -> bytes:
-    """Return ``data`` with its length in front."""
+    """Return an uncompressed frame with ``data``."""
     return _LENGTH.pack(len(data)) + data
 
 
 def compressed_frame(data: bytes) -> bytes:
-    """Return ``data`` compressed, for large messages to many peers."""
+    """Return an individually compressed frame with ``data``, for large messages to many peers."""
     body = zlib.compress(data, _COMPRESSION_LEVEL)
     return _LENGTH.pack(len(body) | _COMPRESSED_FLAG) + body
 
 
 def stream_frame(body: bytes) -> bytes:
-    """Return the frame of a message that was compressed against those before it on the link."""
+    """Return the frame of a message compressed by the ``MessageCompressor`` of the link."""
     return _LENGTH.pack(len(body) | _STREAM_FLAG) + body
 
 
 def _decompress(body: bytes) -> bytes:
-    """Return the message in a compressed frame.
+    """Return the message of an individually compressed frame.
 
-    :raises FrameError: when it is damaged, or larger than a frame may be
+    :raises FrameError: if it is damaged or larger than ``MAXIMUM_FRAME_BYTES``
     """
     decompressor = zlib.decompressobj()
     try:
@@ -71,21 +71,21 @@
     if decompressor.unconsumed_tail:
         raise FrameTooLargeError(MAXIMUM_FRAME_BYTES + 1)
     if not decompressor.eof:
-        raise FrameDamagedError("it is cut short")
+        raise FrameDamagedError("it is truncated")
     return data
 
 
 class FrameReader:
-    """Cuts a byte stream into frames; sans-IO."""
+    """Splits a byte stream into frames; sans-IO."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
         self._stream: MessageDecompressor | None = None
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add received bytes and return the messages of the frames now whole.
+        """Add received bytes and return the messages of the frames that are now complete.
 
-        :raises FrameError: when a length is above the limit, or a frame is damaged
+        :raises FrameError: if a length is above the limit, or a frame is damaged
         """
         self._buffer += data
         frames = []
@@ -99,12 +99,12 @@
             if end > len(self._buffer):
                 break
             body = bytes(self._buffer[offset + _LENGTH.size : end])
-            frames.append(self._message(body, length & _FLAGS))
+            frames.append(self._decode_body(body, length & _FLAGS))
             offset = end
         del self._buffer[:offset]
         return frames
 
-    def _message(self, body: bytes, flags: int) -> bytes:
+    def _decode_body(self, body: bytes, flags: int) -> bytes:
         """Return the message in the body of a frame."""
         match flags:
             case 0:
@@ -112,10 +112,10 @@
             case _ if flags == _COMPRESSED_FLAG:
                 return _decompress(body)
             case _ if flags == _STREAM_FLAG:
-                return self._next_of_stream(body)
+                return self._decompress_stream_frame(body)
         raise FrameDamagedError("both flags are set")
 
-    def _next_of_stream(self, body: bytes) -> bytes:
+    def _decompress_stream_frame(self, body: bytes) -> bytes:
         if self._stream is None:
             self._stream = MessageDecompressor()
         try:
--- a/limedyke/transport/http_client.py
+++ b/limedyke/transport/http_client.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 request to an address, by h11 on curio."""
+"""A minimal HTTP/1.1 client for single requests, based on h11 and curio."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpCall:
-    """A request to be sent; ``headers`` are pairs of name and value."""
+    """A request to send; ``headers`` are pairs of name and value."""
 
     method: str
     path: str
@@ -25,10 +25,10 @@
 
 
 async def call_http(address: str, call: HttpCall, timeout_s: float) -> int | None:
-    """Send a request on a connection of its own; return the status of the answer.
+    """Send a request on a new connection; return the status code of the response.
 
     :param address: ``ip:port``
-    :returns: None when no whole answer came in time: the request may have been carried out
+    :returns: None if no response arrived in time; the request may still have been executed
     """
     try:
         async with curio.timeout_after(timeout_s):
--- a/limedyke/transport/http_server.py
+++ b/limedyke/transport/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for calls with bodies: h11 on curio, everything bounded."""
+"""A small HTTP/1.1 server for requests with bodies, based on h11 and curio, with fixed limits."""
 
 from __future__ import annotations
 
@@ -16,13 +16,15 @@
 RECEIVE_BYTES = 64 * 1024
 MAXIMUM_HEAD_BYTES = 16 * 1024
 SEND_TIMEOUT_S = 10.0
-FIRST_CALL_S = 1.0
-"""A caller that has connected sends its call within this. One that looks for garbage stands still
-for up to 0.7 s on a machine with 20 runnable processes on 8 cores; callers give up after 1 s."""
-DRAIN_LOOK_S = 0.01
-QUIET_LOOKS = 2
-"""A process that stood still for longer than ``FIRST_CALL_S`` reads what came meanwhile between two
-looks; one starved of processor time was seen to stand still for 0.4 s."""
+FIRST_REQUEST_TIMEOUT_S = 1.0
+"""While draining, how long a new connection is kept open for its first request. A garbage
+collection can stop a client for up to 0.7 s on a machine with 20 runnable processes on 8 cores;
+clients give up after 1 s."""
+DRAIN_POLL_INTERVAL_S = 0.01
+IDLE_POLLS_TO_DRAIN = 2
+"""Consecutive polls without a request before draining ends. After a pause of this process longer
+than ``FIRST_REQUEST_TIMEOUT_S``, requests that arrived meanwhile are read between two polls; for
+lack of processor time a process can pause for 0.4 s."""
 STATUS_BAD_REQUEST = 400
 STATUS_TOO_LARGE = 413
 STATUS_INTERNAL_ERROR = 500
@@ -31,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A whole request; ``path`` is without its query."""
+    """A complete request; ``path`` excludes the query."""
 
     method: str
     path: str
@@ -40,9 +42,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpAnswer:
-    """The answer to a request.
+    """The response to a request.
 
-    :param headers: further header fields, as pairs of name and value
+    :param headers: additional header fields, as pairs of name and value
     """
 
     status: int
@@ -55,17 +57,17 @@
 
 
 class _BodyTooLargeError(Exception):
-    """A request's body is larger than the limit."""
+    """The body of a request is larger than the limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpLimits:
-    """Bounds of one server.
+    """Limits of one server.
 
-    :param body_bytes: largest body
-    :param idle_s: a connection without a whole request for so long is closed
-    :param connections: open connections at most; a further one takes the place of the one that
-        has rested longest, and is closed at once when all are in use
+    :param body_bytes: maximum size of a request body
+    :param idle_s: a connection is closed after so many seconds without a complete request
+    :param connections: maximum number of open connections; at the limit, a new connection replaces
+        the one that has been idle longest_idle, or is closed at once if none is idle
     """
 
     body_bytes: int
@@ -76,30 +78,31 @@
 class _Peer:
     """One open connection.
 
-    :ivar rests_since: since when nothing of a request has come; None while one comes or is answered
-    :ivar is_new: whether nothing has been asked yet
+    :ivar idle_since: monotonic time in seconds since which the connection is idle; None while a
+        request is received or answered
+    :ivar is_new: whether no data has been received yet
     """
 
     def __init__(self, sock: socket.socket) -> None:
         self.socket = sock
         self.protocol = h11.Connection(h11.SERVER, max_incomplete_event_size=MAXIMUM_HEAD_BYTES)
-        self.rests_since: float | None = time.monotonic()
+        self.idle_since: float | None = time.monotonic()
         self.is_new = True
         self.task: curio.Task | None = None
 
     async def next_event(self) -> h11.Event:
-        """Return the next part of a request."""
+        """Return the next event of a request."""
         while True:
             event = self.protocol.next_event()
             if event is not h11.NEED_DATA:
                 return event
             data = await self.socket.recv(RECEIVE_BYTES)
-            self.rests_since = None
+            self.idle_since = None
             self.is_new = False
             self.protocol.receive_data(data)
 
     async def send(self, answer: HttpAnswer) -> None:
-        """Send a whole answer, if the protocol still allows one."""
+        """Send a complete response, if the protocol state still allows one."""
         protocol = self.protocol
         if protocol.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
@@ -116,22 +119,22 @@
             await self.socket.sendall(data)
 
     @property
-    def is_due(self) -> bool:
-        """Whether a request is under way, or to be expected at once."""
-        if self.rests_since is None:
+    def expects_request(self) -> bool:
+        """Whether a request is in progress, or expected soon on a new connection."""
+        if self.idle_since is None:
             return True
-        return self.is_new and time.monotonic() < self.rests_since + FIRST_CALL_S
+        return self.is_new and time.monotonic() < self.idle_since + FIRST_REQUEST_TIMEOUT_S
 
     @property
     def is_reusable(self) -> bool:
-        """Whether the connection can take another request."""
+        """Whether the connection can be used for another request."""
         return self.protocol.our_state is h11.DONE and self.protocol.their_state is h11.DONE
 
 
 class HttpServer:
-    """Serves requests one after the other on each connection.
+    """Serves the requests of each connection one at a time.
 
-    :param handler: gives the answer; it must not raise
+    :param handler: returns the response to a request; it must not raise
     """
 
     def __init__(self, handler: HttpHandler, limits: HttpLimits) -> None:
@@ -142,23 +145,24 @@
         self._is_draining = False
 
     async def run(self, listener: socket.socket) -> None:
-        """Accept connections until cancelled; none any more once it drains."""
+        """Run until cancelled; accept connections until ``drain`` is called."""
         self._acceptor = Acceptor(listener, self._admit, EVENTS)
         await self._acceptor.run()
 
     async def drain(self) -> None:
-        """Let no new connection in, and return once all requests under way are answered.
+        """Stop accepting connections, and return when all requests in progress are answered.
 
-        What comes meanwhile on open connections is answered too. A process that ends without this
-        cuts what it has taken, and what callers have sent on connections not accepted yet.
+        Requests that arrive on open connections during this time are answered too. A process that
+        exits without draining cuts off the requests it has received, and those that clients have
+        sent on connections which aren't accepted yet.
         """
         self._is_draining = True
         closing = await curio.spawn(self._close_listener)
-        quiet_looks = 0
-        while quiet_looks < QUIET_LOOKS or not closing.terminated:
-            await curio.sleep(DRAIN_LOOK_S)
-            is_due = any(peer.is_due for peer in self._peers)
-            quiet_looks = 0 if is_due else quiet_looks + 1
+        idle_polls = 0
+        while idle_polls < IDLE_POLLS_TO_DRAIN or not closing.terminated:
+            await curio.sleep(DRAIN_POLL_INTERVAL_S)
+            expects_request = any(peer.expects_request for peer in self._peers)
+            idle_polls = 0 if expects_request else idle_polls + 1
         await closing.join()
 
     async def _close_listener(self) -> None:
@@ -166,25 +170,25 @@
             await self._acceptor.close()
 
     async def _admit(self, sock: socket.socket) -> None:
-        if len(self._peers) >= self._limits.connections and not await self._make_room():
+        if len(self._peers) >= self._limits.connections and not await self._evict_idle_connection():
             await sock.close()
             return
         peer = _Peer(sock)
         self._peers.add(peer)
         peer.task = await curio.spawn(self._serve_peer, peer, daemon=True)
 
-    async def _make_room(self) -> bool:
-        """Close the connection that has rested longest; tell whether there was one.
+    async def _evict_idle_connection(self) -> bool:
+        """Close the connection that has been idle longest_idle; tell whether there was one.
 
-        Callers that keep connections and use them seldom must not shut others out: with 300
-        machines members' connections held all places, and no configuration was taken.
+        Clients that keep connections open and rarely use them must not block others: with 300
+        machines, idle connections of members used up the limit, and no configuration was accepted.
         """
-        resting = [peer for peer in self._peers if peer.rests_since is not None]
-        if not resting:
+        idle = [peer for peer in self._peers if peer.idle_since is not None]
+        if not idle:
             return False
-        longest = min(resting, key=lambda peer: peer.rests_since)
-        self._peers.discard(longest)
-        await longest.task.cancel(blocking=False)
+        longest_idle = min(idle, key=lambda peer: peer.idle_since)
+        self._peers.discard(longest_idle)
+        await longest_idle.task.cancel(blocking=False)
         return True
 
     async def _serve_peer(self, peer: _Peer) -> None:
@@ -198,8 +202,8 @@
             await peer.socket.close()
 
     async def _serve_request(self, peer: _Peer) -> bool:
-        """Serve one request; tell whether the connection can take another."""
-        peer.rests_since = time.monotonic()
+        """Serve one request; tell whether the connection can be used for another."""
+        peer.idle_since = time.monotonic()
         try:
             async with curio.timeout_after(self._limits.idle_s):
                 request = await self._receive(peer)
@@ -212,12 +216,12 @@
             return False
         if request is None:
             return False
-        peer.rests_since = None
+        peer.idle_since = None
         await self._answer(peer, request)
         return peer.is_reusable
 
     async def _answer(self, peer: _Peer, request: HttpRequest) -> None:
-        """Answer a request; while it drains the client is told that the connection ends."""
+        """Answer a request; while draining, tell the client that the connection will be closed."""
         answer = await self._handler(request)
         if self._is_draining:
             answer = replace(answer, headers=(*answer.headers, ("connection", "close")))
@@ -228,8 +232,8 @@
         if not isinstance(head, h11.Request):
             return None
         if peer.protocol.they_are_waiting_for_100_continue:
-            go_on = peer.protocol.send(h11.InformationalResponse(status_code=100))
-            await peer.socket.sendall(go_on)
+            continue_response = peer.protocol.send(h11.InformationalResponse(status_code=100))
+            await peer.socket.sendall(continue_response)
         body = bytearray()
         while True:
             event = await peer.next_event()
--- a/limedyke/transport/http_status.py
+++ b/limedyke/transport/http_status.py
@@ -1,8 +1,8 @@
 """The HTTP status interface of a process: ``/metrics``, ``/livez`` and ``/readyz``.
 
-HTTP/1.1 by h11 on curio.  Only GET without a body is served; the request head,
-the time to receive it, the time to send the answer, the requests per
-connection and the open connections are all bounded.
+It speaks HTTP/1.1, based on h11 and curio, and serves only GET.  The size of
+the request head, the times to receive a request and to send a response, the
+requests per connection and the open connections are all bounded.
 """
 
 from __future__ import annotations
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadyState:
-    """Whether the process should get work, and one sentence why (not)."""
+    """Whether the process should receive work, with the reason in one sentence."""
 
     ready: bool
     reason: str
 
 
 class StatusListenError(Exception):
-    """The status address cannot be bound; ``failure`` carries the code."""
+    """The status address cannot be bound; ``failure`` holds the result code."""
 
     def __init__(self, failure: Failure) -> None:
         super().__init__(str(failure))
@@ -61,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Pages:
-    """What the paths show."""
+    """The pages that the status interface serves."""
 
     registry: CollectorRegistry
     live: Callable[[], bool]
     ready: Callable[[], ReadyState]
 
     def answer(self, request: h11.Request) -> _Answer:
-        """Return the page for a request."""
+        """Return the response to a request."""
         if request.method == b"HEAD":
             return _Answer(STATUS_METHOD_NOT_ALLOWED, b"")
         if request.method != b"GET":
@@ -95,7 +95,7 @@
 
 
 async def _receive_event(sock: socket.socket, connection: h11.Connection) -> h11.Event:
-    """Return the next whole event of the peer."""
+    """Return the next complete event from the peer."""
     while True:
         event = connection.next_event()
         if event is not h11.NEED_DATA:
@@ -104,7 +104,7 @@
 
 
 async def _receive_request(sock: socket.socket, connection: h11.Connection) -> h11.Request | None:
-    """Return the next request, its body dropped, or None at the end of the connection."""
+    """Return the next request without its body, or None at the end of the connection."""
     request = await _receive_event(sock, connection)
     if not isinstance(request, h11.Request):
         return None
@@ -140,7 +140,7 @@
 
 
 async def _serve_requests(sock: socket.socket, pages: _Pages) -> None:
-    """Answer the requests of one connection until it ends or is used up."""
+    """Answer the requests of one connection until it ends or reaches its request limit."""
     connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAXIMUM_HEAD_BYTES)
     for number in range(1, MAXIMUM_REQUESTS_PER_CONNECTION + 1):
         try:
@@ -161,7 +161,10 @@
 
 
 async def _drop_input(sock: socket.socket) -> None:
-    """Read what the peer still sends, for a while, so that closing doesn't cut the answer off."""
+    """Discard further input for a while: closing with unread input would reset the connection.
+
+    The reset could reach the peer before it has read the response.
+    """
     await sock.shutdown(socket.SHUT_WR)
     async with curio.ignore_after(CLOSE_TIMEOUT_S):
         while await sock.recv(RECEIVE_BYTES):
@@ -189,9 +192,9 @@
     """Serve the status pages until cancelled.
 
     :param address: ``ip:port`` to listen on
-    :param registry: metrics shown at ``/metrics``
-    :param live: whether the process works at all; asked at ``/livez``
-    :param ready: whether it should get work, and why; asked at ``/readyz``
+    :param registry: metrics served at ``/metrics``
+    :param live: tells whether the process works; called for ``/livez``
+    :param ready: tells whether the process should receive work; called for ``/readyz``
     :raises StatusListenError: when the address cannot be bound
     """
     listened = listen(address)
--- a/limedyke/transport/keepalive.py
+++ b/limedyke/transport/keepalive.py
@@ -1,7 +1,7 @@
-"""Finds out that a link has gone silent: open connections may, without a reset.
+"""Detects dead links by periodic probes.
 
-Nothing tells the sender that its bytes no longer arrive, while new connections to the same peer
-work. So the other end is asked for a sign of life from time to time, on the link itself.
+An open connection can stop delivering bytes without a reset. The sender then gets no error, while
+new connections to the same peer still work. Each link is therefore probed on its own connection.
 """
 
 from __future__ import annotations
@@ -11,46 +11,46 @@
 from limedyke.messages.work import LinkProbe
 from limedyke.transport.link import Link, LinkClosedError
 
-OWN_PAUSE_S = 0.05
-"""A sign may have come while this process stood still: it is read before the link is judged."""
+LATE_REPLY_GRACE_S = 0.05
+"""Extra wait after the timeout, to read a reply that arrived while this process was paused."""
 
 
 class Keepalive:
-    """Asks the other end of one link for signs of life.
+    """Probes the peer of one link.
 
-    :param interval_s: seconds from a sign to the next question
-    :param limit_s: for how long a sign is waited for
+    :param interval_s: seconds from a reply to the next probe
+    :param limit_s: timeout for the reply to a probe, in seconds
     """
 
     def __init__(self, link: Link, interval_s: float, limit_s: float) -> None:
         self._link = link
         self._interval_s = interval_s
         self._limit_s = limit_s
-        self._has_sign = curio.Event()
+        self._reply_received = curio.Event()
 
     async def run(self) -> None:
-        """Ask until cancelled.
+        """Send probes until cancelled.
 
-        :raises LinkClosedError: when the other end gives no sign in time
+        :raises LinkClosedError: if the peer doesn't reply in time
         """
         sequence = 0
         while True:
             await curio.sleep(self._interval_s)
             sequence += 1
-            self._has_sign.clear()
+            self._reply_received.clear()
             await self._link.send(LinkProbe(sequence, False))
-            await curio.ignore_after(self._limit_s, self._has_sign.wait)
-            if not self._has_sign.is_set():
-                await curio.sleep(OWN_PAUSE_S)
-            if not self._has_sign.is_set():
-                raise LinkClosedError(f"no sign of life in {self._limit_s:g} s")
+            await curio.ignore_after(self._limit_s, self._reply_received.wait)
+            if not self._reply_received.is_set():
+                await curio.sleep(LATE_REPLY_GRACE_S)
+            if not self._reply_received.is_set():
+                raise LinkClosedError(f"no reply to a probe within {self._limit_s:g} s")
 
     async def listen(self) -> None:
-        """Take the signs; nothing else comes to this end of the link.
+        """Receive the replies; the peer sends nothing else on this link.
 
         :raises LinkClosedError: at the end of the link
         """
         while True:
             message = await self._link.receive()
             if isinstance(message, LinkProbe):
-                await self._has_sign.set()
+                await self._reply_received.set()
--- a/limedyke/transport/link.py
+++ b/limedyke/transport/link.py
@@ -1,4 +1,4 @@
-"""Links between the system's own processes: authenticated, framed TCP on curio."""
+"""Links between the system's own processes: authenticated TCP connections with framed messages."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkIdentity:
-    """Who this process is on its links, and the key that proves it.
+    """The identity of this process on its links, and the key that proves it.
 
-    :param place: where it runs; told to the peer
-    :param meter: counts what is sent on its links
+    :param place: zone and region of the process; sent to the peer
+    :param meter: counts the bytes sent on its links
     """
 
     role: PeerRole
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class LinkCounters:
-    """Traffic of one link, for measurements: messages and bytes each way."""
+    """Traffic counters of one link: messages and bytes in each direction."""
 
     messages_in: int = 0
     messages_out: int = 0
@@ -103,32 +103,32 @@
         await self.send_encoded(encode(message), purpose_of_kind(KIND_BY_CLASS[type(message)]))
 
     async def send_encoded(self, data: bytes, purpose: Purpose) -> None:
-        """Send a message already encoded, perhaps for many peers."""
+        """Send an encoded message, which may be shared by many peers."""
         async with self._send_lock:
             await self._send_frame(self._framed(data), purpose)
 
     async def send_framed(self, framed: bytes, purpose: Purpose) -> None:
-        """Send a frame made before, for one large message to many peers without a copy for each."""
+        """Send a complete frame; a large message to many peers is then framed only once."""
         async with self._send_lock:
             await self._send_frame(framed, purpose)
 
-    def compress_from_now_on(self) -> None:
-        """Compress each message against those before it: the peer has said that it takes this."""
+    def enable_compression(self) -> None:
+        """Compress all further messages as a stream; the peer must have announced support."""
         self._compressor = MessageCompressor()
 
     def _framed(self, data: bytes) -> bytes:
-        """Return the frame of the next message; compressed, it has to be sent in this order."""
+        """Return the frame of the next message; compressed frames must be sent in call order."""
         if self._compressor is None:
             return frame(data)
         return stream_frame(self._compressor.compress(data))
 
     async def _send_frame(self, framed: bytes, purpose: Purpose) -> None:
-        """Send a frame; the caller holds the lock.
+        """Send a frame; the caller must hold the lock.
 
-        A send that is cancelled may leave half a frame behind, so the link is closed then.
+        After a cancelled send, which may have sent only part of a frame, the link is unusable.
         """
         if self._broken:
-            raise LinkClosedError("an earlier message was not sent whole")
+            raise LinkClosedError("an earlier message was sent only partially")
         self._broken = True
         try:
             await self._socket.sendall(framed)
@@ -181,7 +181,7 @@
 
 
 class _Side(enum.StrEnum):
-    """Which end of a link proves itself; so a listener's proof is no use to a dialler."""
+    """The end of a link that proves itself; the proof includes it, so that it can't be reflected."""
 
     DIALLER = "dialler"
     LISTENER = "listener"
@@ -193,10 +193,10 @@
     return hmac.new(key, text, hashlib.sha256).digest()
 
 
-async def _exchange(
+async def _authenticate(
     link: Link, side: _Side, identity: LinkIdentity, keys: KeyLookup
 ) -> Failure | None:
-    """Prove both sides to each other; return the failure, or None."""
+    """Run the mutual authentication; return the failure, or None."""
     peer_side = _Side.LISTENER if side is _Side.DIALLER else _Side.DIALLER
     nonce = os.urandom(NONCE_BYTES)
     place = identity.place
@@ -210,14 +210,14 @@
     if not isinstance(peer, LinkHello) or peer.version != PROTOCOL_VERSION:
         return Failure(ResultCode.PROTOCOL_VIOLATION, "unexpected hello")
     if peer.nonce == own.nonce:
-        return Failure(ResultCode.OPERATOR_REFUSED, "the peer sent our own greeting back")
+        return Failure(ResultCode.OPERATOR_REFUSED, "the peer sent our own hello back")
     key = keys(peer.role, peer.name)
     if key is None:
         await link.send(LinkRefused(ResultCode.OPERATOR_REFUSED.value.number, "unknown peer"))
         return Failure(ResultCode.OPERATOR_REFUSED, f"unknown peer {peer.role} {peer.name}")
     # An operator proves its own key; the controller proves itself with that same key.
-    own_key = key if peer.role is PeerRole.OPERATOR else identity.key
-    await link.send(LinkProof(_proof(own_key, side, own, peer.nonce)))
+    proof_key = key if peer.role is PeerRole.OPERATOR else identity.key
+    await link.send(LinkProof(_proof(proof_key, side, own, peer.nonce)))
     answer = await link.receive()
     expected = _proof(key, peer_side, peer, own.nonce)
     if not isinstance(answer, LinkProof) or not hmac.compare_digest(answer.proof, expected):
@@ -227,16 +227,16 @@
     link.peer_answers_probes = peer.answers_probes
     link.distance = place.distance_to(Place(peer.zone, peer.region))
     if peer.compresses:
-        link.compress_from_now_on()
+        link.enable_compression()
     return None
 
 
-async def _open(
+async def _run_handshake(
     link: Link, side: _Side, identity: LinkIdentity, keys: KeyLookup
 ) -> Result[Link, Failure]:
     try:
         async with curio.timeout_after(HANDSHAKE_TIMEOUT_S):
-            failure = await _exchange(link, side, identity, keys)
+            failure = await _authenticate(link, side, identity, keys)
     except (LinkClosedError, curio.TaskTimeout) as error:
         failure = Failure(ResultCode.PEER_UNREACHABLE, f"handshake: {error or 'timeout'}")
     if failure is None:
@@ -252,13 +252,14 @@
     source_ip: str = "",
     timeout_s: float = 3.0,
 ) -> Result[Link, Failure]:
-    """Connect to a peer and prove both identities.
+    """Connect to a peer and authenticate both sides.
 
     :param address: ``ip:port`` of the peer
-    :param keys: gives the key expected of the peer, by role and name
+    :param keys: returns the key expected of the peer, by role and name
     :param source_ip: local address to connect from, or empty
-    :returns: the link; PEER_UNREACHABLE when nobody answers or the connection is lost in the
-        handshake, which may pass; OPERATOR_REFUSED when one side's proof is refused
+    :returns: the link; PEER_UNREACHABLE if the peer doesn't answer or the connection is lost in
+        the handshake, which may be temporary; OPERATOR_REFUSED if one side rejects the other's
+        proof
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -270,13 +271,13 @@
     except (OSError, curio.TaskTimeout) as error:
         await sock.close()
         return Err(Failure(ResultCode.PEER_UNREACHABLE, f"{address}: {error or 'timeout'}"))
-    return await _open(Link(sock, identity.meter), _Side.DIALLER, identity, keys)
+    return await _run_handshake(Link(sock, identity.meter), _Side.DIALLER, identity, keys)
 
 
 def listen(address: str) -> Result[socket.socket, Failure]:
-    """Return a listening socket, or ADDRESS_IN_USE naming the address.
+    """Return a listening socket, or ADDRESS_IN_USE with the address.
 
-    One that listens there since before this process was loaded is taken over.
+    An early listener of the address is taken over.
     """
     early = take_listener(address)
     if early is not None:
@@ -301,7 +302,7 @@
 
     async def serve_one(client: socket.socket) -> None:
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        opened = await _open(Link(client, identity.meter), _Side.LISTENER, identity, keys)
+        opened = await _run_handshake(Link(client, identity.meter), _Side.LISTENER, identity, keys)
         if isinstance(opened, Err):
             return
         link = opened.ok_value
--- a/limedyke/transport/listener_filter.py
+++ b/limedyke/transport/listener_filter.py
@@ -1,4 +1,4 @@
-"""A packet filter of the kernel that has a listener take no further requests for connections."""
+"""A kernel packet filter that makes a listening socket ignore new connection attempts."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from curio import socket
 
 SO_ATTACH_FILTER = 26
-"""Option of Linux that Python's ``socket`` does not name, from asm-generic/socket.h."""
+"""Linux socket option that Python's ``socket`` doesn't define, from asm-generic/socket.h."""
 
 FLAGS_OFFSET = 13
-"""Of the byte of flags in a TCP header, where the filter's view of a packet begins."""
+"""Offset of the flags in the TCP header, at which the packet starts for the filter."""
 SYN, ACK = 0x02, 0x10
 
 LOAD_BYTE, AND_WITH, JUMP_IF_EQUAL, RETURN = 0x30, 0x54, 0x15, 0x06
-"""Instructions of the classic packet filter, from linux/bpf_common.h."""
+"""Opcodes of classic BPF, from linux/bpf_common.h."""
 DROP, KEEP_ALL = 0, 0xFFFFFFFF
 INSTRUCTION = struct.Struct("HBBI")
-"""Operation, steps to jump when true, steps to jump when false, operand."""
+"""Opcode, jump offset if true, jump offset if false, operand."""
 
 PROGRAM = b"".join(
     INSTRUCTION.pack(*instruction)
@@ -33,11 +33,11 @@
 
 
 def drop_syn_packets(listener: socket.socket) -> None:
-    """Have the kernel drop requests for connections; handshakes under way go on.
+    """Make the kernel drop SYN packets to a listener; pending handshakes still complete.
 
-    Whoever asked asks again after 1 s.
+    Clients retransmit a dropped SYN after 1 s.
 
-    :raises OSError: where the kernel has no such filter
+    :raises OSError: if the kernel doesn't support the filter
     """
     program = ctypes.create_string_buffer(PROGRAM, len(PROGRAM))
     instructions = len(PROGRAM) // INSTRUCTION.size
--- a/limedyke/transport/traffic.py
+++ b/limedyke/transport/traffic.py
@@ -1,4 +1,4 @@
-"""Counts bytes by what they are for and how far they go: between regions they cost most."""
+"""Counts traffic by purpose and distance; traffic between regions costs most."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Purpose(enum.StrEnum):
-    """What bytes are sent for."""
+    """The purpose for which bytes are sent."""
 
     HANDSHAKE = "handshake"
     STATE = "state"
@@ -24,14 +24,14 @@
 
 
 class Direction(enum.StrEnum):
-    """Which way bytes went; links count what they send, as the other end counts the rest."""
+    """The direction of traffic; a link counts only sent bytes, as its peer counts the others."""
 
     OUT = "out"
     IN = "in"
 
 
 class Distance(enum.StrEnum):
-    """How far the other end is."""
+    """The distance to the peer."""
 
     SAME_ZONE = "same-zone"
     SAME_REGION = "same-region"
@@ -41,13 +41,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a process runs; empty where that is not known."""
+    """The zone and region of a process; empty if unknown."""
 
     zone: str = ""
     region: str = ""
 
     def distance_to(self, other: Place) -> Distance:
-        """Return how far another place is."""
+        """Return the distance to another place."""
         if self.zone and self.zone == other.zone:
             return Distance.SAME_ZONE
         if not (self.region and other.region):
@@ -56,7 +56,7 @@
 
 
 class TrafficMeter(Protocol):
-    """Takes the sizes of what is sent and received."""
+    """Counts the sizes of sent and received data."""
 
     def count(self, purpose: Purpose, distance: Distance, direction: Direction, size: int) -> None:
         """Count ``size`` bytes."""
@@ -70,7 +70,7 @@
 
 
 NO_METER = NoMeter()
-_LAST_KIND_OF_PURPOSE = (
+_PURPOSE_RANGES = (
     (9, Purpose.STATE),
     (19, Purpose.HANDSHAKE),
     (25, Purpose.STATE),
@@ -84,12 +84,12 @@
     (219, Purpose.FORWARDING),
     (229, Purpose.CALLS),
 )
-"""By ascending kinds of messages, as docs/ARCHITECTURE.md lists them."""
+"""The last message kind of each range and its purpose, ascending, as in docs/ARCHITECTURE.md."""
 
 
 def purpose_of_kind(kind: int) -> Purpose:
-    """Return what messages of a kind are sent for."""
-    for last_kind, purpose in _LAST_KIND_OF_PURPOSE:
+    """Return the purpose of messages of this kind."""
+    for last_kind, purpose in _PURPOSE_RANGES:
         if kind <= last_kind:
             return purpose
     return Purpose.OTHER
