--- a/limedyke/transport/link.py
+++ b/limedyke/transport/link.py
@@ -181,7 +181,7 @@
 
 
 class _Side(enum.StrEnum):
-    """The end of a link that proves itself; the proof includes it, so that it can't be reflected."""
+    """The end of a link that proves itself; included in the proof to prevent reflection attacks."""
 
     DIALLER = "dialler"
     LISTENER = "listener"
