--- a/features/http_server.feature
+++ b/features/http_server.feature
@@ -1,72 +1,70 @@
-Feature: The HTTP server of calls keeps room for whoever calls
-  At 300 machines no configuration was taken: members' connections that nobody used held all places of the server, and
-  each further one was closed at once, 136 a second at each controller, the operator's among them.
+Feature: The HTTP server accepts new clients when its connection limit is reached
+  With 300 machines no configuration was accepted: idle connections of members used up the limit, and each controller
+  closed 136 new connections a second at once, among them the operator's.
 
-  Scenario: http server: a new connection takes the place of the one that has rested longest
-    Given http server: one with places for 4 connections
-    When http server: 4 callers call one after the other, and keep their connections
-    And http server: one more calls
-    Then http server: it is answered
-    And http server: the connection of the first caller is closed, and those of the others are open
+  Scenario: http server: a new connection replaces the one that has been idle longest
+    Given http server: a server with a limit of 4 connections
+    When http server: 4 clients send a request one after the other, and keep their connections open
+    And http server: one more client sends a request
+    Then http server: it gets a response
+    And http server: the connection of the first client is closed, and the others are open
 
-  Scenario: http server: a caller whose connection was closed comes back
-    Given http server: one with places for 4 connections
-    When http server: 9 callers call one after the other, and keep their connections
-    Then http server: all were answered, and 4 connections are open
+  Scenario: http server: a client whose connection was closed can reconnect
+    Given http server: a server with a limit of 4 connections
+    When http server: 9 clients send a request one after the other, and keep their connections open
+    Then http server: all get a response, and 4 connections are open
 
-  Scenario: http server: connections with a call under way are never closed for another
-    Given http server: one with places for 4 connections, whose calls take 400 ms
-    When http server: 4 callers call at once, and one more calls
-    Then http server: the 4 are answered, and the further one is closed at once
+  Scenario: http server: a connection with a request in progress is never closed for a new one
+    Given http server: a server with a limit of 4 connections, whose requests take 400 ms
+    When http server: 4 clients send a request at the same time, and one more client follows
+    Then http server: the 4 get a response, and the connection of the further one is closed at once
 
-  Scenario: http server: a connection that has begun a call is not closed for another
-    Given http server: one with places for 2 connections
-    When http server: 2 callers have sent half a call, and one more calls
-    Then http server: it is closed at once, and the 2 are answered when they send the rest
+  Scenario: http server: a connection with a partly received request is not closed for a new one
+    Given http server: a server with a limit of 2 connections
+    When http server: 2 clients have sent half a request, and one more client follows
+    Then http server: the further connection is closed at once, and the 2 get a response after sending the rest
 
   Scenario: http server: calls on connections that wait to be accepted are answered when it is told to end
-  A leader that was told to stop let nobody in any more after 0.1 s, and left 3 of 8 callers without an answer: "3,
-  seconds after the signal, 0.096, 0.098, 0.098". Their connections were open, and not accepted yet.
-    Given http server: one with places for 8 connections
-    When http server: 5 callers call while it does not look, and it is told to end
-    Then http server: the 5 are answered, and the server has ended within 1000 ms
+  A stopping leader closed its listener after 0.1 s and left 3 of 8 clients without a response, 0.096 to 0.098 s after
+  the signal. Their connections were established, but not accepted yet.
+    Given http server: a server with a limit of 8 connections
+    When http server: 5 clients send a request while the server is not accepting, and it is told to stop
+    Then http server: the 5 get a response, and the server has stopped within 1000 ms
 
-  Scenario: http server: a connection that is open for its caller, and not yet for the server, is let in
-  A caller's connection is open for it once the kernel has answered its request; for the server it is open when the
-  caller's confirmation has come. A listener that closed in between cut it, and the call that was sent on it. Beside
-  12 callers that called without a pause, 31 of 405,000 calls ended so in 3,000 closings ("lost
-  ConnectionResetError"): the packet filter behind which the listener closed dropped the confirmation too, where it
-  was meant to drop requests for connections only.
-    Given http server: one with places for 8 connections, and a queue of 1
-    When http server: 3 callers connect while it does not look, the last one's confirmation is lost
-    And http server: it is told to end, and they call, the last one once the first is answered
-    Then http server: the 3 are answered, and the server has ended within 1000 ms
+  Scenario: http server: a connection established for the client only is still accepted
+  For the client a connection is established when the SYN-ACK arrives, for the server when the client's ACK arrives. A
+  listener that was closed in between reset the connection and lost the request sent on it. With 12 clients sending
+  requests without a pause, 31 of 405,000 requests failed with ConnectionResetError in 3,000 closings: the packet
+  filter of the closing listener dropped the ACK as well, where it was meant to drop SYN packets only.
+    Given http server: a server with a limit of 8 connections, and an accept queue of 1
+    When http server: 3 clients connect while the server is not accepting, and the last one's ACK is lost
+    And http server: it is told to stop, and they send requests, the last one after the first response
+    Then http server: the 3 get a response, and the server has stopped within 1000 ms
 
-  Scenario: http server: a caller that stands still between connecting and calling is waited for
-  Callers stand still too: a look for garbage stopped a process of Python for 0.25 to 0.68 s on a machine with 20
-  runnable processes on 8 cores. A caller that stood still for longer than 0.2 s after it had connected found the
-  connection closed, and its call unanswered.
-    Given http server: one with places for 8 connections
-    When http server: 3 callers connect, it is told to end, and they call 700 ms later
-    Then http server: the 3 are answered, and the server has ended within 1500 ms
+  Scenario: http server: a client that pauses between connecting and sending is waited for
+  Garbage collection paused a Python client for 0.25 to 0.68 s on a machine with 20 runnable processes on 8 cores. A
+  client that paused for longer than 0.2 s after connecting found the connection closed and its request unanswered.
+    Given http server: a server with a limit of 8 connections
+    When http server: 3 clients connect, the server is told to stop, and they send a request after 700 ms
+    Then http server: the 3 get a response, and the server has stopped within 1500 ms
 
-  Scenario: http server: a caller that has connected and not called yet is waited for
-    Given http server: one with places for 8 connections
-    When http server: 3 callers connect, it is told to end, and they call 100 ms later
-    Then http server: the 3 are answered, and the server has ended within 1000 ms
+  Scenario: http server: a client that has connected but sent no request yet is waited for
+    Given http server: a server with a limit of 8 connections
+    When http server: 3 clients connect, the server is told to stop, and they send a request after 100 ms
+    Then http server: the 3 get a response, and the server has stopped within 1000 ms
 
-  Scenario: http server: calls that came while the process stood still are answered before it ends
-    Given http server: one with places for 8 connections
-    When http server: 3 callers connect, it is told to end, stands still for 300 ms, and they call meanwhile
-    Then http server: the 3 are answered, and the server has ended within 1000 ms
+  Scenario: http server: requests that arrive while the process is paused are answered before it stops
+    Given http server: a server with a limit of 8 connections
+    When http server: 3 clients connect, the server is told to stop, is paused for 300 ms, and they send a request meanwhile
+    Then http server: the 3 get a response, and the server has stopped within 1000 ms
 
-  Scenario: http server: connections that rest do not keep it from ending
-    Given http server: one with places for 8 connections
-    When http server: 4 callers call one after the other, and keep their connections
-    And http server: it is told to end
-    Then http server: the server has ended within 50 ms
+  Scenario: http server: idle connections do not delay the stop
+    Given http server: a server with a limit of 8 connections
+    When http server: 4 clients send a request one after the other, and keep their connections open
+    And http server: the server is told to stop
+    Then http server: the server has stopped within 50 ms
 
-  Scenario: http server: nobody gets in once it is told to end
-    Given http server: one with places for 8 connections
-    When http server: it is told to end
+  Scenario: http server: new connections are refused after the server is told to stop
+    Given http server: a server with a limit of 8 connections
+    When http server: the server is told to stop
     Then http server: a further connection is refused
--- a/features/steps/http_server_steps.py
+++ b/features/steps/http_server_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the HTTP server of calls."""
+"""Steps for the HTTP server."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from limedyke.transport.http_server import HttpAnswer, HttpLimits, HttpServer
 from limedyke.transport.link import listen
 
-AT_ONCE_S = 0.2
+AT_ONCE_LIMIT_S = 0.2
 
 
-def _start(context, places: int, takes_s: float = 0.0, backlog: int | None = None) -> None:
+def _start(context, connections: int, takes_s: float = 0.0, backlog: int | None = None) -> None:
     async def answer(_request: object) -> HttpAnswer:
         await curio.sleep(takes_s)
         return HttpAnswer(200)
@@ -26,7 +26,7 @@
         listener.listen(backlog)
     host, port = listener.getsockname()
     context.address = f"{host}:{port}"
-    server = HttpServer(answer, HttpLimits(1_024, connections=places))
+    server = HttpServer(answer, HttpLimits(1_024, connections=connections))
     context.server = server
 
     async def begin() -> None:
@@ -36,22 +36,28 @@
     if backlog is None:
         context.kernel.run(begin)
     else:
-        context.begin_to_accept = lambda: curio.spawn(server.run, listener, daemon=True)
+        context.start_accepting = lambda: curio.spawn(server.run, listener, daemon=True)
 
 
-@given("http server: one with places for {places:d} connections, and a queue of {backlog:d}")
-def step_short_queue(context, places, backlog):
-    _start(context, places, backlog=backlog)
+@given(
+    "http server: a server with a limit of {connections:d} connections, "
+    "and an accept queue of {backlog:d}"
+)
+def step_short_queue(context, connections, backlog):
+    _start(context, connections, backlog=backlog)
 
 
-@given("http server: one with places for {places:d} connections")
-def step_server(context, places):
-    _start(context, places)
+@given("http server: a server with a limit of {connections:d} connections")
+def step_server(context, connections):
+    _start(context, connections)
 
 
-@given("http server: one with places for {places:d} connections, whose calls take {takes:d} ms")
-def step_slow_server(context, places, takes):
-    _start(context, places, takes / 1_000)
+@given(
+    "http server: a server with a limit of {connections:d} connections, "
+    "whose requests take {takes:d} ms"
+)
+def step_slow_server(context, connections, takes):
+    _start(context, connections, takes / 1_000)
 
 
 async def _call(context, caller: CallCaller) -> None:
@@ -59,7 +65,10 @@
     await caller.receive()
 
 
-@when("http server: {count:d} callers call one after the other, and keep their connections")
+@when(
+    "http server: {count:d} clients send a request one after the other, "
+    "and keep their connections open"
+)
 def step_call(context, count):
     context.callers = [CallCaller() for _ in range(count)]
     for caller in context.callers:
@@ -67,86 +76,95 @@
         context.kernel.run(curio.sleep, SETTLE_S)
 
 
-@when("http server: one more calls")
+@when("http server: one more client sends a request")
 def step_one_more(context):
     context.further = CallCaller()
     context.kernel.run(_call, context, context.further)
 
 
-@then("http server: it is answered")
+@then("http server: it gets a response")
 def step_answered(context):
     assert context.further.is_answered, context.further.answer
 
 
-@then("http server: the connection of the first caller is closed, and those of the others are open")
+@then("http server: the connection of the first client is closed, and the others are open")
 def step_first_closed(context):
     states = [context.kernel.run(caller.is_open) for caller in context.callers]
     assert states == [False, *[True] * (len(states) - 1)], states
 
 
-@then("http server: all were answered, and {count:d} connections are open")
+@then("http server: all get a response, and {count:d} connections are open")
 def step_all_answered(context, count):
     assert all(caller.is_answered for caller in context.callers)
     states = [context.kernel.run(caller.is_open) for caller in context.callers]
     assert sum(states) == count, states
 
 
-@when("http server: {count:d} callers call at once, and one more calls")
+@when("http server: {count:d} clients send a request at the same time, and one more client follows")
 def step_at_once(context, count):
     context.callers = [CallCaller() for _ in range(count)]
     for caller in context.callers:
         context.kernel.run(caller.send, context.address)
     context.kernel.run(curio.sleep, SETTLE_S)
-    _call_further(context)
+    _send_further(context)
     for caller in context.callers:
         context.kernel.run(caller.receive)
 
 
-def _call_further(context) -> None:
+def _send_further(context) -> None:
     began_at = time.monotonic()
     step_one_more(context)
     context.took_s = time.monotonic() - began_at
 
 
-@then("http server: the {count:d} are answered, and the further one is closed at once")
+@then(
+    "http server: the {count:d} get a response, "
+    "and the connection of the further one is closed at once"
+)
 def step_further_closed(context, count):
     assert sum(caller.is_answered for caller in context.callers) == count
-    assert not context.further.answer and context.took_s < AT_ONCE_S, context.took_s
+    assert not context.further.answer and context.took_s < AT_ONCE_LIMIT_S, context.took_s
 
 
-@when("http server: {count:d} callers have sent half a call, and one more calls")
-def step_half(context, count):
+@when("http server: {count:d} clients have sent half a request, and one more client follows")
+def step_half_request(context, count):
     context.callers = [CallCaller() for _ in range(count)]
     for caller in context.callers:
         context.kernel.run(caller.send, context.address, CALL[:20])
     context.kernel.run(curio.sleep, SETTLE_S)
-    _call_further(context)
+    _send_further(context)
 
 
-@then("http server: it is closed at once, and the {count:d} are answered when they send the rest")
+@then(
+    "http server: the further connection is closed at once, "
+    "and the {count:d} get a response after sending the rest"
+)
 def step_rest(context, count):
-    assert not context.further.answer and context.took_s < AT_ONCE_S, context.took_s
+    assert not context.further.answer and context.took_s < AT_ONCE_LIMIT_S, context.took_s
     for caller in context.callers:
         context.kernel.run(caller.send_rest, CALL[20:])
         context.kernel.run(caller.receive)
     assert sum(caller.is_answered for caller in context.callers) == count
 
 
-@when("http server: {count:d} callers call while it does not look, and it is told to end")
-def step_unseen(context, count):
+@when(
+    "http server: {count:d} clients send a request while the server is not accepting, "
+    "and it is told to stop"
+)
+def step_unaccepted(context, count):
     context.callers = [CallCaller() for _ in range(count)]
-    context.kernel.run(_call_unseen_and_end, context)
+    context.kernel.run(_send_and_drain, context)
 
 
-async def _call_unseen_and_end(context) -> None:
-    """Call without a moment in which the server's tasks run."""
+async def _send_and_drain(context) -> None:
+    """Send requests without yielding to the server's tasks, then drain."""
     for caller in context.callers:
         caller.send_at_once(context.address, CALL)
-    await _end(context)
+    await _drain_and_collect(context)
 
 
-async def _end(context) -> None:
-    """Drain the server as a process does that ends behind it: what is not answered is cut."""
+async def _drain_and_collect(context) -> None:
+    """Drain the server; like a process that exits then, ignore responses that come later."""
     await _drain(context)
     for caller in context.callers:
         caller.receive_at_once()
@@ -155,53 +173,57 @@
 async def _drain(context) -> None:
     began_at = time.monotonic()
     await context.server.drain()
-    context.ended_s = time.monotonic() - began_at
+    context.drained_s = time.monotonic() - began_at
 
 
-@when("http server: {count:d} callers connect, it is told to end, and they call {late:d} ms later")
-def step_late_call(context, count, late):
+@when(
+    "http server: {count:d} clients connect, the server is told to stop, "
+    "and they send a request after {late:d} ms"
+)
+def step_late_request(context, count, late):
     context.callers = [CallCaller() for _ in range(count)]
-    context.kernel.run(_connect_and_end, context, late / 1_000)
+    context.kernel.run(_connect_and_drain, context, late / 1_000)
 
 
-async def _connect_and_end(context, late_s: float) -> None:
+async def _connect_and_drain(context, late_s: float) -> None:
     for caller in context.callers:
         await caller.send(context.address, b"")
     await curio.sleep(SETTLE_S)
-    ending = await curio.spawn(_end, context)
+    draining = await curio.spawn(_drain_and_collect, context)
     await curio.sleep(late_s)
     for caller in context.callers:
         await caller.send_rest(CALL)
-    await ending.join()
+    await draining.join()
 
 
 @when(
-    "http server: {count:d} callers connect, it is told to end, stands still for {still:d} ms, and "
-    "they call meanwhile"
+    "http server: {count:d} clients connect, the server is told to stop, "
+    "is paused for {still:d} ms, "
+    "and they send a request meanwhile"
 )
-def step_stands_still(context, count, still):
+def step_paused_server(context, count, still):
     context.callers = [CallCaller() for _ in range(count)]
-    context.kernel.run(_connect_and_stand_still, context, still / 1_000)
+    context.kernel.run(_connect_and_pause, context, still / 1_000)
 
 
-async def _connect_and_stand_still(context, still_s: float) -> None:
+async def _connect_and_pause(context, pause_s: float) -> None:
     for caller in context.callers:
         await caller.send(context.address, b"")
     await curio.sleep(SETTLE_S)
-    ending = await curio.spawn(_end, context)
+    draining = await curio.spawn(_drain_and_collect, context)
     await curio.sleep(SETTLE_S)
     for caller in context.callers:
         caller.send_rest_at_once(CALL)
-    time.sleep(still_s)
-    await ending.join()
+    time.sleep(pause_s)
+    await draining.join()
 
 
 @when(
-    "http server: {count:d} callers connect while it does not look, "
-    "the last one's confirmation is lost"
+    "http server: {count:d} clients connect while the server is not accepting, "
+    "and the last one's ACK is lost"
 )
 def step_unconfirmed(context, count):
-    """The queue is full when the confirmation comes, so that the kernel drops it."""
+    """Fill the accept queue before the last client's ACK arrives, so that the kernel drops it."""
     context.callers = [CallCaller() for _ in range(count)]
     *queued, last = context.callers
     last.begin_to_connect(context.address)
@@ -210,43 +232,46 @@
     context.kernel.run(last.hear_again)
 
 
-@when("http server: it is told to end, and they call, the last one once the first is answered")
-def step_end_and_call(context):
-    context.kernel.run(_end_and_call, context)
+@when(
+    "http server: it is told to stop, and they send requests, the last one after the first response"
+)
+def step_stop_and_send(context):
+    context.kernel.run(_drain_and_send, context)
 
 
-async def _end_and_call(context) -> None:
-    """The kernel has thrown the confirmation away; the first bytes of the call bring it again.
+async def _drain_and_send(context) -> None:
+    """Drain the server while the last client's handshake is incomplete.
 
-    They find room in the queue once the server has begun to take it over.
+    The kernel dropped the ACK of that handshake; the first bytes of the request carry it again, and
+    are accepted once the server has made room in the queue.
     """
     *queued, last = context.callers
-    await context.begin_to_accept()
-    ending = await curio.spawn(_drain, context)
+    await context.start_accepting()
+    draining = await curio.spawn(_drain, context)
     for caller in queued:
         caller.send_rest_at_once(CALL)
     await queued[0].receive()
     last.send_rest_at_once(CALL)
-    await ending.join()
+    await draining.join()
     for caller in context.callers[1:]:
         caller.receive_at_once()
 
 
-@when("http server: it is told to end")
+@when("http server: the server is told to stop")
 def step_end(context):
     context.callers = []
-    context.kernel.run(_end, context)
+    context.kernel.run(_drain_and_collect, context)
 
 
-@then("http server: the {count:d} are answered, and the server has ended within {limit:d} ms")
+@then("http server: the {count:d} get a response, and the server has stopped within {limit:d} ms")
 def step_ended_answered(context, count, limit):
     assert sum(caller.is_answered for caller in context.callers) == count
     step_ended(context, limit)
 
 
-@then("http server: the server has ended within {limit:d} ms")
+@then("http server: the server has stopped within {limit:d} ms")
 def step_ended(context, limit):
-    assert context.ended_s < limit / 1_000, context.ended_s
+    assert context.drained_s < limit / 1_000, context.drained_s
 
 
 @then("http server: a further connection is refused")
--- a/features/support/http_callers.py
+++ b/features/support/http_callers.py
@@ -1,4 +1,4 @@
-"""Callers of an HTTP server, each with one connection, that send and look when a test says so."""
+"""HTTP clients with one connection each, whose steps are controlled by a test."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 CALL = b"GET /config HTTP/1.1\r\nhost: server\r\n\r\n"
 ANSWER_LIMIT_S = 2.0
 SETTLE_S = 0.05
-LOOK_S = 0.01
+POLL_INTERVAL_S = 0.01
 HANDSHAKE_LIMIT_S = 5.0
-"""The kernel sends what it got no answer to again after 1 s, and after 2 s more."""
+"""The kernel retransmits an unacknowledged packet after 1 s, and after 2 s more."""
 SO_ATTACH_FILTER, SO_DETACH_FILTER = 26, 27
-"""Options of Linux that Python's ``socket`` does not name, from asm-generic/socket.h."""
+"""Linux socket options that Python's ``socket`` doesn't define, from asm-generic/socket.h."""
 DROP_ALL = struct.pack("HBBI", 0x06, 0, 0, 0)
-"""A packet filter of one instruction, "return 0": keep no byte of any packet."""
+"""A BPF program of one instruction, "return 0", which drops all packets."""
 ESTABLISHED = 1
-"""State of a connection in ``TCP_INFO``."""
+"""TCP state in ``TCP_INFO``."""
 
 
 class CallCaller:
@@ -32,23 +32,23 @@
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
 
     async def send(self, address: str, data: bytes = CALL) -> None:
-        """Connect, and send a call or a part of it."""
+        """Connect and send a request or a part of it."""
         await self._socket.connect(split_address(address))
         await self._socket.sendall(data)
 
     def send_at_once(self, address: str, data: bytes) -> None:
-        """Connect and send without giving other tasks a turn."""
+        """Connect and send without yielding to other tasks."""
         with self._socket.blocking() as raw:
             raw.connect(split_address(address))
             raw.sendall(data)
 
     def send_rest_at_once(self, data: bytes) -> None:
-        """Send without giving other tasks a turn."""
+        """Send without yielding to other tasks."""
         with self._socket.blocking() as raw:
             raw.sendall(data)
 
     def begin_to_connect(self, address: str) -> None:
-        """Ask for a connection, and lose the kernel's answers until ``hear_again``."""
+        """Start to connect, but drop all incoming packets until ``stop_packet_loss``."""
         program = ctypes.create_string_buffer(DROP_ALL, len(DROP_ALL))
         filters = struct.pack("HP", 1, ctypes.addressof(program))
         self._socket.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, filters)
@@ -57,21 +57,21 @@
             raw.connect_ex(split_address(address))
 
     async def hear_again(self) -> None:
-        """Lose nothing any more, and return once the connection is open for this caller."""
+        """Stop dropping packets, and return when the connection is established on this side."""
         self._socket.setsockopt(socket.SOL_SOCKET, SO_DETACH_FILTER, 0)
         async with curio.timeout_after(HANDSHAKE_LIMIT_S):
             while not self._is_established():
-                await curio.sleep(LOOK_S)
+                await curio.sleep(POLL_INTERVAL_S)
 
     def _is_established(self) -> bool:
         return self._socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == ESTABLISHED
 
     async def send_rest(self, data: bytes) -> None:
-        """Send the rest of a call."""
+        """Send the rest of a request."""
         await self._socket.sendall(data)
 
     async def receive(self) -> bytes:
-        """Return the answer; empty when the connection ended without one."""
+        """Return the response; empty if the connection ended without one."""
         try:
             async with curio.timeout_after(ANSWER_LIMIT_S):
                 self.answer = await self._socket.recv(4_096)
@@ -80,7 +80,7 @@
         return self.answer
 
     def receive_at_once(self) -> None:
-        """Keep what has come so far, without giving other tasks a turn."""
+        """Store the response received so far, without yielding to other tasks."""
         try:
             with self._socket.blocking() as raw:
                 self.answer = raw.recv(4_096, socket.MSG_DONTWAIT)
@@ -88,7 +88,7 @@
             self.answer = b""
 
     async def is_open(self) -> bool:
-        """Tell whether the connection has not been ended by the server."""
+        """Tell whether the server has kept the connection open."""
         try:
             async with curio.timeout_after(SETTLE_S):
                 return bool(await self._socket.recv(1))
@@ -99,5 +99,5 @@
 
     @property
     def is_answered(self) -> bool:
-        """Whether it got a whole answer."""
+        """Whether a successful response was received."""
         return self.answer.startswith(b"HTTP/1.1 200")
