--- a/features/client_protocol.feature
+++ b/features/client_protocol.feature
@@ -1,12 +1,12 @@
-Feature: client: the protocol after the login, message by message
+Feature: client: the protocol after the login
 
   Background:
     Given client: a session
 
   Scenario Outline: client: <case>
-    When client: the caller sends <messages>
+    When client: the client sends <messages>
     Then client: the units were <units>
-    And client: the caller got <answer>
+    And client: the client receives <answer>
 
     Examples: simple queries
       | case                       | messages                         | units       | answer                       |
@@ -99,8 +99,8 @@
       | copy data outside of COPY  | d / c / Q select 1               | read        | T D:select 1 C:SELECT 1 Z:I |
 
   Scenario Outline: client: SQL PREPARE: <case>
-    When client: the caller sends <messages>
-    Then client: the caller got <answer>
+    When client: the client sends <messages>
+    Then client: the client receives <answer>
 
     Examples:
       | case        | messages                                                  | answer |
@@ -110,36 +110,36 @@
       | unknown     | Q execute s                                               | E:26000 Z:I |
       | twice       | Q prepare s as select 1 / Q prepare s as select 2         | C:PREPARE Z:I E:42P05 Z:I |
 
-  Scenario: client: a named statement goes to the back end under the proxy's own name
-    When client: the caller sends P s: select 1 / B s / E / S
-    Then client: the last unit's statements are all bound by their own names
-    And client: the last unit holds no message P
+  Scenario: client: the proxy renames a named statement for the back end
+    When client: the client sends P s: select 1 / B s / E / S
+    Then client: the last unit binds each statement by its back-end name
+    And client: the last unit contains no message P
 
-  Scenario: client: an abandoned caller leaves no transaction behind
-    When client: the caller sends Q begin / X
+  Scenario: client: the transaction of a client that disconnects is rolled back
+    When client: the client sends Q begin / X
     Then client: transactions abandoned: 1
     And client: the connection is closed
 
-  Scenario: client: a transaction left idle is rolled back and its connection ended
-    When client: the caller sends Q begin
+  Scenario: client: an idle transaction is rolled back and its connection is closed
+    When client: the client sends Q begin
     And client: 61 seconds pass
-    Then client: the caller got E:25P03
+    Then client: the client receives E:25P03
     And client: transactions abandoned: 1
     And client: the connection is closed
 
-  Scenario: client: a unit ends only its own session's wait
-    When client: the caller sends Q begin
+  Scenario: client: the end of another unit is ignored
+    When client: the client sends Q begin
     And client: an answer for another unit arrives
-    Then client: the caller got nothing
+    Then client: the client receives nothing
 
   Scenario Outline: client: asked to leave <when>
-    When client: the caller sends <messages>
+    When client: the client sends <messages>
     And client: <pause> ms pass
     And client: the session is asked to leave
-    Then client: the caller got nothing
+    Then client: the client receives nothing
     When client: 200 ms pass
     And client: the session is asked to leave
-    Then client: the caller got <answer>
+    Then client: the client receives <answer>
 
     Examples:
       | when                        | messages                    | pause | answer  |
@@ -151,13 +151,13 @@
       | in half a batch             | P : select 1                | 800   | nothing |
 
   Scenario Outline: client: a session asked to leave ends with its transaction: <case>
-    When client: the caller sends <work>
+    When client: the client sends <work>
     And client: the session is asked to leave
-    And client: the caller sends <end>
-    Then client: the caller got <answer>
+    And client: the client sends <end>
+    Then client: the client receives <answer>
     When client: <pause> ms pass
     And client: the session is asked to leave
-    Then client: the caller got E:57P01
+    Then client: the client receives E:57P01
     And client: the connection is closed
 
     Examples:
@@ -168,12 +168,12 @@
       | failed          | Q begin / Q select fail    | Q rollback | C:ROLLBACK Z:I                      | 1000  |
       | half a batch    | P : delete from a          | B / E / S  | 1 2 C:DELETE S:limedyke.session Z:I | 1000  |
 
-  Scenario Outline: client: a session asked to leave refuses its next request: <case>
-    When client: the caller sends <work>
+  Scenario Outline: client: a session asked to leave rejects its next request: <case>
+    When client: the client sends <work>
     And client: the session is asked to leave
     And client: 200 ms pass
-    And client: the caller sends <next>
-    Then client: the caller got E:57P01
+    And client: the client sends <next>
+    Then client: the client receives E:57P01
     And client: the connection is closed
     And client: the units were <units>
 
@@ -185,9 +185,9 @@
       | a transaction      | Q begin / Q commit              | Q begin                   | write write |
       | behind a lost one  | Q begin / Q delete refuse(2004) | Q rollback                | write write |
 
-  Scenario: client: a request that was on its way when the session was asked to leave is served
-    When client: the caller sends Q select 1
+  Scenario: client: a request in transit when the session is asked to leave is served
+    When client: the client sends Q select 1
     And client: the session is asked to leave
     And client: 199 ms pass
-    And client: the caller sends Q select 2
-    Then client: the caller got T D:select 2 C:SELECT 1 Z:I
+    And client: the client sends Q select 2
+    Then client: the client receives T D:select 2 C:SELECT 1 Z:I
--- a/features/session_state.feature
+++ b/features/session_state.feature
@@ -1,10 +1,10 @@
-Feature: session: state that a session makes is replayed or refused, and never leaked
+Feature: session: session state is replayed or rejected, and never leaks to other sessions
 
-  Scenario Outline: session: a new transaction is given what holds: <case>
+  Scenario Outline: session: the settings replayed for a new transaction: <case>
     Given session: a session with the startup settings <startup>
-    When session: the caller sends <messages>
-    And session: the caller sends Q select 1
-    Then session: the last unit is given the settings <settings>
+    When session: the client sends <messages>
+    And session: the client sends Q select 1
+    Then session: the last unit replays the settings <settings>
 
     Examples:
       | case                      | startup      | messages                                     | settings        |
@@ -34,10 +34,10 @@
       | characteristics           | none         | Q set session characteristics as transaction read only | default_transaction_read_only=on |
       | the driver's own name     | application_name=x | Q select 1                             | none            |
 
-  Scenario Outline: session: its connection is cleaned behind <statement>: <cleaned>
+  Scenario Outline: session: its connection must be reset after <statement>: <cleaned>
     Given session: a session with the startup settings none
-    When session: the caller sends Q <statement>
-    Then session: its connection is cleaned: <cleaned>
+    When session: the client sends Q <statement>
+    Then session: its connection must be reset: <cleaned>
 
     Examples:
       | statement                              | cleaned |
@@ -54,8 +54,8 @@
       | select /* /* */ */ 1                   | yes     |
       | unheard of                             | yes     |
 
-  Scenario Outline: session: <case> of one caller doesn't reach the next, safeguard <safeguard>
-    Given session: two callers of a tenant that share one connection, <dropped> dropped
+  Scenario Outline: session: <case> of one client doesn't affect the next, safeguard <safeguard>
+    Given session: two clients of a tenant that share one connection, <dropped> dropped
     When session: the first sends <messages>
     Then session: the second's <probe> gives <second>
     And session: the first's <probe> gives <first>
@@ -70,18 +70,18 @@
       | set_config, for all   | off       | refusal and cleaning | Q select set_config('timezone', 'Asia/Tokyo', false) | show timezone | Asia/Tokyo | Asia/Tokyo |
 
   Scenario: session: a caller that goes away in a transaction leaves neither it nor its settings
-    Given session: two callers of a tenant that share one connection, nothing dropped
+    Given session: two clients of a tenant that share one connection, nothing dropped
     When session: the first sends Q begin / Q set timezone to 'Asia/Tokyo' / Q insert into note values (901, 'x')
-    And session: the first goes away
+    And session: the first disconnects
     Then session: the second's show timezone gives UTC
     And session: the second's select count(*) from note where id = 901 gives 0
 
-  Scenario: session: names that callers prepare are their own
-    Given session: two callers of a tenant that share one connection, nothing dropped
+  Scenario: session: names of prepared statements are private to a client
+    Given session: two clients of a tenant that share one connection, nothing dropped
     When session: the first sends P s: select 'one' / S
     And session: the second sends P s: select 'two' / S
-    Then session: the first, binding s, gets one
-    And session: the second, binding s, gets two
+    Then session: the first binds s and gets one
+    And session: the second binds s and gets two
     When session: the second sends Q deallocate s
-    Then session: the first, binding s, gets one
-    And session: the second, binding s, gets the error 26000
+    Then session: the first binds s and gets one
+    And session: the second binds s and gets the error 26000
--- a/features/session_statements.feature
+++ b/features/session_statements.feature
@@ -100,7 +100,7 @@
       | refusal | SELECT pg_catalog.set_config('search_path', '', 't')         |
       | refusal | LOAD 'a'                                                     |
 
-  Scenario Outline: session: <text> with the hint <hint> goes to a <access>
+  Scenario Outline: session: <text> with the hint <hint> is sent as a <access>
     Then session: "<text>" under the hint <hint> is sent as a <access>
 
     Examples:
@@ -112,17 +112,17 @@
       | SELECT 1 FOR UPDATE      | replica | write  |
       | DO 'x'                   | replica | write  |
 
-  Scenario: session: no write in any wrapping is called a read
-    Then session: 600 writes in generated wrappings are not called reads
+  Scenario: session: a write is never classified as a read, however it is wrapped
+    Then session: 600 writes in generated wrappings are not classified as reads
 
-  Scenario: session: a read with the safeguards off is found by the same check
-    Then session: the check finds a write called a read once unknown functions are trusted
+  Scenario: session: the same check fails with the safeguards off
+    Then session: the check finds a write classified as a read once unknown functions are trusted
 
-  Scenario: session: the cache answers as the classifier does, whatever it saw before
+  Scenario: session: the cache agrees with the classifier, whatever texts it holds
     Then session: for 600 generated pairs of texts the cache agrees with the classifier
 
-  Scenario: session: the cache stays within its bounds and knows texts by their shape
-    When session: 10000 texts are looked up that differ in literals only
+  Scenario: session: the cache stays within its bounds and shares entries between texts of one shape
+    When session: 10000 texts that differ only in literals are looked up
     Then session: 1 text was parsed and the cache holds at most 4096
     When session: 10000 texts of different shapes are looked up
     Then session: the cache holds at most 4096
--- a/features/session_tokens.feature
+++ b/features/session_tokens.feature
@@ -1,37 +1,37 @@
-Feature: session: the token carries a session's writes from proxy to proxy
+Feature: session: a token makes a session's writes visible to its reads at other proxies
 
   Background:
     Given session: a session at one proxy that has written
 
   Scenario Outline: session: roaming by <way> binds the reads at the next proxy
     When session: it roams to another proxy by <way>
-    Then session: its reads there must reach its write
+    Then session: its next read must see its write
 
     Examples:
       | way              |
       | startup option   |
       | SET              |
 
-  Scenario: session: a session that names itself without a token is served behind a barrier
-    When session: a session named s17 comes without a token
-    Then session: its reads there must reach its write
+  Scenario: session: a named session without a token is served with a barrier
+    When session: a session named s17 connects without a token
+    Then session: its next read must see its write
     When session: it has read once
-    Then session: its reads need no barrier any more
+    Then session: its next read has no barrier
 
-  Scenario: session: a session that says it wrote elsewhere is served behind a barrier
-    When session: a session comes with the setting limedyke.barrier=on
-    Then session: its reads there must reach its write
+  Scenario: session: a session that asks for a barrier is served with one
+    When session: a session connects with the setting limedyke.barrier=on
+    Then session: its next read must see its write
 
   Scenario: session: a write of unknown outcome is covered by a barrier, which roams
     When session: it sends Q delete refuse(3001)
     And session: it roams to another proxy by startup option
-    Then session: its next read is behind a barrier
+    Then session: its next read has a barrier
 
-  Scenario: session: a token never takes a session back
+  Scenario: session: an older token never lowers the required position
     Given session: the token is kept
     When session: it sends Q insert into a values (2)
     And session: it takes the kept token by SET
-    Then session: its reads there must reach its write
+    Then session: its next read must see its write
 
   Scenario Outline: session: a token that is <fault> is refused with <code> by <way>
     When session: it roams with a token that is <fault> by <way>
@@ -56,7 +56,7 @@
       | signed with a withdrawn key   | SET            | LD2003 |
 
   Scenario Outline: session: keys are rotated: <case>
-    When session: a token made with the keys <made> comes to a proxy with the keys <there>
+    When session: a token made with the keys <made> is checked by a proxy with the keys <there>
     Then session: it is <outcome>
 
     Examples:
@@ -71,14 +71,14 @@
   Scenario: session: the newest key signs
     Then session: a proxy with the keys 1 2 signs with key 2
 
-  Scenario: session: while no key is declared there are no tokens, and none is taken
+  Scenario: session: without declared keys no token is issued or accepted
     When session: it roams to a proxy without keys
     Then session: it is refused with 28000 and LD2003
 
-  Scenario Outline: session: with the safeguard "<safeguard>" off, <attack> shows a violation
+  Scenario Outline: session: with the safeguard "<safeguard>" off, <attack> causes a violation
     When session: the safeguard "<safeguard>" is off
-    And session: it meets <attack>
-    Then session: its reads need not reach its write
+    And session: it is exposed to <attack>
+    Then session: its next read need not see its write
 
     Examples:
       | safeguard          | attack                         |
@@ -90,8 +90,8 @@
       | write behind rollback | a write behind a rollback   |
 
   Scenario Outline: session: with its safeguards on, <attack> does no harm
-    When session: it meets <attack>
-    Then session: it is refused, or its reads must reach its write
+    When session: it is exposed to <attack>
+    Then session: it is refused, or its next read must see its write
 
     Examples:
       | attack                         |
@@ -102,7 +102,7 @@
       | a lost write                   |
       | a write behind a rollback      |
 
-  Scenario Outline: session: what binds a session's reads: <case>
+  Scenario Outline: session: what changes the required position of reads: <case>
     When session: a new session sends <messages>
     Then session: its required position <moves>
 
--- a/features/steps/client_protocol_steps.py
+++ b/features/steps/client_protocol_steps.py
@@ -17,7 +17,7 @@
     context.exchange = SessionExchange(context.folder)
 
 
-@when("client: the caller sends {notation}")
+@when("client: the client sends {notation}")
 def when_sends(context: Context, notation: str) -> None:
     context.answer = context.exchange.send(notation)
 
@@ -54,21 +54,21 @@
     assert found == units, found
 
 
-@then("client: the caller got {answer}")
+@then("client: the client receives {answer}")
 def then_answer(context: Context, answer: str) -> None:
     expected = "" if answer == "nothing" else answer
     assert context.answer == expected, context.answer
 
 
-@then("client: the last unit's statements are all bound by their own names")
-def then_bound_by_own_names(context: Context) -> None:
+@then("client: the last unit binds each statement by its back-end name")
+def then_bound_by_back_end_names(context: Context) -> None:
     unit = context.exchange.units[-1]
     assert unit.prepared
     for statement in unit.prepared:
         assert f"\0{statement.name}\0".encode() in unit.data, unit.data
 
 
-@then("client: the last unit holds no message {kind}")
+@then("client: the last unit contains no message {kind}")
 def then_no_message(context: Context, kind: str) -> None:
     kinds = _kinds(context.exchange.units[-1])
     assert kind not in kinds, kinds
--- a/features/steps/session_safeguards_steps.py
+++ b/features/steps/session_safeguards_steps.py
@@ -1,4 +1,4 @@
-"""Steps that take one safeguard of the session tokens away, and attack what it guards."""
+"""Steps that disable a safeguard of the session tokens, and attack what it protects."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def _binds_nothing(state: object, running: object, end: object) -> bool:
-    """Judge as if the rollback in a batch undid all of it."""
+    """Treat a batch with a rollback as if it wrote nothing."""
     return False
 
 
@@ -53,11 +53,11 @@
     patch = SAFEGUARDS[safeguard]()
     patch.start()
     context.add_cleanup(patch.stop)
-    # The Background's token was made with the safeguard on.
+    # The token of the Background was issued before the safeguard was disabled.
     context.token = TokenAuthority(KEYS).issue(OWNER, TokenClaim(context.written), START.unix_s)
 
 
-@when("session: it meets {attack}")
+@when("session: it is exposed to {attack}")
 def when_attacked(context: Context, attack: str) -> None:
     low = TokenClaim(LogPosition(3, 1))
     match attack:
--- a/features/steps/session_state_steps.py
+++ b/features/steps/session_state_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the state of sessions: settings, prepared names, what is left behind."""
+"""Steps for session state: settings, prepared statements and state left on connections."""
 
 from __future__ import annotations
 
@@ -28,26 +28,26 @@
     context.exchange = SessionExchange(context.folder, startup)
 
 
-@when("session: the caller sends {notation}")
+@when("session: the client sends {notation}")
 def when_sends(context: Context, notation: str) -> None:
     context.exchange.send(notation)
 
 
-@then("session: the last unit is given the settings {settings}")
+@then("session: the last unit replays the settings {settings}")
 def then_settings(context: Context, settings: str) -> None:
     given_settings = context.exchange.units[-1].settings
     found = ", ".join(f"{item.name}={item.value}" for item in given_settings) or "none"
     assert found == settings, found
 
 
-@then("session: its connection is cleaned: {cleaned}")
-def then_cleaned(context: Context, cleaned: str) -> None:
+@then("session: its connection must be reset: {cleaned}")
+def then_must_reset(context: Context, cleaned: str) -> None:
     found = "yes" if context.exchange.units[-1].leaves_state else "no"
     assert found == cleaned, found
 
 
-@given("session: two callers of a tenant that share one connection, {dropped} dropped")
-def given_two(context: Context, dropped: str) -> None:
+@given("session: two clients of a tenant that share one connection, {dropped} dropped")
+def given_two_clients(context: Context, dropped: str) -> None:
     lab = BackEndLab(shared_members(), "127.94.1")
     context.add_cleanup(lab.close)
     lab.budget = BUDGET
@@ -58,12 +58,12 @@
         context.add_cleanup(off.stop)
     shared = new_context()
     first, second = (SessionOnMembers(lab, shared, DROPPED[dropped]) for _ in range(2))
-    context.callers = {"first": first, "second": second}
+    context.clients = {"first": first, "second": second}
 
 
-@when("session: the {which} goes away")
-def when_goes_away(context: Context, which: str) -> None:
-    context.callers[which].leave()
+@when("session: the {which} disconnects")
+def when_disconnects(context: Context, which: str) -> None:
+    context.clients[which].leave()
 
 
 @when("session: the first sends {notation}")
@@ -77,25 +77,25 @@
 
 
 def _send(context: Context, which: str, notation: str) -> None:
-    answer = context.callers[which].send(notation)
+    answer = context.clients[which].send(notation)
     assert "E:" not in answer, answer
 
 
 @then("session: the {which}'s {probe} gives {value}")
 def then_probe(context: Context, which: str, probe: str, value: str) -> None:
-    answer = context.callers[which].send(f"Q {probe}")
+    answer = context.clients[which].send(f"Q {probe}")
     found = re.search(r"D:(\S+)", answer)
     assert found is not None, answer
     assert found[1] == value, answer
 
 
-@then("session: the {which}, binding {name}, gets the error {sqlstate}")
+@then("session: the {which} binds {name} and gets the error {sqlstate}")
 def then_bind_error(context: Context, which: str, name: str, sqlstate: str) -> None:
-    answer = context.callers[which].send(f"B {name} / E / S")
+    answer = context.clients[which].send(f"B {name} / E / S")
     assert answer == f"E:{sqlstate} Z:I", answer
 
 
-@then("session: the {which}, binding {name}, gets {value:w}")
+@then("session: the {which} binds {name} and gets {value:w}")
 def then_bind(context: Context, which: str, name: str, value: str) -> None:
-    answer = context.callers[which].send(f"B {name} / E / S")
+    answer = context.clients[which].send(f"B {name} / E / S")
     assert f"D:{value} " in answer, answer
--- a/features/steps/session_statements_steps.py
+++ b/features/steps/session_statements_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the classification of statements: tables, and generated wrappings of writes."""
+"""Steps for the classification of statements: given statements and generated ones."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 @st.composite
 def wrapped(draw: st.DrawFn, statements: tuple[str, ...]) -> str:
-    """Draw a statement with comments between its words, among harmless statements."""
+    """Draw a statement with comments between its words, surrounded by reads."""
     statement = draw(st.sampled_from(statements))
     words = statement.split(" ")
     if "$x$" not in statement:
@@ -63,7 +63,7 @@
 
 
 def generated(count: int):
-    """Return the settings of a generated test: the same cases in each run."""
+    """Return the settings of a generated test, which has the same cases in each run."""
     return settings(
         max_examples=count,
         derandomize=True,
@@ -74,7 +74,7 @@
 
 
 def kind_of(profile: StatementProfile) -> str:
-    """Return how a profile is treated."""
+    """Return "refusal", "read" or "write" for a profile."""
     return "refusal" if profile.refusal else profile.access.value
 
 
@@ -94,7 +94,7 @@
 
 
 def check_never_read(count: int) -> None:
-    """Raise AssertionError when a wrapped write is called a read."""
+    """Raise AssertionError if a wrapped write is classified as a read."""
 
     @generated(count)
     @given(wrapped(WRITES))
@@ -105,12 +105,12 @@
     check()
 
 
-@then("session: {count:d} writes in generated wrappings are not called reads")
+@then("session: {count:d} writes in generated wrappings are not classified as reads")
 def then_never_read(context: Context, count: int) -> None:
     check_never_read(count)
 
 
-@then("session: the check finds a write called a read once unknown functions are trusted")
+@then("session: the check finds a write classified as a read once unknown functions are trusted")
 def then_check_finds(context: Context) -> None:
     trusted = mock.Mock(return_value=[])
     with (
@@ -121,7 +121,7 @@
             check_never_read(100)
         except AssertionError:
             return
-    raise AssertionError("the check missed it")
+    raise AssertionError("the check found no write classified as a read")
 
 
 @then("session: for {count:d} generated pairs of texts the cache agrees with the classifier")
@@ -138,7 +138,7 @@
     check()
 
 
-@when("session: {count:d} texts are looked up that differ in literals only")
+@when("session: {count:d} texts that differ only in literals are looked up")
 def when_same_shape(context: Context, count: int) -> None:
     context.cache = StatementCache()
     for number in range(count):
--- a/features/steps/session_tokens_steps.py
+++ b/features/steps/session_tokens_steps.py
@@ -1,4 +1,4 @@
-"""Steps for session tokens: roaming, forgery, rotation, and what binds reads."""
+"""Steps for session tokens: roaming, forgery, key rotation and the required position."""
 
 from __future__ import annotations
 
@@ -79,12 +79,12 @@
     assert answer.startswith("C:SET"), answer
 
 
-@when("session: a session named {name} comes without a token")
+@when("session: a session named {name} connects without a token")
 def when_named(context: Context, name: str) -> None:
     open_elsewhere(context, {"limedyke.session_name": name})
 
 
-@when("session: a session comes with the setting {setting}")
+@when("session: a session connects with the setting {setting}")
 def when_with_setting(context: Context, setting: str) -> None:
     open_elsewhere(context, dict([setting.split("=")]))
 
@@ -136,7 +136,7 @@
 
 
 def _refusal_of(exchange: SessionExchange) -> tuple[str, str] | None:
-    """Return SQLSTATE and code of the ErrorResponse that refused, or None."""
+    """Return SQLSTATE and code of the rejecting ErrorResponse, or None."""
     data = exchange.refusal or exchange.answer
     if data[:1] != b"E":
         return None
@@ -146,7 +146,7 @@
 
 @then("session: it is refused with {sqlstate} and {code}")
 def then_refused(context: Context, sqlstate: str, code: str) -> None:
-    # A changed key id can also name a key that isn't in use, and a changed time an old token.
+    # A changed bit may also yield an unused key id or an expired time, hence the other code.
     found = context.refusals
     allowed = {(sqlstate, code)}
     if code == "LD2001" and len(found) > 1:
@@ -156,7 +156,7 @@
     assert found <= allowed, found
 
 
-@when("session: a token made with the keys {made} comes to a proxy with the keys {there}")
+@when("session: a token made with the keys {made} is checked by a proxy with the keys {there}")
 def when_rotated(context: Context, made: str, there: str) -> None:
     token = _authority(made).issue(OWNER, TokenClaim(context.written), START.unix_s)
     context.checked = _authority(there).check(token, OWNER, START.unix_s)
@@ -171,8 +171,8 @@
 @then("session: a proxy with the keys {key_ids} signs with key {key_id:d}")
 def then_signs_with(context: Context, key_ids: str, key_id: int) -> None:
     token = _authority(key_ids).issue(OWNER, TokenClaim(context.written), START.unix_s)
-    alone = TokenAuthority({key_id: BYTES[key_id]})
-    assert alone.check(token, OWNER, START.unix_s).is_ok()
+    only_that_key = TokenAuthority({key_id: BYTES[key_id]})
+    assert only_that_key.check(token, OWNER, START.unix_s).is_ok()
 
 
 @when("session: it roams to a proxy without keys")
@@ -183,31 +183,31 @@
     context.refusals = {_refusal_of(context.there)}
 
 
-@then("session: its reads there must reach its write")
+@then("session: its next read must see its write")
 def then_must_reach(context: Context) -> None:
     unit = _next_read(context.there)
     assert _reaches(unit, context.written), unit
 
 
-@then("session: its reads need not reach its write")
+@then("session: its next read need not see its write")
 def then_need_not_reach(context: Context) -> None:
     unit = _next_read(context.there)
     assert not _reaches(unit, context.written), unit
 
 
-@then("session: its next read is behind a barrier")
+@then("session: its next read has a barrier")
 def then_barrier(context: Context) -> None:
     assert _next_read(context.there).barrier
 
 
-@then("session: its reads need no barrier any more")
+@then("session: its next read has no barrier")
 def then_no_barrier(context: Context) -> None:
     unit = _next_read(context.there)
     assert not unit.barrier
     assert unit.required == context.there.back_end.position, unit
 
 
-@then("session: it is refused, or its reads must reach its write")
+@then("session: it is refused, or its next read must see its write")
 def then_harmless(context: Context) -> None:
     if _refusal_of(context.there) is None:
         then_must_reach(context)
