--- a/features/steps/http_server_steps.py
+++ b/features/steps/http_server_steps.py
@@ -7,7 +7,7 @@
 import curio
 from behave import given, then, when
 
-from features.support.http_callers import CALL, SETTLE_S, CallCaller
+from features.support.http_test_clients import CALL, SETTLE_S, HttpTestClient
 from limedyke.transport.http_server import HttpAnswer, HttpLimits, HttpServer
 from limedyke.transport.link import listen
 
@@ -60,7 +60,7 @@
     _start(context, connections, takes / 1_000)
 
 
-async def _call(context, caller: CallCaller) -> None:
+async def _call(context, caller: HttpTestClient) -> None:
     await caller.send(context.address)
     await caller.receive()
 
@@ -70,7 +70,7 @@
     "and keep their connections open"
 )
 def step_call(context, count):
-    context.callers = [CallCaller() for _ in range(count)]
+    context.callers = [HttpTestClient() for _ in range(count)]
     for caller in context.callers:
         context.kernel.run(_call, context, caller)
         context.kernel.run(curio.sleep, SETTLE_S)
@@ -78,7 +78,7 @@
 
 @when("http server: one more client sends a request")
 def step_one_more(context):
-    context.further = CallCaller()
+    context.further = HttpTestClient()
     context.kernel.run(_call, context, context.further)
 
 
@@ -102,7 +102,7 @@
 
 @when("http server: {count:d} clients send a request at the same time, and one more client follows")
 def step_at_once(context, count):
-    context.callers = [CallCaller() for _ in range(count)]
+    context.callers = [HttpTestClient() for _ in range(count)]
     for caller in context.callers:
         context.kernel.run(caller.send, context.address)
     context.kernel.run(curio.sleep, SETTLE_S)
@@ -128,7 +128,7 @@
 
 @when("http server: {count:d} clients have sent half a request, and one more client follows")
 def step_half_request(context, count):
-    context.callers = [CallCaller() for _ in range(count)]
+    context.callers = [HttpTestClient() for _ in range(count)]
     for caller in context.callers:
         context.kernel.run(caller.send, context.address, CALL[:20])
     context.kernel.run(curio.sleep, SETTLE_S)
@@ -152,14 +152,14 @@
     "and it is told to stop"
 )
 def step_unaccepted(context, count):
-    context.callers = [CallCaller() for _ in range(count)]
+    context.callers = [HttpTestClient() for _ in range(count)]
     context.kernel.run(_send_and_drain, context)
 
 
 async def _send_and_drain(context) -> None:
     """Send requests without yielding to the server's tasks, then drain."""
     for caller in context.callers:
-        caller.send_at_once(context.address, CALL)
+        caller.send_blocking(context.address, CALL)
     await _drain_and_collect(context)
 
 
@@ -167,7 +167,7 @@
     """Drain the server; like a process that exits then, ignore responses that come later."""
     await _drain(context)
     for caller in context.callers:
-        caller.receive_at_once()
+        caller.receive_available()
 
 
 async def _drain(context) -> None:
@@ -181,7 +181,7 @@
     "and they send a request after {late:d} ms"
 )
 def step_late_request(context, count, late):
-    context.callers = [CallCaller() for _ in range(count)]
+    context.callers = [HttpTestClient() for _ in range(count)]
     context.kernel.run(_connect_and_drain, context, late / 1_000)
 
 
@@ -202,7 +202,7 @@
     "and they send a request meanwhile"
 )
 def step_paused_server(context, count, still):
-    context.callers = [CallCaller() for _ in range(count)]
+    context.callers = [HttpTestClient() for _ in range(count)]
     context.kernel.run(_connect_and_pause, context, still / 1_000)
 
 
@@ -213,7 +213,7 @@
     draining = await curio.spawn(_drain_and_collect, context)
     await curio.sleep(SETTLE_S)
     for caller in context.callers:
-        caller.send_rest_at_once(CALL)
+        caller.send_rest_blocking(CALL)
     time.sleep(pause_s)
     await draining.join()
 
@@ -224,12 +224,12 @@
 )
 def step_unconfirmed(context, count):
     """Fill the accept queue before the last client's ACK arrives, so that the kernel drops it."""
-    context.callers = [CallCaller() for _ in range(count)]
+    context.callers = [HttpTestClient() for _ in range(count)]
     *queued, last = context.callers
-    last.begin_to_connect(context.address)
+    last.start_connecting(context.address)
     for caller in queued:
-        caller.send_at_once(context.address, b"")
-    context.kernel.run(last.hear_again)
+        caller.send_blocking(context.address, b"")
+    context.kernel.run(last.stop_packet_loss)
 
 
 @when(
@@ -249,12 +249,12 @@
     await context.start_accepting()
     draining = await curio.spawn(_drain, context)
     for caller in queued:
-        caller.send_rest_at_once(CALL)
+        caller.send_rest_blocking(CALL)
     await queued[0].receive()
-    last.send_rest_at_once(CALL)
+    last.send_rest_blocking(CALL)
     await draining.join()
     for caller in context.callers[1:]:
-        caller.receive_at_once()
+        caller.receive_available()
 
 
 @when("http server: the server is told to stop")
@@ -277,7 +277,7 @@
 @then("http server: a further connection is refused")
 def step_refused(context):
     try:
-        context.kernel.run(CallCaller().send, context.address)
+        context.kernel.run(HttpTestClient().send, context.address)
     except ConnectionRefusedError:
         return
     raise AssertionError("the connection was taken")
--- a/features/support/http_callers.py
+++ b/features/support/http_test_clients.py
@@ -24,7 +24,7 @@
 """TCP state in ``TCP_INFO``."""
 
 
-class CallCaller:
+class HttpTestClient:
     """One connection to the server."""
 
     def __init__(self) -> None:
@@ -36,18 +36,18 @@
         await self._socket.connect(split_address(address))
         await self._socket.sendall(data)
 
-    def send_at_once(self, address: str, data: bytes) -> None:
+    def send_blocking(self, address: str, data: bytes) -> None:
         """Connect and send without yielding to other tasks."""
         with self._socket.blocking() as raw:
             raw.connect(split_address(address))
             raw.sendall(data)
 
-    def send_rest_at_once(self, data: bytes) -> None:
+    def send_rest_blocking(self, data: bytes) -> None:
         """Send without yielding to other tasks."""
         with self._socket.blocking() as raw:
             raw.sendall(data)
 
-    def begin_to_connect(self, address: str) -> None:
+    def start_connecting(self, address: str) -> None:
         """Start to connect, but drop all incoming packets until ``stop_packet_loss``."""
         program = ctypes.create_string_buffer(DROP_ALL, len(DROP_ALL))
         filters = struct.pack("HP", 1, ctypes.addressof(program))
@@ -56,7 +56,7 @@
             raw.setblocking(False)
             raw.connect_ex(split_address(address))
 
-    async def hear_again(self) -> None:
+    async def stop_packet_loss(self) -> None:
         """Stop dropping packets, and return when the connection is established on this side."""
         self._socket.setsockopt(socket.SOL_SOCKET, SO_DETACH_FILTER, 0)
         async with curio.timeout_after(HANDSHAKE_LIMIT_S):
@@ -79,7 +79,7 @@
             self.answer = b""
         return self.answer
 
-    def receive_at_once(self) -> None:
+    def receive_available(self) -> None:
         """Store the response received so far, without yielding to other tasks."""
         try:
             with self._socket.blocking() as raw:
