--- a/features/foundation_http_status.feature
+++ b/features/foundation_http_status.feature
@@ -1,10 +1,10 @@
 Feature: The HTTP status interface
-  Metrics and health are served within limits, whatever a peer sends.
+  Metrics and health pages are served within limits, whatever a client sends.
 
   Scenario Outline: Each page is served
     Given status: a process that is <live> and <ready>
     When status: "<request>" is sent
-    Then status: the answer is <code> and holds "<text>"
+    Then status: the answer is <code> and contains "<text>"
 
     Examples:
       | live | ready     | request                       | code | text                       |
@@ -22,7 +22,7 @@
   Scenario: A request head above the limit is refused
     Given status: a process that is live and ready
     When status: a request head of 20000 bytes is sent
-    Then status: the answer is 400 and holds "bad request"
+    Then status: the answer is 400 and contains "bad request"
 
   Scenario: Two requests share a connection
     Given status: a process that is live and ready
@@ -37,7 +37,7 @@
   Scenario: Idle peers cannot hold all connections for long
     Given status: a process that is live and ready
     When status: 40 idle connections are opened and "GET /livez HTTP/1.1" is sent
-    Then status: the answer is 200 and holds "live"
+    Then status: the answer is 200 and contains "live"
 
   Scenario: An address in use is reported with its code
     Given status: a process that is live and ready
--- a/features/foundation_link.feature
+++ b/features/foundation_link.feature
@@ -1,31 +1,31 @@
 Feature: Links between the system's own processes
-  Both ends prove that they know the key before any message passes.
+  Both ends prove that they know the key before any message is exchanged.
 
   Scenario: Two processes that know the key exchange messages
     When link: a proxy dials a controller with the same key
     Then link: the link opens and 100 messages come back in order
     And link: both ends count the same messages and bytes
 
-  Scenario: Messages that resemble those before them take few bytes
+  Scenario: Messages similar to earlier ones take few bytes
     When link: a proxy dials a controller with the same key
     Then link: the link opens and 100 heartbeats of 69 bytes come back in order
     And link: both ends count the same messages and bytes
-    And link: they took less than 20 bytes each
+    And link: the heartbeats took less than 20 bytes each
 
-  Scenario: A peer of the version before compresses nothing and gets nothing compressed
-    When link: a peer that doesn't say that it compresses sends 3 messages
-    Then link: the controller took 3 messages
-    And link: the peer got 3 plain messages back
+  Scenario: Links to a peer of the previous version are not compressed
+    When link: a peer that doesn't announce compression sends 3 messages
+    Then link: the controller received 3 messages
+    And link: the peer received 3 uncompressed messages back
 
   Scenario Outline: A link is closed after <damage>
     When link: a peer sends a compressed message and then <damage>
-    Then link: the controller took 1 messages
+    Then link: the controller received 1 messages
     And link: the controller closed the link
 
     Examples:
       | damage                                          |
       | compressed bytes that are damaged               |
-      | a frame that says it is compressed in two ways  |
+      | a frame with both compression flags set  |
       | a compressed message above the limit            |
 
   Scenario: An operator proves its own key, not the cluster's
@@ -33,16 +33,16 @@
     Then link: the link opens and 1 messages come back in order
 
   Scenario Outline: A peer that does not prove itself is refused
-    When link: the controller is dialled by <peer>
-    Then link: the controller passes no message to it
+    When link: the controller is contacted by <peer>
+    Then link: the controller accepts no message from it
 
     Examples:
       | peer                                            |
       | a proxy with a wrong key                        |
       | an operator that is not declared                |
       | an operator with the cluster's key              |
-      | a peer that sends the greeting back             |
-      | a peer that passes greetings between two links  |
+      | a peer that sends the hello back             |
+      | a peer that relays hellos between two links  |
       | a peer that sends a proof first                 |
       | a peer of another protocol version              |
       | a peer that announces a frame above the limit   |
@@ -56,14 +56,14 @@
     When link: a proxy dials a controller that has a wrong key
     Then link: the dial fails with OPERATOR_REFUSED
 
-  Scenario: A dialler learns soon that nobody listens
+  Scenario: A dial fails when nobody listens
     When link: a proxy dials an address where nobody listens
     Then link: the dial fails with PEER_UNREACHABLE
 
-  Scenario: A link lost in the handshake is no refusal
+  Scenario: A link lost in the handshake is not reported as a refusal
     When link: a proxy dials a peer that accepts and closes at once
     Then link: the dial fails with PEER_UNREACHABLE
 
-  Scenario: A send that is given up midway closes the link
-    When link: a send to a peer that does not read is given up
+  Scenario: A send that is cancelled midway closes the link
+    When link: a send to a peer that does not read times out
     Then link: the next send fails as the link is closed
--- a/features/steps/bounded_stream_steps.py
+++ b/features/steps/bounded_stream_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the stream that never blocks, and on the page of metrics."""
+"""Steps for the bounded log stream and the metrics page."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
     context.took_s = time.monotonic() - began_at
 
 
-@then("bounded stream: that took less than {limit:d} s, and lines were dropped")
+@then("bounded stream: the writes took less than {limit:d} s, and lines were dropped")
 def step_dropped(context, limit):
     assert context.took_s < limit, context.took_s
     assert context.stream.dropped > 0
 
 
 def read_all(descriptor: int) -> bytes:
-    """Read what is in a pipe."""
+    """Read all available data from a pipe."""
     os.set_blocking(descriptor, False)
     parts = []
     while True:
@@ -61,24 +61,24 @@
     context.received += read_all(context.reader)
 
 
-@then("bounded stream: the reader learns how many were dropped, and gets whole lines only")
-def step_told(context):
+@then("bounded stream: the reader receives the number of dropped lines, and complete lines only")
+def step_drop_counts(context):
     lines = context.received.decode().splitlines()
-    told = [
+    reported = [
         int(m[1]) for line in lines if (m := re.match(r"event=log-lines-dropped count=(\d+)", line))
     ]
-    assert sum(told) == context.stream.dropped, (told, context.stream.dropped)
+    assert sum(reported) == context.stream.dropped, (reported, context.stream.dropped)
     assert lines[-1] == "the last line", lines[-1]
     plain = [line for line in lines if line.startswith("n=")]
     assert all(len(line) == 99 for line in plain)
 
 
-@when("bounded stream: the reader goes away")
-def step_gone(context):
+@when("bounded stream: the reader closes the pipe")
+def step_reader_closes(context):
     os.close(context.reader)
 
 
-@then("bounded stream: all were dropped")
+@then("bounded stream: all lines were dropped")
 def step_all_dropped(context):
     assert context.stream.dropped == 10, context.stream.dropped
 
--- a/features/steps/foundation_http_status_steps.py
+++ b/features/steps/foundation_http_status_steps.py
@@ -26,18 +26,18 @@
             await curio.sleep(RETRY_S)
 
 
-async def _read_to_end(sock) -> bytes:
+async def _read_until_closed(sock) -> bytes:
     received = b""
     while data := await sock.recv(65536):
         received += data
     return received
 
 
-async def _ask(address: str, request: bytes) -> bytes:
+async def _send_request(address: str, request: bytes) -> bytes:
     sock = await _connect(address)
     async with sock:
         await sock.sendall(request)
-        return await _read_to_end(sock)
+        return await _read_until_closed(sock)
 
 
 def _request(line: str) -> bytes:
@@ -45,11 +45,11 @@
 
 
 def _run(context, scenario):
-    """Run ``scenario(address)`` beside the status interface."""
+    """Run ``scenario(address)`` while the status interface is served."""
 
     async def main():
         address = _free_address()
-        server = await curio.spawn(serve_status, address, context.registry, *context.callbacks)
+        server = await curio.spawn(serve_status, address, context.registry, *context.health_checks)
         try:
             async with curio.timeout_after(SCENARIO_TIMEOUT_S):
                 return await scenario(address)
@@ -71,21 +71,21 @@
     state = ReadyState(True, "serving") if ready == "ready" else ReadyState(False, "no controller")
     context.registry = new_registry()
     ProxyMetrics(context.registry).count_read(True, RoutingReason.CAUGHT_UP_REPLICA)
-    context.callbacks = (lambda: live == "live", lambda: state)
+    context.health_checks = (lambda: live == "live", lambda: state)
 
 
 @when('status: "{line}" is sent')
 def step_send(context, line):
-    context.answer = _run(context, lambda address: _ask(address, _request(line)))
+    context.answer = _run(context, lambda address: _send_request(address, _request(line)))
 
 
 @when("status: a request head of {size:d} bytes is sent")
 def step_large_head(context, size):
     request = b"GET /livez HTTP/1.1\r\nx-fill: " + b"a" * size
-    context.answer = _run(context, lambda address: _ask(address, request))
+    context.answer = _run(context, lambda address: _send_request(address, request))
 
 
-@then('status: the answer is {code:d} and holds "{text:Anything}"')
+@then('status: the answer is {code:d} and contains "{text:Anything}"')
 def step_answer(context, code, text):
     head, _, body = context.answer.partition(b"\r\n\r\n")
     assert head.startswith(f"HTTP/1.1 {code} ".encode()), context.answer
@@ -98,7 +98,7 @@
 def step_two(context):
     first = b"GET /livez HTTP/1.1" + HOST_LINE + b"\r\n"
     request = first + _request("GET /readyz HTTP/1.1")
-    context.answer = _run(context, lambda address: _ask(address, request))
+    context.answer = _run(context, lambda address: _send_request(address, request))
 
 
 @then("status: both are answered with 200")
@@ -110,7 +110,7 @@
 def step_half(context):
     async def scenario(address):
         started = await curio.clock()
-        await _ask(address, b"GET /livez HTTP/1.1\r\nhost")
+        await _send_request(address, b"GET /livez HTTP/1.1\r\nhost")
         return await curio.clock() - started
 
     context.duration_s = _run(context, scenario)
@@ -126,7 +126,7 @@
     async def scenario(address):
         idle = [await _connect(address) for _ in range(count)]
         try:
-            return await _ask(address, _request(line))
+            return await _send_request(address, _request(line))
         finally:
             for sock in idle:
                 await sock.close()
@@ -140,7 +140,7 @@
         sock = await _connect(address)
         await sock.close()
         try:
-            await serve_status(address, context.registry, *context.callbacks)
+            await serve_status(address, context.registry, *context.health_checks)
         except StatusListenError as error:
             return error
 
--- a/features/steps/foundation_link_steps.py
+++ b/features/steps/foundation_link_steps.py
@@ -1,4 +1,4 @@
-"""Steps for authenticated links, with peers that misbehave on purpose."""
+"""Steps for authenticated links, including peers that violate the protocol."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class Controller:
-    """A listening controller that sends back what it gets."""
+    """A listening controller that echoes messages."""
 
     def __init__(self) -> None:
         self.links: list[Link] = []
@@ -66,7 +66,7 @@
 
 
 def _run(scenario, identity: LinkIdentity = CONTROLLER):
-    """Run ``scenario(address, controller)`` beside a serving controller."""
+    """Run ``scenario(address, controller)`` while a controller serves links."""
 
     async def main():
         controller = Controller()
@@ -84,7 +84,7 @@
 
 
 class RawPeer:
-    """A connection that speaks frames but keeps no rules."""
+    """A connection that sends arbitrary frames."""
 
     def __init__(self, sock) -> None:
         self.sock = sock
@@ -98,7 +98,7 @@
         return cls(await curio.open_connection(host, int(port)))
 
     async def receive(self) -> bytes | None:
-        """Return the next frame, or None when the connection ends."""
+        """Return the next message, or None if the connection ends."""
         while not self._frames:
             try:
                 data = await self.sock.recv(65536)
@@ -110,7 +110,7 @@
         return self._frames.pop(0)
 
     async def receive_plain(self) -> bytes:
-        """Return the message of the next frame, which has no flag set."""
+        """Return the message of the next frame, which must be uncompressed."""
         header = await self._exactly(4)
         return await self._exactly(struct.unpack("!I", header)[0])
 
@@ -121,7 +121,7 @@
         return data
 
     async def send(self, data: bytes) -> None:
-        """Send one frame; a closed connection is no error here."""
+        """Send one frame; ignore a closed connection."""
         try:
             await self.sock.sendall(frame(data))
         except OSError:
@@ -181,14 +181,14 @@
     return await link.receive()
 
 
-@then("link: they took less than {limit:d} bytes each")
+@then("link: the heartbeats took less than {limit:d} bytes each")
 def step_few_bytes(context, limit):
     sent = context.link.counters.bytes_out - context.bytes_before
     assert sent < limit * context.heartbeats, sent
 
 
-@when("link: a peer that doesn't say that it compresses sends {count:d} messages")
-def step_earlier_version(context, count):
+@when("link: a peer that doesn't announce compression sends {count:d} messages")
+def step_previous_version(context, count):
     async def scenario(address, controller):
         peer = await RawPeer.connect(address)
         await _prove(peer, compresses=None)
@@ -199,14 +199,14 @@
     context.controller, context.received = _run(scenario)
 
 
-@then("link: the controller took {count:d} messages")
-def step_took_messages(context, count):
+@then("link: the controller received {count:d} messages")
+def step_received_messages(context, count):
     expected = [NotLeader(str(number)) for number in range(count)]
     assert context.controller.messages == expected, context.controller.messages
 
 
-@then("link: the peer got {count:d} plain messages back")
-def step_plain(context, count):
+@then("link: the peer received {count:d} uncompressed messages back")
+def step_uncompressed(context, count):
     assert context.received == [encode(NotLeader(str(number))) for number in range(count)]
 
 
@@ -228,7 +228,7 @@
     match damage:
         case "compressed bytes that are damaged":
             return stream_frame(b"\xff" * 20)
-        case "a frame that says it is compressed in two ways":
+        case "a frame with both compression flags set":
             (length,) = struct.unpack("!I", stream_frame(b"x")[:4])
             return struct.pack("!I", length | 0x8000_0000) + b"x"
         case "a compressed message above the limit":
@@ -259,7 +259,7 @@
         return
 
 
-async def _send_greeting_back(address: str) -> None:
+async def _reflect_hello(address: str) -> None:
     peer = await RawPeer.connect(address)
     hello = await peer.receive()
     await peer.send(hello)
@@ -269,7 +269,7 @@
     await peer.receive()
 
 
-async def _pass_greetings(address: str) -> None:
+async def _relay_hellos(address: str) -> None:
     first = await RawPeer.connect(address)
     second = await RawPeer.connect(address)
     first_hello, second_hello = await first.receive(), await second.receive()
@@ -294,9 +294,9 @@
 async def _prove(
     peer: RawPeer, version: int = PROTOCOL_VERSION, compresses: bool | None = None
 ) -> None:
-    """Greet and prove the cluster key as a dialler does.
+    """Send the hello and prove the cluster key, as a dialler does.
 
-    :param compresses: None leaves the field out, as the version before did
+    :param compresses: None omits the field, as the previous version does
     """
     nonce = os.urandom(16)
     fields = {"version": version, "role": "proxy", "name": "p1", "nonce": nonce}
@@ -328,10 +328,10 @@
             await _dial_and_send(address, LinkIdentity(PeerRole.OPERATOR, "eve", OPERATOR_KEY))
         case "an operator with the cluster's key":
             await _dial_and_send(address, LinkIdentity(PeerRole.OPERATOR, "anna", CLUSTER_KEY))
-        case "a peer that sends the greeting back":
-            await _send_greeting_back(address)
-        case "a peer that passes greetings between two links":
-            await _pass_greetings(address)
+        case "a peer that sends the hello back":
+            await _reflect_hello(address)
+        case "a peer that relays hellos between two links":
+            await _relay_hellos(address)
         case "a peer that sends a proof first":
             await _send_bytes(address, frame(encode(LinkProof(b"x" * 32))), forged)
         case "a peer of another protocol version":
@@ -344,7 +344,7 @@
             raise AssertionError(f"unknown peer {peer}")
 
 
-@when("link: the controller is dialled by {peer}")
+@when("link: the controller is contacted by {peer}")
 def step_misbehave(context, peer):
     async def scenario(address, controller):
         try:
@@ -356,7 +356,7 @@
     context.controller, _ = _run(scenario)
 
 
-@then("link: the controller passes no message to it")
+@then("link: the controller accepts no message from it")
 def step_no_message(context):
     assert context.controller.messages == [], context.controller.messages
     assert context.controller.links == []
@@ -419,8 +419,8 @@
     assert context.opened.err_value.code is ResultCode[code], context.opened
 
 
-@when("link: a send to a peer that does not read is given up")
-def step_send_given_up(context):
+@when("link: a send to a peer that does not read times out")
+def step_send_times_out(context):
     async def main():
         near, far = socket.socketpair()
         link = Link(near)
--- a/features/steps/traffic_steps.py
+++ b/features/steps/traffic_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the counting of bytes by purpose and distance."""
+"""Steps for the counting of traffic by purpose and distance."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 from limedyke.transport.traffic import Place, purpose_of_kind
 
 KEY = b"key"
-QUESTION_TIMEOUT_S = 1.0
+STATUS_TIMEOUT_S = 1.0
 CLASS_BY_NAME = {cls.__name__: cls for cls in KIND_BY_CLASS}
 assert ForwardedCall in KIND_BY_CLASS
 
 
 class CountingMeter:
-    """Keeps what was counted."""
+    """Records the counted bytes."""
 
     def __init__(self) -> None:
         self.bytes: Counter = Counter()
 
     def count(self, purpose, distance, direction, size) -> None:
-        """Add to what was counted."""
+        """Add ``size`` bytes."""
         self.bytes[(purpose.value, distance.value, direction.value)] += size
 
 
 def place(text: str) -> Place:
-    """Return the place written as zone and region; a dash stands for one that isn't known."""
+    """Parse a place written as zone and region, with a dash for an unknown one."""
     zone, region = (word.replace("-", "") for word in text.split())
     return Place(zone, region)
 
@@ -65,10 +65,10 @@
         address = f"127.0.0.1:{listener.getsockname()[1]}"
         server = await curio.spawn(serve_links, listener, peer, lambda *_: KEY, receive)
         link = (await dial(address, own, lambda *_: KEY)).unwrap()
-        greeted = link.counters.bytes_out
+        handshake_bytes = link.counters.bytes_out
         for number in range(count):
             await link.send(ProxyHeartbeat(number, 1, 1, ProxyState.SERVING, 0))
-        context.sent = link.counters.bytes_out - greeted
+        context.sent = link.counters.bytes_out - handshake_bytes
         await link.close()
         await server.cancel()
         await listener.close()
@@ -76,12 +76,12 @@
     curio.run(main)
 
 
-@then('traffic: it counted bytes out for "{purpose}" to "{distance}"')
+@then('traffic: the meter counted sent bytes for "{purpose}" to "{distance}"')
 def step_counted(context, purpose, distance):
     assert context.meter.bytes[(purpose, distance, "out")] > 0, context.meter.bytes
 
 
-@then('traffic: it counted as many bytes out for "{purpose}" to "{distance}" as the link')
+@then('traffic: the meter counted as many sent bytes for "{purpose}" to "{distance}" as the link')
 def step_counted_all(context, purpose, distance):
     assert context.meter.bytes[(purpose, distance, "out")] == context.sent, context.meter.bytes
 
@@ -91,10 +91,10 @@
     groups = context.path.groups
     pool = groups.groups[GROUP].pools[name]
     questions = groups._runner.questions
-    assert run(context, questions.ask_status, pool, QUESTION_TIMEOUT_S) is not None
+    assert run(context, questions.ask_status, pool, STATUS_TIMEOUT_S) is not None
 
 
-@then('traffic: the metrics hold bytes of "{purpose}" out and in')
+@then('traffic: the metrics contain bytes of "{purpose}" sent and received')
 def step_metrics(context, purpose):
     for direction in ("out", "in"):
         labels = {"purpose": purpose, "distance": "unknown", "direction": direction}
--- a/features/support/session_exchange.py
+++ b/features/support/session_exchange.py
@@ -1,8 +1,8 @@
-"""Drives a sans-IO session in front of the scripted back end, in a short notation.
+"""Runs a sans-IO session against the scripted back end, with messages in a short notation.
 
 Messages are separated by ``/``: ``Q text``, ``P name: text``, ``B name``,
 ``DS name``, ``DP``, ``E``, ``CS name``, ``S``, ``H``, ``X``, ``F``.  Answers are
-written by their type letters, some with detail: ``C:SELECT 1``, ``E:42601``,
+written as type letters, some with details: ``C:SELECT 1``, ``E:42601``,
 ``S:limedyke.session``, ``Z:I``.
 """
 
@@ -46,7 +46,7 @@
 
 
 def message(notation: str) -> bytes:
-    """Return one message of the caller in wire form."""
+    """Return the encoded client message of a notation."""
     kind, _, rest = notation.strip().partition(" ")
     name, _, text = rest.partition(": ")
     encoded = rest.encode()
@@ -104,7 +104,7 @@
 
 
 def new_context(keys: dict[int, bytes] | None = None) -> SessionContext:
-    """Return what sessions share."""
+    """Return a new session context."""
     numbers = itertools.count(1)
     tenant = Tenant("acme", (), max_staleness_ms=MAXIMUM_STALENESS_MS)
     return SessionContext(
@@ -120,10 +120,10 @@
 class SessionExchange:
     """A session with its back end.
 
-    :ivar units: units in the order they ran
-    :ivar abandoned: work given up
-    :ivar answer: all that the caller got since the last ``send``
-    :ivar refusal: the ErrorResponse when the session wasn't opened
+    :ivar units: units in execution order
+    :ivar abandoned: abandoned work
+    :ivar answer: all bytes sent to the client since the last ``send``
+    :ivar refusal: the ErrorResponse if the session wasn't opened
     """
 
     def __init__(
@@ -139,7 +139,7 @@
         self.closed = False
         self.moment = START
         self.context = context or new_context()
-        self.back_end = ScriptedBackEnd(folder, self._note)
+        self.back_end = ScriptedBackEnd(folder, self._record)
         login = LoginSucceeded("acme", "main", user, settings or {})
         opened = open_session(self.context, login, CancelKey(1, 2), START)
         self.refusal = opened.err() or b""
@@ -149,18 +149,18 @@
             self.answer = opened.ok_value.greeting
 
     def send(self, notation: str) -> str:
-        """Send messages, run what they ask for, and return the answer's notation."""
+        """Send messages, execute the resulting commands, and return the answer in notation."""
         return self.handle(ClientMessages(messages(notation), self.moment))
 
     def handle(self, event: Event) -> str:
-        """Give the session an event, run what it asks for, and return the answer's notation."""
+        """Pass an event to the session, execute its commands, and return the answer in notation."""
         self.answer = b""
         curio.run(self._handle, event)
         return render(self.answer)
 
     @property
     def token(self) -> str:
-        """The token that the caller was told last."""
+        """The last token in the answer, or empty."""
         found = re.findall(rb"limedyke\.session\0([^\0]+)\0", self.answer)
         return found[-1].decode() if found else ""
 
@@ -181,7 +181,7 @@
     async def _relay(self, chunk: AnswerChunk) -> None:
         await self._handle(AnswerReceived(chunk))
 
-    def _note(self, item: WorkUnit | AbandonWork) -> None:
+    def _record(self, item: WorkUnit | AbandonWork) -> None:
         if isinstance(item, WorkUnit):
             self.units.append(item)
         else:
--- a/features/support/session_on_members.py
+++ b/features/support/session_on_members.py
@@ -1,4 +1,4 @@
-"""Sessions of the client side, sans-IO, in front of real members."""
+"""Sans-IO client sessions that run on real members."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 class SessionOnMembers:
-    """One caller's session; its statements run on the primary, so that connections are shared.
+    """One client session; its statements run on the primary, so that clients share a connection.
 
-    :param dropped: names of fields of each unit that are left at nothing: a safeguard off
+    :param dropped: names of the fields to clear in each unit, which disables a safeguard
     """
 
     def __init__(
@@ -40,16 +40,16 @@
         self.session = opened.ok_value.session
 
     def send(self, notation: str) -> str:
-        """Send messages and return the answer's notation."""
+        """Send messages and return the answer in notation."""
         self._answer = b""
         self._lab.run(self._handle, ClientMessages(messages(notation), START))
         return render(self._answer)
 
     def leave(self) -> None:
-        """Go away, whatever is open."""
-        self._lab.run(self._abandon_all)
+        """Disconnect and abandon all open work."""
+        self._lab.run(self._abandon_session)
 
-    async def _abandon_all(self) -> None:
+    async def _abandon_session(self) -> None:
         for command in self.session.abandon():
             await self._abandon(command.work)
 
@@ -59,7 +59,9 @@
                 case SendToClient(data):
                     self._answer += data
                 case RunUnit(unit):
-                    end = await self._lab.proxies[PROXY].run(self._weaken(unit), self._relay)
+                    end = await self._lab.proxies[PROXY].run(
+                        self._without_dropped_fields(unit), self._relay
+                    )
                     await self._handle(UnitEnded(end, START))
                 case AbandonUnit(work):
                     await self._abandon(work)
@@ -70,6 +72,6 @@
     async def _relay(self, chunk: AnswerChunk) -> None:
         await self._handle(AnswerReceived(chunk))
 
-    def _weaken(self, unit: WorkUnit) -> WorkUnit:
+    def _without_dropped_fields(self, unit: WorkUnit) -> WorkUnit:
         empty = {"settings": (), "leaves_state": False}
         return dataclasses.replace(unit, **{name: empty[name] for name in self._dropped})
--- a/features/support/session_roaming.py
+++ b/features/support/session_roaming.py
@@ -1,4 +1,4 @@
-"""A session that comes to another proxy, and whose tokens it may come with."""
+"""Opens a session at another proxy; owners of foreign tokens."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     """Open the session at another proxy.
 
     :param settings: settings of the startup packet
-    :param keys: that proxy's token keys by id; the usual ones when not given
+    :param keys: token keys of that proxy by id; ``KEYS`` if omitted
     """
     shared = new_context(keys)
     context.there = SessionExchange(context.folder, settings, shared)
--- a/features/traffic.feature
+++ b/features/traffic.feature
@@ -1,4 +1,4 @@
-Feature: Bytes are counted by what they are for and how far they go
+Feature: Traffic is counted by purpose and distance
 
   Scenario Outline: traffic: from <own> to <other> is <distance>
     Then traffic: from "<own>" to "<other>" it is "<distance>"
@@ -32,14 +32,14 @@
       | AgreementEnvelope | agreement  |
       | ForwardedCall     | calls      |
 
-  Scenario: traffic: a link counts what it sends, by the distance that both ends told
+  Scenario: traffic: a link counts sent bytes by the distance between the zones and regions of its ends
     When traffic: a proxy in z1 of r1 sends 5 heartbeats to a controller in z2 of r2
-    Then traffic: it counted bytes out for "handshake" to "unknown"
-    And traffic: it counted as many bytes out for "leases" to "other-region" as the link
+    Then traffic: the meter counted sent bytes for "handshake" to "unknown"
+    And traffic: the meter counted as many sent bytes for "leases" to "other-region" as the link
 
-  Scenario: traffic: statements and questions to members are counted both ways
+  Scenario: traffic: statements and status queries to members are counted in both directions
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     When statement path: the client asks "WRITE x 1" and is told "done I"
-    Then traffic: the metrics hold bytes of "statements" out and in
+    Then traffic: the metrics contain bytes of "statements" sent and received
     When traffic: a is asked for its position
-    Then traffic: the metrics hold bytes of "questions" out and in
+    Then traffic: the metrics contain bytes of "questions" sent and received
