--- a/limedyke/transport/http_server.py
+++ b/limedyke/transport/http_server.py
@@ -67,7 +67,7 @@
     :param body_bytes: maximum size of a request body
     :param idle_s: a connection is closed after so many seconds without a complete request
     :param connections: maximum number of open connections; at the limit, a new connection replaces
-        the one that has been idle longest_idle, or is closed at once if none is idle
+        the one that has been idle longest, or is closed at once if none is idle
     """
 
     body_bytes: int
@@ -178,7 +178,7 @@
         peer.task = await curio.spawn(self._serve_peer, peer, daemon=True)
 
     async def _evict_idle_connection(self) -> bool:
-        """Close the connection that has been idle longest_idle; tell whether there was one.
+        """Close the connection that has been idle longest; tell whether there was one.
 
         Clients that keep connections open and rarely use them must not block others: with 300
         machines, idle connections of members used up the limit, and no configuration was accepted.
