--- a/features/steps/http_server_steps.py
+++ b/features/steps/http_server_steps.py
@@ -60,26 +60,26 @@
     _start(context, connections, takes / 1_000)
 
 
-async def _call(context, caller: HttpTestClient) -> None:
-    await caller.send(context.address)
-    await caller.receive()
+async def _send_request(context, client: HttpTestClient) -> None:
+    await client.send(context.address)
+    await client.receive()
 
 
 @when(
     "http server: {count:d} clients send a request one after the other, "
     "and keep their connections open"
 )
-def step_call(context, count):
-    context.callers = [HttpTestClient() for _ in range(count)]
-    for caller in context.callers:
-        context.kernel.run(_call, context, caller)
+def step_sequential_requests(context, count):
+    context.clients = [HttpTestClient() for _ in range(count)]
+    for client in context.clients:
+        context.kernel.run(_send_request, context, client)
         context.kernel.run(curio.sleep, SETTLE_S)
 
 
 @when("http server: one more client sends a request")
 def step_one_more(context):
     context.further = HttpTestClient()
-    context.kernel.run(_call, context, context.further)
+    context.kernel.run(_send_request, context, context.further)
 
 
 @then("http server: it gets a response")
@@ -89,26 +89,26 @@
 
 @then("http server: the connection of the first client is closed, and the others are open")
 def step_first_closed(context):
-    states = [context.kernel.run(caller.is_open) for caller in context.callers]
+    states = [context.kernel.run(client.is_open) for client in context.clients]
     assert states == [False, *[True] * (len(states) - 1)], states
 
 
 @then("http server: all get a response, and {count:d} connections are open")
 def step_all_answered(context, count):
-    assert all(caller.is_answered for caller in context.callers)
-    states = [context.kernel.run(caller.is_open) for caller in context.callers]
+    assert all(client.is_answered for client in context.clients)
+    states = [context.kernel.run(client.is_open) for client in context.clients]
     assert sum(states) == count, states
 
 
 @when("http server: {count:d} clients send a request at the same time, and one more client follows")
 def step_at_once(context, count):
-    context.callers = [HttpTestClient() for _ in range(count)]
-    for caller in context.callers:
-        context.kernel.run(caller.send, context.address)
+    context.clients = [HttpTestClient() for _ in range(count)]
+    for client in context.clients:
+        context.kernel.run(client.send, context.address)
     context.kernel.run(curio.sleep, SETTLE_S)
     _send_further(context)
-    for caller in context.callers:
-        context.kernel.run(caller.receive)
+    for client in context.clients:
+        context.kernel.run(client.receive)
 
 
 def _send_further(context) -> None:
@@ -122,15 +122,15 @@
     "and the connection of the further one is closed at once"
 )
 def step_further_closed(context, count):
-    assert sum(caller.is_answered for caller in context.callers) == count
+    assert sum(client.is_answered for client in context.clients) == count
     assert not context.further.answer and context.took_s < AT_ONCE_LIMIT_S, context.took_s
 
 
 @when("http server: {count:d} clients have sent half a request, and one more client follows")
 def step_half_request(context, count):
-    context.callers = [HttpTestClient() for _ in range(count)]
-    for caller in context.callers:
-        context.kernel.run(caller.send, context.address, CALL[:20])
+    context.clients = [HttpTestClient() for _ in range(count)]
+    for client in context.clients:
+        context.kernel.run(client.send, context.address, CALL[:20])
     context.kernel.run(curio.sleep, SETTLE_S)
     _send_further(context)
 
@@ -141,10 +141,10 @@
 )
 def step_rest(context, count):
     assert not context.further.answer and context.took_s < AT_ONCE_LIMIT_S, context.took_s
-    for caller in context.callers:
-        context.kernel.run(caller.send_rest, CALL[20:])
-        context.kernel.run(caller.receive)
-    assert sum(caller.is_answered for caller in context.callers) == count
+    for client in context.clients:
+        context.kernel.run(client.send_rest, CALL[20:])
+        context.kernel.run(client.receive)
+    assert sum(client.is_answered for client in context.clients) == count
 
 
 @when(
@@ -152,22 +152,22 @@
     "and it is told to stop"
 )
 def step_unaccepted(context, count):
-    context.callers = [HttpTestClient() for _ in range(count)]
+    context.clients = [HttpTestClient() for _ in range(count)]
     context.kernel.run(_send_and_drain, context)
 
 
 async def _send_and_drain(context) -> None:
     """Send requests without yielding to the server's tasks, then drain."""
-    for caller in context.callers:
-        caller.send_blocking(context.address, CALL)
+    for client in context.clients:
+        client.send_blocking(context.address, CALL)
     await _drain_and_collect(context)
 
 
 async def _drain_and_collect(context) -> None:
     """Drain the server; like a process that exits then, ignore responses that come later."""
     await _drain(context)
-    for caller in context.callers:
-        caller.receive_available()
+    for client in context.clients:
+        client.receive_available()
 
 
 async def _drain(context) -> None:
@@ -181,18 +181,18 @@
     "and they send a request after {late:d} ms"
 )
 def step_late_request(context, count, late):
-    context.callers = [HttpTestClient() for _ in range(count)]
+    context.clients = [HttpTestClient() for _ in range(count)]
     context.kernel.run(_connect_and_drain, context, late / 1_000)
 
 
 async def _connect_and_drain(context, late_s: float) -> None:
-    for caller in context.callers:
-        await caller.send(context.address, b"")
+    for client in context.clients:
+        await client.send(context.address, b"")
     await curio.sleep(SETTLE_S)
     draining = await curio.spawn(_drain_and_collect, context)
     await curio.sleep(late_s)
-    for caller in context.callers:
-        await caller.send_rest(CALL)
+    for client in context.clients:
+        await client.send_rest(CALL)
     await draining.join()
 
 
@@ -202,18 +202,18 @@
     "and they send a request meanwhile"
 )
 def step_paused_server(context, count, still):
-    context.callers = [HttpTestClient() for _ in range(count)]
+    context.clients = [HttpTestClient() for _ in range(count)]
     context.kernel.run(_connect_and_pause, context, still / 1_000)
 
 
 async def _connect_and_pause(context, pause_s: float) -> None:
-    for caller in context.callers:
-        await caller.send(context.address, b"")
+    for client in context.clients:
+        await client.send(context.address, b"")
     await curio.sleep(SETTLE_S)
     draining = await curio.spawn(_drain_and_collect, context)
     await curio.sleep(SETTLE_S)
-    for caller in context.callers:
-        caller.send_rest_blocking(CALL)
+    for client in context.clients:
+        client.send_rest_blocking(CALL)
     time.sleep(pause_s)
     await draining.join()
 
@@ -224,11 +224,11 @@
 )
 def step_unconfirmed(context, count):
     """Fill the accept queue before the last client's ACK arrives, so that the kernel drops it."""
-    context.callers = [HttpTestClient() for _ in range(count)]
-    *queued, last = context.callers
+    context.clients = [HttpTestClient() for _ in range(count)]
+    *queued, last = context.clients
     last.start_connecting(context.address)
-    for caller in queued:
-        caller.send_blocking(context.address, b"")
+    for client in queued:
+        client.send_blocking(context.address, b"")
     context.kernel.run(last.stop_packet_loss)
 
 
@@ -245,27 +245,27 @@
     The kernel dropped the ACK of that handshake; the first bytes of the request carry it again, and
     are accepted once the server has made room in the queue.
     """
-    *queued, last = context.callers
+    *queued, last = context.clients
     await context.start_accepting()
     draining = await curio.spawn(_drain, context)
-    for caller in queued:
-        caller.send_rest_blocking(CALL)
+    for client in queued:
+        client.send_rest_blocking(CALL)
     await queued[0].receive()
     last.send_rest_blocking(CALL)
     await draining.join()
-    for caller in context.callers[1:]:
-        caller.receive_available()
+    for client in context.clients[1:]:
+        client.receive_available()
 
 
 @when("http server: the server is told to stop")
 def step_end(context):
-    context.callers = []
+    context.clients = []
     context.kernel.run(_drain_and_collect, context)
 
 
 @then("http server: the {count:d} get a response, and the server has stopped within {limit:d} ms")
 def step_ended_answered(context, count, limit):
-    assert sum(caller.is_answered for caller in context.callers) == count
+    assert sum(client.is_answered for client in context.clients) == count
     step_ended(context, limit)
 
 
