--- a/limedyke/core/sessions/batch.py
+++ b/limedyke/core/sessions/batch.py
@@ -137,7 +137,7 @@
 def check_refusal(profile: StatementProfile) -> None:
     """Raise ``BatchError`` for a statement that the proxy doesn't support."""
     if profile.refusal:
-        failure = Failure(ResultCode.FEATURE_NOT_SUPPORTED, f"Not carried: {profile.refusal}.")
+        failure = Failure(ResultCode.FEATURE_NOT_SUPPORTED, f"Not supported: {profile.refusal}.")
         raise BatchError(failure_response(failure))
 
 
--- a/limedyke/core/sessions/batch_planning.py
+++ b/limedyke/core/sessions/batch_planning.py
@@ -67,5 +67,5 @@
     """
     if ready or state.is_in_transaction or not plan.is_partial:
         return
-    detail = "Not carried: Flush behind Bind or a write, outside a transaction block."
+    detail = "Not supported: Flush after Bind or a write, outside a transaction block."
     raise BatchError(failure_response(Failure(ResultCode.FEATURE_NOT_SUPPORTED, detail)))
--- a/limedyke/core/sessions/local_commands.py
+++ b/limedyke/core/sessions/local_commands.py
@@ -101,7 +101,7 @@
         if not self._state.read_only:
             return
         if any(change.name == READ_ONLY_MODE for _, change in profile.changes):
-            detail = "Not carried: making a read-only transaction writable."
+            detail = "Not supported: making a read-only transaction writable."
             failure = Failure(ResultCode.FEATURE_NOT_SUPPORTED, detail)
             raise BatchError(failure_response(failure))
 
--- a/limedyke/core/sessions/session.py
+++ b/limedyke/core/sessions/session.py
@@ -177,7 +177,7 @@
             commands.extend(self.abandon())
             commands.append(CloseClient("terminated"))
         elif kind == FUNCTION_CALL:
-            failure = Failure(ResultCode.FEATURE_NOT_SUPPORTED, "Not carried: function call.")
+            failure = Failure(ResultCode.FEATURE_NOT_SUPPORTED, "Not supported: function call.")
             self._refuse(failure_response(failure), commands, ready=True)
         elif kind not in COPY_LEFTOVERS:
             failure = Failure(ResultCode.PROTOCOL_VIOLATION, f"unexpected message {chr(kind)!r}")
--- a/limedyke/core/sessions/session_opening.py
+++ b/limedyke/core/sessions/session_opening.py
@@ -57,7 +57,7 @@
         return Err(failure_response(failure, "FATAL"))
     protected = [name for name in others if name in PROTECTED_SETTINGS]
     if protected:
-        detail = f"Not carried: {PROTECTED_SETTINGS[protected[0]]}."
+        detail = f"Not supported: {PROTECTED_SETTINGS[protected[0]]}."
         return Err(failure_response(Failure(ResultCode.FEATURE_NOT_SUPPORTED, detail), "FATAL"))
     owner = TokenOwner(login.tenant, login.group, login.user)
     state = SessionState(owner, SessionSettings(replayed_settings(others)))
--- a/limedyke/core/sql/statement_classifier.py
+++ b/limedyke/core/sql/statement_classifier.py
@@ -36,8 +36,8 @@
 WRITING_WORDS = frozenset(_WRITING_WORDS.split())
 REFUSED_WORDS = {
     "COPY": "COPY",
-    "LISTEN": "LISTEN: notifications aren't carried",
-    "NOTIFY": "NOTIFY: notifications aren't carried",
+    "LISTEN": "LISTEN: notifications aren't supported",
+    "NOTIFY": "NOTIFY: notifications aren't supported",
     "LOAD": "LOAD",
 }
 TEMPORARY_WORDS = frozenset({"TEMP", "TEMPORARY"})
@@ -95,7 +95,7 @@
     """Return the profile of several statements run as one unit: the most restrictive of all."""
     refusal = next((profile.refusal for profile in profiles if profile.refusal), "")
     if not refusal and any(profile.local for profile in profiles):
-        refusal = "a statement that the proxy answers, together with others"
+        refusal = "a statement run by the proxy together with others"
     changes: list[tuple[int, SessionChange]] = []
     for index, profile in enumerate(profiles):
         changes.extend((index, item) for _, item in profile.changes)
@@ -130,7 +130,7 @@
     if SET_CONFIG_FUNCTION in called and not _sets_for_transaction_only(tokens):
         return commands.refused("set_config for the session; use SET")
     if called & NOTIFY_FUNCTIONS:
-        return commands.refused("pg_notify: notifications aren't carried")
+        return commands.refused("pg_notify: notifications aren't supported")
     if word in REFUSED_WORDS:
         return commands.refused(REFUSED_WORDS[word])
     if word in QUERY_WORDS:
@@ -249,7 +249,7 @@
         return StatementProfile(Access.WRITE)
     inner = _classify_one(text, tokens[position:])
     if inner.refusal or inner.local:
-        return commands.refused(inner.refusal or "EXPLAIN of a statement the proxy answers")
+        return commands.refused(inner.refusal or "EXPLAIN of a statement run by the proxy")
     if inner.changes:
         return StatementProfile(Access.WRITE, leaves_state=True)
     return inner if runs else StatementProfile(Access.READ)
--- a/limedyke/postgres/frontend.py
+++ b/limedyke/postgres/frontend.py
@@ -108,7 +108,7 @@
         if isinstance(parsed, Err):
             return refuse(parsed.err_value)
         if rest:
-            detail = "data behind a startup packet"
+            detail = "data after the startup packet"
             return refuse(Failure(ResultCode.PROTOCOL_VIOLATION, detail))
         return self._handle_startup(parsed.ok_value)
 
@@ -123,11 +123,11 @@
                 return [CancelOther(process_id, secret), CloseClient("cancel request")]
             case StartupRequest():
                 return self._begin_authentication(packet)
-        return refuse(Failure(ResultCode.PROTOCOL_VIOLATION, "encryption was asked for before"))
+        return refuse(Failure(ResultCode.PROTOCOL_VIOLATION, "encryption was already requested"))
 
     def _answer_ssl_request(self) -> list[LoginCommand]:
         if self._encrypted:
-            detail = "TLS was asked for before"
+            detail = "TLS was already requested"
             return refuse(Failure(ResultCode.PROTOCOL_VIOLATION, detail))
         if not self._policy.tls_available:
             return [SendToClient(DECLINE)]
@@ -157,7 +157,7 @@
         if not messages:
             return []
         if len(messages) > 1 or self._framer.has_partial:
-            detail = "data behind a password message"
+            detail = "data after the password message"
             return refuse(Failure(ResultCode.PROTOCOL_VIOLATION, detail))
         message = messages[0]
         if message.kind == TERMINATE_MESSAGE:
--- a/limedyke/postgres/member_answer.py
+++ b/limedyke/postgres/member_answer.py
@@ -160,7 +160,7 @@
         elif kind == frames.NOTIFICATION:
             return
         elif kind in _COPY:
-            raise AnswerViolationError("COPY is not carried", ResultCode.FEATURE_NOT_SUPPORTED)
+            raise AnswerViolationError("COPY is not supported", ResultCode.FEATURE_NOT_SUPPORTED)
         elif kind not in _PASSED:
             raise AnswerViolationError(f"unexpected message {kind!r}")
         data = frames.encode_frame(frame)
@@ -221,7 +221,7 @@
             self._stage = _Stage.CALLER
         else:
             if body != self.status.value.encode():
-                raise AnswerViolationError("transaction state changed behind the batch")
+                raise AnswerViolationError("transaction state changed after the batch")
             self.position_after = self._check
             self._stage = _Stage.DONE
             self.done = True
--- a/limedyke/postgres/member_frames.py
+++ b/limedyke/postgres/member_frames.py
@@ -143,7 +143,7 @@
     """Parse the DataRow of a position query and check its mark."""
     values = row_values(body)
     if len(values) != _POSITION_COLUMNS or values[3] != str(mark).encode():
-        return Err(Failure(ResultCode.PROTOCOL_VIOLATION, "answer of another query"))
+        return Err(Failure(ResultCode.PROTOCOL_VIOLATION, "answer to a different query"))
     position = parse_position(values[2] or b"0/0")
     term = values[0] or b"0"
     if position is None or not term.isdigit():
