--- a/limedyke/core/sessions/batch.py
+++ b/limedyke/core/sessions/batch.py
@@ -34,7 +34,7 @@
 UNKNOWN_STATEMENT = "26000"
 DUPLICATE_STATEMENT = "42P05"
 CONFIGURATION_LIMIT = "53400"
-MAXIMUM_PREPARED = 2_000
+MAXIMUM_PREPARED_STATEMENTS = 2_000
 MAXIMUM_PREPARED_BYTES = 4 * 1024 * 1024
 _LENGTH = struct.Struct("!I")
 
@@ -148,8 +148,8 @@
     :param size: length of the text of the new statement
     """
     message = ""
-    if len(names.named) + added >= MAXIMUM_PREPARED:
-        message = f"more than {MAXIMUM_PREPARED} prepared statements"
+    if len(names.named) + added >= MAXIMUM_PREPARED_STATEMENTS:
+        message = f"more than {MAXIMUM_PREPARED_STATEMENTS} prepared statements"
     elif names.size + size > MAXIMUM_PREPARED_BYTES:
         message = f"prepared statements above {MAXIMUM_PREPARED_BYTES} bytes"
     if message:
--- a/limedyke/core/sessions/local_commands.py
+++ b/limedyke/core/sessions/local_commands.py
@@ -69,18 +69,18 @@
         state = self._state
         if profile.changes:
             self._check_size(profile)
-        if state.is_in_transaction and not state.lost:
+        if state.is_in_transaction and not state.transaction_lost:
             self._check_read_only(profile)
             return profile
         effects = [change.effect for _, change in profile.changes]
         ends = profile.statements == 1 and len(effects) == 1 and effects[0] in TRANSACTION_ENDS
-        if ends and not state.lost and opens is not None and opens():
+        if ends and not state.transaction_lost and opens is not None and opens():
             return profile
         if ends:
-            command = "ROLLBACK" if state.lost else effects[0].name
+            command = "ROLLBACK" if state.transaction_lost else effects[0].name
             changes = ((0, SessionChange(Effect.ROLLBACK)),)
             return replace(profile, changes=changes, local=True, command=command)
-        if not state.lost:
+        if not state.transaction_lost:
             return profile
         message = "current transaction is aborted, commands ignored until end of transaction block"
         raise BatchError(error_response(FAILED_TRANSACTION, message))
--- a/limedyke/core/sessions/session.py
+++ b/limedyke/core/sessions/session.py
@@ -238,7 +238,7 @@
     def _refuse(self, answer: bytes, commands: list[SessionCommand], ready: bool) -> None:
         """Answer a batch with an error; an open transaction fails as well."""
         state = self.state
-        if state.is_in_transaction and not state.lost:
+        if state.is_in_transaction and not state.transaction_lost:
             commands.extend(self._abandon_transaction())
             state.lose_transaction()
         if ready:
@@ -297,7 +297,7 @@
     @property
     def _may_leave(self) -> bool:
         """Whether a session that was asked to leave is idle, apart from a lost transaction."""
-        lost = self.state.lost and self._running is None and self._input.is_empty
+        lost = self.state.transaction_lost and self._running is None and self._input.is_empty
         return self._leave is not None and (lost or self.is_idle)
 
     def _refuses_requests(self, moment: Moment) -> bool:
--- a/limedyke/core/sessions/session_state.py
+++ b/limedyke/core/sessions/session_state.py
@@ -23,7 +23,7 @@
     :param transaction: number of the open transaction, 0 for none
     :param read_only: the open transaction was begun as read-only
     :param wrote: the open transaction may have written
-    :param lost: the back end no longer has the transaction, but the client must still end it
+    :param transaction_lost: the back end has lost the transaction, which the client must still end
     :param last_active: monotonic time in seconds of the last message or answer
     """
 
@@ -36,7 +36,7 @@
     transaction: int = 0
     read_only: bool = False
     wrote: bool = False
-    lost: bool = False
+    transaction_lost: bool = False
     last_active: float = 0.0
 
     @property
@@ -55,7 +55,7 @@
         self.transaction = 0
         self.read_only = False
         self.wrote = False
-        self.lost = False
+        self.transaction_lost = False
         self.end_portals()
 
     def end_portals(self) -> None:
@@ -67,5 +67,5 @@
         """Put the client into a failed transaction, as the back end no longer has it."""
         self.status = TransactionStatus.FAILED
         self.transaction = 0
-        self.lost = True
+        self.transaction_lost = True
         self.settings.roll_back()
--- a/limedyke/core/sql/known_functions.py
+++ b/limedyke/core/sql/known_functions.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-_READING_FUNCTIONS = """
+_READ_ONLY_FUNCTIONS = """
     abs acos acosd age array_agg array_append array_cat array_dims array_fill array_length
     array_lower array_ndims array_position array_positions array_prepend array_remove
     array_replace array_to_json array_to_string array_upper ascii asin asind atan atan2 atan2d
@@ -53,7 +53,7 @@
     upper_inf user uuid_generate_v4 gen_random_uuid var_pop var_samp variance version
     websearch_to_tsquery width_bucket xmlagg
 """
-READING_FUNCTIONS = frozenset(_READING_FUNCTIONS.split())
+READ_ONLY_FUNCTIONS = frozenset(_READ_ONLY_FUNCTIONS.split())
 
 _SESSION_LOCK_FUNCTIONS = """
     pg_advisory_lock pg_advisory_lock_shared pg_try_advisory_lock pg_try_advisory_lock_shared
@@ -65,7 +65,7 @@
 NOTIFY_FUNCTIONS = frozenset({"pg_notify"})
 
 # Words that may precede an opening parenthesis without being a function call.
-_WORDS_BEFORE_BRACKET = """
+_WORDS_BEFORE_PARENTHESIS = """
     all and any array as between bigint bit both by case char character check conflict cross cube
     decimal distinct else end escape except explain filter float for from full group having
     ilike in inner int integer intersect interval into is join lateral leading left like limit
@@ -74,4 +74,4 @@
     similar some table tablesample then time timestamp timestamptz timetz trailing union unique
     using values varbit varchar varying when where window with within
 """
-WORDS_BEFORE_BRACKET = frozenset(_WORDS_BEFORE_BRACKET.split())
+WORDS_BEFORE_PARENTHESIS = frozenset(_WORDS_BEFORE_PARENTHESIS.split())
--- a/limedyke/core/sql/read_proof.py
+++ b/limedyke/core/sql/read_proof.py
@@ -7,8 +7,8 @@
 from sqlglot.errors import SqlglotError
 
 from limedyke.core.sql.known_functions import (
-    READING_FUNCTIONS,
-    WORDS_BEFORE_BRACKET,
+    READ_ONLY_FUNCTIONS,
+    WORDS_BEFORE_PARENTHESIS,
 )
 from limedyke.core.sql.sql_lexer import Token, TokenKind, unquote_name
 
@@ -52,10 +52,10 @@
     if index >= 2 and tokens[index - 1].upper == ".":
         if unquote_name(tokens[index - 2]) != TRUSTED_SCHEMA:
             return True
-        return name not in READING_FUNCTIONS
-    if token.kind is TokenKind.WORD and name in WORDS_BEFORE_BRACKET:
+        return name not in READ_ONLY_FUNCTIONS
+    if token.kind is TokenKind.WORD and name in WORDS_BEFORE_PARENTHESIS:
         return False
-    return name not in READING_FUNCTIONS
+    return name not in READ_ONLY_FUNCTIONS
 
 
 def reads_only(shape: bytes, tokens: list[Token]) -> bool:
@@ -74,7 +74,7 @@
         return False
     if tree.find(*_WRITING_NODES) is not None:
         return False
-    if any(name.lower() not in READING_FUNCTIONS for name in _called_names(tree)):
+    if any(name.lower() not in READ_ONLY_FUNCTIONS for name in _called_names(tree)):
         return False
     return not _has_undeclared_call(tokens, _declared_names(tree))
 
--- a/limedyke/core/sql/sql_lexer.py
+++ b/limedyke/core/sql/sql_lexer.py
@@ -45,7 +45,7 @@
 _LITERAL_LIST = re.compile(rb"(0|'')(?:\s*,\s*(?:0|''))+")
 _ROW_LIST = re.compile(rb"(\((?:0|''|\$\d+)\))(?:\s*,\s*\((?:0|''|\$\d+)\))+")
 _HINT = re.compile(rb"limedyke_(\w+)\s*=\s*'([^']*)'")
-HINT_MARK = b"limedyke_"
+HINT_PREFIX = b"limedyke_"
 FOLDED_STRING = b"''"
 FOLDED_NUMBER = b"0"
 
--- a/limedyke/core/sql/statement_cache.py
+++ b/limedyke/core/sql/statement_cache.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import Generic, TypeVar
 
-from limedyke.core.sql.sql_lexer import HINT_MARK, LexicalError, find_hints, fold
+from limedyke.core.sql.sql_lexer import HINT_PREFIX, LexicalError, find_hints, fold
 from limedyke.core.sql.statement import NO_HINTS, RouteHint, StatementHints, StatementProfile
 from limedyke.core.sql.statement_classifier import MAXIMUM_CLASSIFIED_BYTES, classify
 
@@ -65,7 +65,7 @@
         if profile is not None:
             return profile
         profile = self._by_shape_or_parse(text)
-        if HINT_MARK in text:
+        if HINT_PREFIX in text:
             profile = replace(profile, hints=_read_hints(text))
         if len(text) <= MAXIMUM_CACHED_TEXT_BYTES:
             self._by_text.put(text, profile)
