--- a/features/mutants/agreement_safeguards.py
+++ b/features/mutants/agreement_safeguards.py
@@ -1,4 +1,4 @@
-"""Mutants of the controllers' agreement and of their durable log."""
+"""Mutants of the controllers' agreement and of the durable log."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     crash_at_every_step,
     entry,
     open_log,
-    without,
+    patched_without,
 )
 from limedyke_lab.simulated_disk import SimulatedDisk
 
@@ -51,7 +51,7 @@
 
 
 class NoticedWithSafeguardError(Exception):
-    """The check notices something although the safeguard is in place."""
+    """The check fails although the safeguard is in place."""
 
 
 def _judge(notices: Callable[[], bool], patches: Callable[[], object]) -> bool:
@@ -62,7 +62,7 @@
 
 
 def _script_mutant(name: str) -> bool:
-    """Tell whether the mutant breaks its script under each of the seeds."""
+    """Tell whether the mutant fails its script under each of the seeds."""
     script = SCRIPTS[name]
     for seed in SCRIPT_SEEDS:
         broken = run_script(script, seed=seed)
@@ -77,7 +77,7 @@
 
 
 def _failed_sync_loses(goes_on_in_new_process: bool) -> bool:
-    """Fail a sync, go on, lose the power; tell whether anything that counted is gone."""
+    """Fail a sync, continue, lose power; tell whether an acknowledged entry is lost."""
     disk = SimulatedDisk(random.Random(3))
     log = open_log(disk).unwrap()
     log.append((entry(1),)).unwrap()
@@ -119,7 +119,7 @@
             f"durable log without {name}",
             name,
             "durable_log.feature",
-            partial(_judge, notices, partial(without, name)),
+            partial(_judge, notices, partial(patched_without, name)),
         )
         for name, notices in _DURABLE_LOG_CHECKS.items()
     ),
--- a/features/statement_path.feature
+++ b/features/statement_path.feature
@@ -1,5 +1,5 @@
 Feature: The whole path of a statement, from a client to members and back
-  Against stand-in members of the platform's line protocol, which keep what they ran.
+  Runs against stand-in members that speak the platform's line protocol and record what they ran.
 
   Scenario Outline: statement path: <consistency> reads
     Given statement path: a <consistency> database on primary a and replicas b c, the proxy beside b
@@ -28,12 +28,12 @@
 
   Scenario: statement path: bounded reads miss nothing older than the bound
     Given statement path: a bounded database on primary a and replicas b c, the proxy beside b
-    And statement path: the bound is 300 ms, and replicas lag by 900 ms
+    And statement path: the staleness bound is 300 ms, and replicas lag by 900 ms
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: 400 ms pass
     And statement path: another client asks "READ x" and is told "1 done I"
 
-  Scenario: statement path: without the lease a read wants proof
+  Scenario: statement path: without the lease a read needs proof of the primary
     Given statement path: a primary database on primary a and replicas b c, the proxy beside b
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: 100 ms pass
@@ -41,7 +41,7 @@
     And statement path: the client asks "READ x" and is told "1 done I"
     Then statement path: "READ x" ran at b
 
-  Scenario: statement path: without the lease and without anyone who leads
+  Scenario: statement path: without the lease and without a primary
     Given statement path: a primary database on primary a and replicas b c, the proxy beside b
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: the lease has run out, and nobody leads
@@ -78,44 +78,44 @@
     When statement path: 8 clients read at once
     Then statement path: all are told "7 done I"
     And statement path: at least 5 of them were served by replicas
-    And statement path: a was asked for its position 1 times
+    And statement path: a was queried for its position 1 times
 
-  Scenario: statement path: an answer that a member gave before it led is no word of the primary
+  Scenario: statement path: an answer that a member gave before its promotion proves no position of the primary
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: 100 ms pass
     And statement path: the client asks "READ x" and is told "1 done I"
-    And statement path: all answered within 300 ms lately
-    And statement path: answers of b are 300 ms on their way
+    And statement path: all members recently answered within 300 ms
+    And statement path: answers of b are delayed by 300 ms
     And statement path: b begins to lead while another client's "READ y" runs there, and the proxy knows
     Then statement path: "READ y" ran at b
     And statement path: no position of the primary is known
 
-  Scenario: statement path: reads stay away from a silent replica until it is found to answer again
+  Scenario: statement path: reads avoid a silent replica until it answers again
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: 100 ms pass
     And statement path: b turns silent
     And statement path: the client asks "READ x" and is told "1 done I"
-    And statement path: the members are watched for 1300 ms
+    And statement path: the members are monitored for 1300 ms
     And statement path: the client asks "READ x" and is told "1 done I"
     Then statement path: that took less than 200 ms
     When statement path: b answers again
-    And statement path: the members are watched for 1000 ms
+    And statement path: the members are monitored for 1000 ms
     And statement path: the client asks "READ x" and is told "1 done I"
     Then statement path: "READ x" ran at b
 
-  Scenario: statement path: a primary that answers no attempt to connect is found
+  Scenario: statement path: a primary that answers no attempt to connect is detected
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     And statement path: attempts to connect to a hang
     When statement path: the client asks "WRITE x 1" and is told "BUSY I"
-    And statement path: the members are watched for 1300 ms
-    Then statement path: a is thought unreachable
+    And statement path: the members are monitored for 1300 ms
+    Then statement path: a counts as unreachable
 
-  Scenario: statement path: a connection that takes long to open is there for the next request
+  Scenario: statement path: a connection that opens slowly serves the next request
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     And statement path: attempts to connect to a take 550 ms, and may take 3000 ms
-    And statement path: statements may take 400 ms
+    And statement path: statements have a timeout of 400 ms
     When statement path: the client asks "WRITE x 1" and is told "BUSY I"
     And statement path: 300 ms pass
     And statement path: the client asks "WRITE x 2" and is told "done I"
@@ -138,7 +138,7 @@
     And statement path: the lease is for 2 connections
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: 100 ms pass
-    And statement path: 2 clients hold transactions that read open at b
+    And statement path: 2 clients hold read transactions open at b
     And statement path: the client asks "READ x" and is told "1 done I"
     Then statement path: that took less than 200 ms
 
@@ -146,7 +146,7 @@
     Given statement path: a primary database on primary a and replicas b c, the proxy beside b
     And statement path: a is <away> ms away, one way
     And statement path: a takes 30 ms for a read
-    And statement path: statements may take 1000 ms, aim at 400 ms and may be tried 2 times
+    And statement path: statements have a timeout of 1000 ms, a target of 400 ms and 2 attempts
     When statement path: the client asks "<first>" and is told "<told first>"
     And statement path: the client asks "<second>" and is told "<told second>"
     And statement path: the client asks "<third>" and is told "<told third>"
@@ -160,10 +160,10 @@
       | 90   | WRITE x 1 | done I     | WRITE x 2 | done I      | READ x   | 2 done I   |
       | 90   | BEGIN     | done T     | WRITE x 2 | done T      | COMMIT   | done I     |
 
-  Scenario Outline: statement path: a slow answer of a primary <away> ms away is waited for, <clients> clients at once
+  Scenario Outline: statement path: a read waits for the slow answer of a primary <away> ms away, <clients> clients at once
     Given statement path: a primary database on primary a and replicas b c, the proxy beside b
     And statement path: a is <away> ms away, one way
-    And statement path: statements may take 1000 ms, aim at 400 ms and may be tried 2 times
+    And statement path: statements have a timeout of 1000 ms, a target of 400 ms and 2 attempts
     When statement path: the client asks "READ x" and is told "- done I"
     And statement path: a takes <work> ms for a read
     And statement path: <clients> clients read at once
@@ -176,9 +176,9 @@
       | 90   | 100  | 1       | 2    |
       | 45   | 60   | 6       | 7    |
 
-  Scenario: statement path: a read that is slow at one member is tried beside it at another
+  Scenario: statement path: a read that is slow at one member is hedged at another
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
-    And statement path: statements may take 1000 ms, aim at 400 ms and may be tried 2 times
+    And statement path: statements have a timeout of 1000 ms, a target of 400 ms and 2 attempts
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: 100 ms pass
     And statement path: the client asks "READ x" and is told "1 done I"
@@ -188,9 +188,9 @@
     And statement path: "READ x" ran 3 times
     And statement path: 1 read was hedged
 
-  Scenario: statement path: a slow read is left alone where it may run only once
+  Scenario: statement path: a slow read that may run only once is not hedged
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
-    And statement path: statements may take 1000 ms, aim at 400 ms and may be tried 1 times
+    And statement path: statements have a timeout of 1000 ms, a target of 400 ms and 1 attempts
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: 100 ms pass
     And statement path: the client asks "READ x" and is told "1 done I"
@@ -200,7 +200,7 @@
 
   Scenario Outline: statement path: a statement with too little time left is refused rather than sent: <asked>
     Given statement path: a primary database on primary a and replicas b c, the proxy beside b
-    And statement path: a answered within 500 ms lately
+    And statement path: a recently answered within 500 ms
     And statement path: a is busy 999 times
     When statement path: the client asks "<asked>" and is told "BUSY I"
     Then statement path: that took less than 500 ms
@@ -211,27 +211,27 @@
       | WRITE x 1 |
       | READ x    |
 
-  Scenario: statement path: a silent primary is found although all its connections are in use
+  Scenario: statement path: a silent primary is detected although all its connections are in use
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     And statement path: the lease is for 1 connection
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: a turns silent
     And statement path: the client asks "WRITE x 2" and is told "TIMEOUT I"
-    Then statement path: a is thought unreachable
+    Then statement path: a counts as unreachable
     When statement path: the outage has lasted longer than usual
     And statement path: the client asks "WRITE x 3" and is told "BUSY I"
     Then statement path: that took less than 350 ms
     And statement path: "WRITE x 3" ran nowhere
 
-  Scenario Outline: statement path: a process that stood still for <still> ms, <after> ms after "<asked>", blames nobody
-  A process that stands still finds its time limits passed when it goes on, and took members for silent that had no
-  chance to answer. With 0.5 s of it at any moment between 20 and 180 ms after the first read, the read was refused
-  0.4 s before its end: "BUSY LD3003 not-connected at a (try again in 1151 ms)".
+  Scenario Outline: statement path: a proxy that paused for <still> ms, <after> ms after "<asked>", blames no member
+  After a pause of the process all its timeouts have expired, and members seemed silent that had no chance to answer.
+  A pause of 0.5 s at any moment between 20 and 180 ms after the first read had the read refused 0.4 s before its
+  deadline: "BUSY LD3003 not-connected at a (try again in 1151 ms)".
     Given statement path: a primary database on primary a and replicas b c, the proxy beside b
     And statement path: a is 45 ms away, one way
-    And statement path: statements may take 1500 ms, aim at 400 ms and may be tried 2 times
-    And statement path: the members are watched from now on
-    When statement path: the process will stand still for <still> ms, in <after> ms
+    And statement path: statements have a timeout of 1500 ms, a target of 400 ms and 2 attempts
+    And statement path: the members are monitored from now on
+    When statement path: the process will pause for <still> ms, in <after> ms
     And statement path: the client asks "<asked>" and is told "<told>"
     Then statement path: "<asked>" ran 1 times
     And statement path: a was never reported unreachable
@@ -243,13 +243,13 @@
       | 500   | 120   | WRITE x 1 | done I   |
       | 600   | 20    | READ x    | - done I |
 
-  Scenario Outline: statement path: a pause of <still> ms, <after> ms after a first read, is noted though no task slept through it
-  Pauses were noted by the task that looks at the members, where it slept as they began. In one that came otherwise the
-  time of the first opening passed, the member was taken for silent, and the read was told "BUSY I" with 0.9 s left.
+  Scenario Outline: statement path: a pause of <still> ms, <after> ms after a first read, is detected outside the sleep of a task
+  Only pauses that began during the sleep of the monitoring task were detected. In any other pause the timeout of the
+  first connection attempt expired, the member counted as silent, and the read got "BUSY I" with 0.9 s left.
     Given statement path: a primary database on primary a and replicas b c, the proxy beside b
     And statement path: a is 45 ms away, one way
-    And statement path: statements may take 1500 ms, aim at 400 ms and may be tried 2 times
-    When statement path: the process will stand still for <still> ms, in <after> ms
+    And statement path: statements have a timeout of 1500 ms, a target of 400 ms and 2 attempts
+    When statement path: the process will pause for <still> ms, in <after> ms
     And statement path: the client asks "READ x" and is told "- done I"
     Then statement path: "READ x" ran 1 times
 
@@ -267,7 +267,7 @@
   Scenario Outline: statement path: connections to a that went silent say nothing of its health, safeguard <safeguard>
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     And statement path: the safeguard "examined on a new connection" is <safeguard>
-    And statement path: the members are watched from now on
+    And statement path: the members are monitored from now on
     When statement path: 3 clients write at once
     And statement path: a has 2 connections
     And statement path: all open connections to a go silent
@@ -281,9 +281,9 @@
       | on        | reachable                         |
       | off       | reachable, unreachable, reachable |
 
-  Scenario Outline: statement path: what was under way on a connection that went silent: "<asked>"
+  Scenario Outline: statement path: a statement on a connection that went silent: "<asked>"
     Given statement path: a primary database on primary a and replicas b c, the proxy beside b
-    And statement path: the members are watched from now on
+    And statement path: the members are monitored from now on
     When statement path: the client asks "<first>" and is told "<told first>"
     And statement path: all open connections to a go silent
     And statement path: the client asks "<asked>" and is told "<told>"
@@ -298,7 +298,7 @@
 
   Scenario Outline: statement path: a transaction whose connection went silent, then "<asked>"
     Given statement path: a primary database on primary a and replicas b c, the proxy beside b
-    And statement path: the members are watched from now on
+    And statement path: the members are monitored from now on
     When statement path: the client asks "BEGIN" and is told "done T"
     And statement path: the client asks "WRITE x 1" and is told "done T"
     And statement path: all open connections to a go silent
@@ -314,7 +314,7 @@
   Scenario: statement path: all idle connections that went silent are replaced after the first
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     And statement path: the lease is for 8 connections
-    And statement path: the members are watched from now on
+    And statement path: the members are monitored from now on
     When statement path: 4 clients hold transactions open, each with a write
     And statement path: those clients roll back
     And statement path: a has 4 connections
@@ -324,16 +324,16 @@
     Then statement path: that took less than 100 ms
     And statement path: all are told "done I"
 
-  Scenario: statement path: a read whose member's connections went silent is served beside it
+  Scenario: statement path: a read whose member's connections went silent is served by another member
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
-    And statement path: the members are watched from now on
+    And statement path: the members are monitored from now on
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: 100 ms pass
     And statement path: the client asks "READ x" and is told "1 done I"
     And statement path: all open connections to b go silent
     And statement path: the client asks "READ x" and is told "1 done I"
     Then statement path: that took less than 400 ms
-    And statement path: b is thought reachable
+    And statement path: b counts as reachable
 
   Scenario: statement path: a write is not sent to a primary that seems to hang
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
@@ -359,19 +359,19 @@
       | primary     | replicas lag by 0 ms     | READ x    | - done I |
       | session     | replicas lag by 0 ms     | READ x    | - done I |
 
-  Scenario: statement path: a refusal says when the next primary is expected
+  Scenario: statement path: a refusal tells the client to retry when the next primary is expected
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
-    And statement path: changes of primary took 4000 ms lately
+    And statement path: recent changes of primary took 4000 ms
     And statement path: no primary is recorded
     When statement path: the client asks "WRITE x 2" and is told "BUSY I"
-    Then statement path: it is told to come back in 1500 to 4000 ms
+    Then statement path: it is told to retry in 1500 to 4000 ms
 
-  Scenario Outline: statement path: a member that is full <way> serves those it has
+  Scenario Outline: statement path: a full member, which <way>, serves its open connections
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
-    And statement path: a takes 1 connection and <way>
+    And statement path: a accepts 1 connection and <way>
     When statement path: 6 clients write at once
     Then statement path: all are told "done I"
-    And statement path: a is thought reachable
+    And statement path: a counts as reachable
 
     Examples:
       | way               |
@@ -384,20 +384,20 @@
     And statement path: the client asks "WRITE y 1" and is told "done I"
     Then statement path: that took at least 30 ms, and a has 3 connections
     When statement path: 1100 ms pass
-    And statement path: pools are looked after
+    And statement path: pools close idle connections
     Then statement path: a has 2 connections
 
-  Scenario: statement path: connections taken back while in use are given back afterwards
+  Scenario: statement path: leases revoked while their connections are in use are returned afterwards
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     When statement path: the client asks "BEGIN" and is told "done T"
     And statement path: the client asks "READ x" and is told "- done T"
-    And statement path: all leases are taken back
-    Then statement path: nothing is given back yet
+    And statement path: all leases are revoked
+    Then statement path: no lease is returned yet
     When statement path: the client asks "COMMIT" and is told "done I"
-    And statement path: the members are watched for 600 ms
-    Then statement path: 0 connections of each are given back
+    And statement path: the members are monitored for 600 ms
+    Then statement path: leases of 0 connections are returned
 
-  Scenario: statement path: without the lease, but with proof
+  Scenario: statement path: without the lease, a primary that proves its role serves a read
     Given statement path: a primary database on primary a and replicas b c, the proxy beside b
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: 100 ms pass
@@ -448,7 +448,7 @@
       | a drains                         | WRITE x 2 | BUSY I    | 0     |
       | b drains                         | READ x    | 1 done I  | 1     |
 
-  Scenario: statement path: tries at other members stop by themselves when none has room
+  Scenario: statement path: retries at other members stop when none has room
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     When statement path: the client asks "WRITE x 1" and is told "done I"
     And statement path: 100 ms pass
@@ -480,7 +480,7 @@
     And statement path: the client asks "COMMIT" and is told "done I"
     Then statement path: all ran at a with "tone=low"
 
-  Scenario: statement path: sessions that share a connection keep apart
+  Scenario: statement path: sessions that share a connection are isolated
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     And statement path: the lease is for 1 connection
     When statement path: the client asks "SET tone low" and is told "done I"
@@ -491,24 +491,24 @@
     And statement path: the client asks "EXECUTE s x 2" and is told "done I"
     Then statement path: the other client's work ran without settings, the client's with "tone=low"
 
-  Scenario: statement path: a client that leaves inside a transaction leaves nothing behind
+  Scenario: statement path: the transaction of a client that disconnects is rolled back
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     When statement path: the client asks "BEGIN" and is told "done T"
     And statement path: the client asks "WRITE x 2" and is told "done T"
-    And statement path: the client leaves
+    And statement path: the client disconnects
     And statement path: 100 ms pass
     And statement path: another client asks "READ x" and is told "- done I"
 
-  Scenario: statement path: a transaction that rests too long is ended
+  Scenario: statement path: a transaction that is idle for too long is rolled back
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
-    And statement path: transactions may rest for 200 ms
+    And statement path: transactions may be idle for 200 ms
     When statement path: the client asks "BEGIN" and is told "done T"
     And statement path: the client asks "WRITE x 2" and is told "done T"
     And statement path: 500 ms pass
     And statement path: the client asks "COMMIT" and is told "ABORTED I"
     And statement path: another client asks "READ x" and is told "- done I"
 
-  Scenario: statement path: statements at once are answered in order
+  Scenario: statement path: pipelined statements are answered in order
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     When statement path: the client sends "QUERY 1 WRITE x 1\r\nQUERY 2 READ x\r\nQUERY 3 NONSENSE\r\nQUERY 4 READ x\r\n"
     Then statement path: it is told "done I", "1 done I", "MALFORMED I", "1 done I"
@@ -528,18 +528,18 @@
     And statement path: the database is removed
     And statement path: the client asks "READ x" and is told "NODB I"
 
-  Scenario: statement path: a proxy that knows nothing yet claims nothing
-    Given statement path: a proxy that no controller has told anything
+  Scenario: statement path: a proxy without a control view does not deny a database
+    Given statement path: a proxy without a control view
     Then statement path: a session at "db" is told "BUSY"
 
-  Scenario: statement path: what is given up is refused at once
+  Scenario: statement path: a statement without hope of a primary is refused at once
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     And statement path: no primary is recorded
     And statement path: the outage has lasted longer than usual
     When statement path: the client asks "WRITE x 2" and is told "BUSY I"
     Then statement path: that took less than 350 ms
 
-  Scenario: statement path: a proxy that is cut off holds nothing
+  Scenario: statement path: a proxy that is cut off holds no statements
     Given statement path: a session database on primary a and replicas b c, the proxy beside b
     And statement path: no primary is recorded
     And statement path: the lease has run out
--- a/features/steps/control_membership_steps.py
+++ b/features/steps/control_membership_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the membership of proxies."""
+"""Steps for the membership of proxies."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class MembershipUnderTest:
-    """A leader whose proposals are applied at once."""
+    """A leader whose proposals are applied immediately."""
 
     def __init__(self, lease_s: float, groups: int = 1) -> None:
         self.test = StateUnderTest()
@@ -41,7 +41,7 @@
         self.sequence = 0
 
     def post(self, *events: object) -> None:
-        """Hand events in, and apply what is proposed."""
+        """Handle events, and apply the resulting proposals."""
         for event in events:
             self.leader.handle(event, self.now)
         while True:
@@ -55,7 +55,7 @@
                     self.leader.handle(UpdateApplied(update), self.now)
 
     def connect(self, name: str, incarnation: int = 1, folder_id: str = "disk") -> None:
-        """Let a proxy connect and send its first heartbeat."""
+        """Connect a proxy, which sends its first heartbeat."""
         hello = ProxyHello(name, incarnation, "127.9.9.9:1", "z1", 0, 0, folder_id)
         self.post(ProxyConnected(hello))
         self.post(self.heartbeat(name, first=True))
@@ -66,23 +66,23 @@
         beat = ProxyHeartbeat(self.sequence, 0, 0, ProxyState.SERVING, 0)
         return HeartbeatReceived(name, beat, first)
 
-    def wait(self, seconds: float, goes_on: bool) -> None:
-        """Let time pass."""
+    def wait(self, seconds: float, is_alive: bool) -> None:
+        """Advance the clock."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(end, self.now + STEP_S)
-            if goes_on:
+            if is_alive:
                 self.post(self.heartbeat("p"))
             self.post(TimePassed())
 
 
-@given("membership: a proxy that serves, with leases of {lease:g} s")
+@given("membership: a serving proxy with leases of {lease:g} s")
 def _(context, lease):
     context.membership = MembershipUnderTest(lease)
     context.membership.connect("p")
 
 
-@when("membership: the platform's list calls it {listed}")
+@when("membership: the platform lists it as {listed}")
 def _(context, listed):
     leaving = frozenset({"p"}) if listed == "leaving" else frozenset()
     context.membership.post(PlatformListed(leaving))
@@ -98,10 +98,10 @@
             membership.post(ProxyLeft("p", done=False))
         case "has drained":
             membership.post(ProxyLeft("p", done=True))
-    membership.wait(seconds, goes_on=does == "goes on")
+    membership.wait(seconds, is_alive=does == "stays alive")
 
 
-@when("membership: it connects again {how}")
+@when("membership: it reconnects {how}")
 def _(context, how):
     match how:
         case "as the same process":
@@ -137,19 +137,19 @@
         before = len(membership.test.state.proxies)
         membership.now += apart / 2
         membership.post(TimePassed())
-        assert len(membership.test.state.proxies) == before, "not paced"
+        assert len(membership.test.state.proxies) == before, "not rate-limited"
         membership.now += apart / 2 + 0.001
         membership.post(TimePassed())
         assert before < len(membership.test.state.proxies) <= before + most
     assert membership.now <= seconds, membership.now
 
 
-@when("membership: {count:d} proxies connect and then {silent:d} others are found silent")
+@when("membership: {count:d} proxies connect and then {silent:d} others are silent")
 def _(context, count, silent):
     context.membership = membership = MembershipUnderTest(30.0)
     for number in range(silent):
         membership.connect(f"s{number}", folder_id=f"disk of s{number}")
-        membership.wait(0.5, goes_on=False)
+        membership.wait(0.5, is_alive=False)
     membership.now += 10.0
     hellos = [ProxyHello(f"p{i}", 1, "", "z1", 0, 0, "disk") for i in range(count)]
     for hello in hellos:
@@ -158,7 +158,7 @@
     context.silent = silent
 
 
-@then("membership: the first entry after that names the silent ones")
+@then("membership: the next entry names the silent ones")
 def _(context):
     proposed = [c for c in context.membership.leader.take_commands() if isinstance(c, Propose)]
     states = [record.state for record in proposed[0].entry.proxies[: context.silent]]
--- a/features/steps/leader_search_steps.py
+++ b/features/steps/leader_search_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the choice of the controller that a proxy asks next; times are replayed as numbers."""
+"""Steps for the choice of the controller that a proxy dials next, with simulated time."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from limedyke.proxy.control.controller_selector import ControllerSelector
 
 REFUSAL_S = 0.002
-"""A machine that works and has no listener refuses at once."""
+"""Time in which a running machine without a listener refuses a connection."""
 SEEDS = range(50)
 
 
@@ -48,8 +48,8 @@
     assert all(least <= 1_000 * pause_s <= most for pause_s in context.last_pauses_s)
 
 
-@when("leader search: a proxy that was refused {count:d} times is told that {leader} leads")
-def step_told(context, count, leader):
+@when("leader search: a proxy that was refused {count:d} times learns that {leader} leads")
+def step_redirected(context, count, leader):
     context.choice = _choice(context, 1)
     for _ in range(count):
         context.choice.next_address()
--- a/features/steps/member_concurrency_steps.py
+++ b/features/steps/member_concurrency_steps.py
@@ -18,7 +18,7 @@
 QUEUE = 32
 NETWORK_S = 0.001
 SERVICE_S = 0.012
-PATIENCE_S = 0.5
+WAIT_TIMEOUT_S = 0.5
 BUSY_S = 0.001
 WORK = "read"
 SHARE_MOVES_AT = 0.5
@@ -27,7 +27,7 @@
 
 @dataclass
 class _FixedLimit:
-    """A lease alone: so many under way, whatever is seen."""
+    """The fixed limit of a lease, independent of observations."""
 
     limit: int
 
@@ -66,12 +66,12 @@
             proxy.limit.connected(2 * NETWORK_S) if hasattr(proxy.limit, "connected") else None
 
     def run(self, rate, seconds, choose):
-        """Play so many requests a second; ``choose`` gives the proxy by number and share."""
+        """Simulate ``rate`` requests per second; ``choose`` selects the proxy of each."""
         began_at = self.now
         count = int(rate * seconds)
         for number in range(count):
             proxy = self.proxies[choose(number, number / count) % len(self.proxies)]
-            self._at(began_at + number / rate, self._come, proxy)
+            self._at(began_at + number / rate, self._add_request, proxy)
         while self._events and self._events[0][0] < began_at + seconds:
             self.now, _, action, details = heapq.heappop(self._events)
             action(*details)
@@ -80,13 +80,13 @@
     def _at(self, moment, action, *details):
         heapq.heappush(self._events, (moment, next(self._numbers), action, details))
 
-    def _come(self, proxy):
+    def _add_request(self, proxy):
         proxy.waiting.append(self.now)
         self._send(proxy)
 
     def _send(self, proxy):
         while proxy.waiting and proxy.limit.has_room(proxy.under_way):
-            if proxy.waiting.popleft() + PATIENCE_S < self.now:
+            if proxy.waiting.popleft() + WAIT_TIMEOUT_S < self.now:
                 continue
             proxy.under_way += 1
             self._at(self.now + NETWORK_S, self._arrive, proxy, self.now)
@@ -160,22 +160,22 @@
     context.load.generator = random.Random(SEED)
 
 
-@when("concurrency: {rate:d} requests a second come for {seconds:d} s, {spread}")
+@when("concurrency: {rate:d} requests a second arrive for {seconds:d} s, {spread}")
 def step_requests(context, rate, seconds, spread):
     context.seconds = seconds
     context.load.run(rate, seconds, SPREADS[spread])
 
 
 @when(
-    "concurrency: the member takes {service:d} ms, and {rate:d} requests a second come "
-    "for {seconds:d} s, {spread}"
+    "concurrency: the member takes {service:d} ms, and {rate:d} requests a second arrive for "
+    "{seconds:d} s, {spread}"
 )
 def step_slow_requests(context, service, rate, seconds, spread):
     context.load.service_s = service / MS_PER_S
     step_requests(context, rate, seconds, spread)
 
 
-@then("concurrency: the member turns away {bound} {percent:g} % of arrivals")
+@then("concurrency: the member refuses {bound} {percent:g} % of arrivals")
 def step_shed(context, bound, percent):
     share = 100.0 * context.load.shed / context.load.arrived
     assert share >= percent if bound == "at least" else share <= percent, share
@@ -193,8 +193,8 @@
 
 
 @then(
-    "concurrency: in the last second an answer took at most {longest:d} ms as a rule, "
-    "half of what a full queue takes"
+    "concurrency: in the last second the usual answer took at most {longest:d} ms, half of the "
+    "time with a full queue"
 )
 def step_took(context, longest):
     times = sorted(taken for at, taken in context.load.served if at > context.load.now - 1.0)
@@ -208,7 +208,7 @@
     context.limit = ConcurrencyLimit(SLOTS, count)
 
 
-@given("concurrency: the network takes {network:d} ms there and back")
+@given("concurrency: the round trip of the network takes {network:d} ms")
 def step_network(context, network):
     context.limit.connected(network / MS_PER_S)
 
@@ -225,7 +225,7 @@
         _answer(context, int(milliseconds) / MS_PER_S)
 
 
-@when("concurrency: {count:d} answers take {time:d} ms while all of the limit is used")
+@when("concurrency: {count:d} answers take {time:d} ms while the limit is fully used")
 def step_many_answers(context, count, time):
     for _ in range(count):
         _answer(context, time / MS_PER_S)
--- a/features/steps/planned_stop_steps.py
+++ b/features/steps/planned_stop_steps.py
@@ -1,4 +1,4 @@
-"""Steps on proxies that are told to stop while clients go on asking."""
+"""Steps on proxies and controllers that are stopped while clients use them."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 BEFORE_STOP_S = 0.5
 STOP_GAP_S = 0.4
 STOP_LIMIT_S = 6.0
-"""What the platform gives a process between SIGTERM and SIGKILL."""
-LOOK_S = 0.02
+"""Seconds between SIGTERM and SIGKILL on the platform."""
+POLL_INTERVAL_S = 0.02
 START_LIMIT_S = 15
 LEADS = "event=serving-as-leader"
 ONE_STOPS, BOTH_STOP = PROXIES[:1], PROXIES
@@ -93,7 +93,7 @@
                 process.kill()
             if ip not in context.ended_at and process.poll() is not None:
                 context.ended_at[ip] = time.monotonic()
-        await curio.sleep(LOOK_S)
+        await curio.sleep(POLL_INTERVAL_S)
     for task in tasks:
         await task.join()
 
@@ -119,15 +119,15 @@
     assert not broken, (len(broken), broken[:5], lines[:8])
 
 
-@then("planned stop: every session that was asked for got an answer")
-def step_heard(context):
+@then("planned stop: every session request got an answer")
+def step_sessions_answered(context):
     first_signal = min(context.signalled_at.values())
-    unheard = [
+    unanswered_sessions = [
         f"{asked_at - first_signal:.3f} s after the signal"
         for client in context.clients
-        for asked_at in client.unheard
+        for asked_at in client.unanswered_sessions
     ]
-    assert not unheard, (len(unheard), unheard[:8])
+    assert not unanswered_sessions, (len(unanswered_sessions), unanswered_sessions[:8])
 
 
 @then("planned stop: some were answered after the signal")
@@ -136,7 +136,7 @@
     assert any(told.sent_at > first_signal and told.is_whole for told in _told(context))
 
 
-@then("planned stop: no client was told of a failure that it could not know of")
+@then("planned stop: no client got a failure without having been told its cause")
 def step_known(context):
     surprised = [told for told in _told(context) if told.words.startswith("MALFORMED")]
     assert not surprised, surprised[:5]
@@ -177,7 +177,7 @@
     context.signalled_at = time.monotonic()
     end = context.signalled_at + 2 * STOP_LIMIT_S
     while not is_gone() and time.monotonic() < end:
-        await curio.sleep(LOOK_S)
+        await curio.sleep(POLL_INTERVAL_S)
     context.controller_ended_at = time.monotonic()
     for task in tasks:
         await task.join()
@@ -202,7 +202,7 @@
     assert context.controller_ended_at - context.signalled_at < STOP_LIMIT_S
 
 
-@when("planned stop: the first proxy is started anew, and gets SIGHUP while it loads")
+@when("planned stop: the first proxy is restarted, and gets SIGHUP while it loads")
 def step_early_hang_up(context):
     deployment = context.deployment
     ip = PROXIES[0]
@@ -213,14 +213,14 @@
 
 
 async def _wait_until_it_listens(ip: str) -> None:
-    """Return once a process takes connections, which it does before its modules are loaded."""
+    """Return once a process accepts connections, which it does before its modules are loaded."""
     while True:
         async with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
             try:
                 await sock.connect((ip, FRONT_PORT))
                 return
             except OSError:
-                await curio.sleep(LOOK_S / 10)
+                await curio.sleep(POLL_INTERVAL_S / 10)
 
 
 @when("planned stop: the first proxy gets SIGTERM each {pause_ms:d} ms until it ends")
--- a/features/support/agreement_lease_scripts.py
+++ b/features/support/agreement_lease_scripts.py
@@ -1,8 +1,8 @@
-"""Scripts of faults aimed at reads and the lease: cut-off leaders, late messages, clocks."""
+"""Fault scripts for reads and the lease: cut-off leaders, late messages, clocks."""
 
 from __future__ import annotations
 
-from features.support.agreement_script_tools import accept, read_stale, require
+from features.support.agreement_script_tools import propose_accepted, read_at_old_leader, require
 from features.support.agreement_world import ScriptedCluster, is_leading
 from limedyke.core.agreement.commands import (
     ReadReady,
@@ -19,17 +19,17 @@
 
 CUT_OFF_ROUNDS = 30
 LONGEST_DELAY_S = 0.002
-"""A message takes up to twice the delay of the scripts: the other voter is free by then."""
+"""A message takes up to twice the scripts' delay; after that the other voter may vote."""
 LONGEST_ROUND_S = 0.165
-"""Spans a heartbeat round: an interval of 0.1 s, found due at a tick of 0.04 to 0.06 s."""
+"""Longer than a heartbeat round: the interval of 0.1 s is checked at ticks of 0.04 to 0.06 s."""
 LONG_S = 1e6
-"""Keeps a machine from standing for election, as a timeout that another one runs out before."""
+"""Added to an election deadline to keep a machine from standing for election."""
 
 
 def late_answers(cluster: ScriptedCluster) -> None:
-    """Answers to heartbeats arrive late, and then the leader is cut off."""
-    leader = cluster.lead("a")
-    cluster.holds = lambda sender, to, message: (
+    """Responses to heartbeats arrive late, and then the leader is cut off."""
+    leader = cluster.make_leader("a")
+    cluster.should_hold = lambda sender, to, message: (
         to is leader and isinstance(message, AppendEntriesResponse)
     )
     cluster.cut_one_way(leader, *cluster.others(leader))
@@ -42,86 +42,86 @@
     cluster.machines["c"].agreement._state.election_deadline += LONG_S
     cluster.release_held()
     cluster.cut(leader)
-    read_stale(cluster, leader)
+    read_at_old_leader(cluster, leader)
 
 
 def cut_off_candidate(cluster: ScriptedCluster) -> None:
-    """One that lost sight of the leader stands for election at one that still hears it."""
-    leader = cluster.lead("a")
-    hearing, blind = cluster.machines["b"], cluster.machines["c"]
-    cluster.cut(leader, blind)
-    cluster.run_until(lambda: _stands_within(blind, 0.02))
-    cluster.cut(leader, hearing)
-    read_stale(cluster, leader)
+    """A voter without contact to the leader asks for the vote of one that has contact."""
+    leader = cluster.make_leader("a")
+    connected, isolated = cluster.machines["b"], cluster.machines["c"]
+    cluster.cut(leader, isolated)
+    cluster.run_until(lambda: _stands_within(isolated, 0.02))
+    cluster.cut(leader, connected)
+    read_at_old_leader(cluster, leader)
 
 
 def _stands_within(machine, seconds: float) -> bool:
     return machine.agreement._state.election_deadline - machine.local_now < seconds
 
 
-def _heard_within(machine, seconds: float) -> bool:
+def _contacted_within(machine, seconds: float) -> bool:
     return machine.local_now - machine.agreement._state.leader_contact_at < seconds
 
 
 def restarted_voter(cluster: ScriptedCluster) -> None:
     """The only voter that confirms the lease restarts while the other stands for election."""
-    leader = cluster.lead("a")
-    hearing, blind = cluster.machines["b"], cluster.machines["c"]
-    cluster.cut(leader, blind)
-    cluster.run_until(lambda: _stands_within(blind, 0.05) and _heard_within(hearing, 0.01))
+    leader = cluster.make_leader("a")
+    connected, isolated = cluster.machines["b"], cluster.machines["c"]
+    cluster.cut(leader, isolated)
+    cluster.run_until(lambda: _stands_within(isolated, 0.05) and _contacted_within(connected, 0.01))
     cluster.run(0.003)
-    cluster.cut(leader, hearing)
-    hearing.kill_process()
-    hearing.start()
-    read_stale(cluster, leader)
+    cluster.cut(leader, connected)
+    connected.kill_process()
+    connected.start()
+    read_at_old_leader(cluster, leader)
 
 
 def former_leader_asks(cluster: ScriptedCluster, restarts: bool = False) -> None:
-    """The first leader, blind now, asks the only voter that confirms the lease of its successor.
+    """An isolated former leader asks the only voter that confirms the current leader's lease.
 
-    :param restarts: that voter restarts first
+    :param restarts: whether that voter restarts first
     """
-    blind = cluster.first_leader()
-    hearing, successor = cluster.others(blind)
-    leader = cluster.lead(successor.name)
-    cluster.cut(leader, blind)
-    blind.agreement._state.election_deadline += LONG_S
+    isolated = cluster.first_leader()
+    connected, successor = cluster.others(isolated)
+    leader = cluster.make_leader(successor.name)
+    cluster.cut(leader, isolated)
+    isolated.agreement._state.election_deadline += LONG_S
     cluster.run(cluster.world.options.timing.election_timeout_minimum_s)
-    cluster.run_until(lambda: _heard_within(hearing, 0.01))
+    cluster.run_until(lambda: _contacted_within(connected, 0.01))
     cluster.run(0.003)
-    cluster.cut(leader, hearing)
-    blind.agreement._state.election_deadline = blind.local_now
+    cluster.cut(leader, connected)
+    isolated.agreement._state.election_deadline = isolated.local_now
     if restarts:
-        hearing.kill_process()
-        hearing.start()
-    read_stale(cluster, leader)
+        connected.kill_process()
+        connected.start()
+    read_at_old_leader(cluster, leader)
 
 
 def former_leader_asks_after_restart(cluster: ScriptedCluster) -> None:
-    """The same, the voter having restarted: it must know whom it vouched for last."""
+    """The same after the voter restarted: it must know which leader it acknowledged last."""
     former_leader_asks(cluster, restarts=True)
 
 
 def cut_off_leader_reads(cluster: ScriptedCluster) -> None:
-    """A leader is silently cut off, and read at until it steps down."""
-    leader = cluster.lead("a")
-    accept(cluster, leader)
+    """A leader is cut off without notice, and reads are sent to it until it steps down."""
+    leader = cluster.make_leader("a")
+    propose_accepted(cluster, leader)
     cluster.cut(leader)
-    read_stale(cluster, leader)
+    read_at_old_leader(cluster, leader)
 
 
 def new_leader_reads(cluster: ScriptedCluster) -> None:
-    """A new leader gets its lease from a follower that is behind, and is read at.
+    """A new leader gets its lease from a follower that is behind, and receives reads.
 
-    It does not know yet that what it holds is committed, and has not applied it.
+    It does not know yet that its entries are committed, and has not applied them.
     """
-    old, behind, new = cluster.lead("a"), cluster.machines["b"], cluster.machines["c"]
+    old, behind, new = cluster.make_leader("a"), cluster.machines["b"], cluster.machines["c"]
     base_index = old.agreement.last_index
     cluster.cut(behind)
-    cluster.holds = lambda sender, to, message: (
+    cluster.should_hold = lambda sender, to, message: (
         isinstance(message, AppendEntriesRequest) and message.commit_index > base_index
     )
-    accept(cluster, old)
+    propose_accepted(cluster, old)
     old.power_loss()
     cluster.held.clear()
     cluster.heal()
@@ -130,16 +130,16 @@
 
 
 def drifting_clocks(cluster: ScriptedCluster) -> None:
-    """A leader with a slow clock is cut off from followers with fast ones."""
+    """A leader with a slow clock is cut off from followers with fast clocks."""
     cut_off_leader_reads(cluster)
 
 
 def late_message_of_old_term(cluster: ScriptedCluster) -> None:
     """A heartbeat of an old term arrives when its sender leads again, in a newer term."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     other = cluster.machines["b"]
     cluster.run(CUT_OFF_ROUNDS * cluster.world.options.timing.heartbeat_interval_s)
-    cluster.holds = lambda sender, to, message: (
+    cluster.should_hold = lambda sender, to, message: (
         sender is leader and to is other and isinstance(message, AppendEntriesRequest)
     )
     cluster.run(0.25)
@@ -147,31 +147,31 @@
     cluster.release_held()
     leader.handle(LeadershipTransferRequested())
     cluster.run_until(lambda: not is_leading(leader))
-    cluster.lead("a")
+    cluster.make_leader("a")
     cluster._deliver(*late)
     cluster.run(0.01)
     cluster.cut(leader)
-    read_stale(cluster, leader)
+    read_at_old_leader(cluster, leader)
 
 
 def handing_over(cluster: ScriptedCluster) -> None:
-    """A leader hands over, and hears nothing any more of its successor's candidacy."""
-    leader = cluster.lead("a")
+    """A leader hands over, and receives nothing about its successor's candidacy."""
+    leader = cluster.make_leader("a")
     for other in cluster.others(leader):
         cluster.cut_one_way(other, leader)
     leader.handle(LeadershipTransferRequested())
     cluster.run(0.0025)
     cluster.cut(leader)
-    read_stale(cluster, leader)
+    read_at_old_leader(cluster, leader)
 
 
 def silent_cut(cluster: ScriptedCluster) -> None:
-    """A leader is cut off without notice: it neither accepts nor serves, and says so."""
-    leader = cluster.lead("a")
+    """A leader is cut off without notice: it must step down and refuse proposals and reads."""
+    leader = cluster.make_leader("a")
     cluster.cut(leader)
     number = cluster.start_proposal(leader)
     cluster.run(cluster.world.options.timing.election_timeout_maximum_s * 1.5)
-    require(not is_leading(leader), "it still believes that it leads")
+    require(not is_leading(leader), "it still claims to lead")
     reasons = [stepped_down.reason for stepped_down in leader.step_downs]
     require(reasons[-1:] == [StepDownReason.NO_QUORUM], f"step-downs {reasons}")
     refusal = leader.answers.get(number)
@@ -180,4 +180,4 @@
     require(not isinstance(cluster.read(leader), ReadReady), "it serves reads")
     stamp = leader.agreement.quorum_stamp
     cluster.run(1.0)
-    require(leader.agreement.quorum_stamp == stamp, "its stamp goes on")
+    require(leader.agreement.quorum_stamp == stamp, "its quorum stamp still advances")
--- a/limedyke/controller/leading/leader_calls.py
+++ b/limedyke/controller/leading/leader_calls.py
@@ -1,4 +1,4 @@
-"""Carries out calls from outside, here on the leader."""
+"""Executes external calls on the leader."""
 
 from __future__ import annotations
 
@@ -25,12 +25,13 @@
 from limedyke.result_codes import Failure, ResultCode
 
 VOTERS_WAIT_S = 6.0
-"""A declaration is not acknowledged by fewer voters than wanted, unless there seem to be no more
-controllers: then it is, after the leader has led for so long."""
+"""A declaration is acknowledged only once the wanted number of voters is reached. After a
+leadership of this length it is acknowledged by fewer voters, as there seem to be no more
+controllers."""
 EVENTS = EventLog("calls")
 
 
-def failed(failure: Failure) -> CallAnswer:
+def failure_answer(failure: Failure) -> CallAnswer:
     """Return a failure as the answer to a call."""
     return CallAnswer(code=failure.code.value.number, detail=str(failure))
 
@@ -38,8 +39,8 @@
 class LeaderCalls:
     """Answers calls while this controller leads.
 
-    :param leader: gives the service while this controller leads, else None
-    :param voters_wanted: how many voters must hold a declaration's log before it is acknowledged
+    :param leader: gives the leader service while this controller leads, else None
+    :param voters_wanted: number of voters required before the first declaration is acknowledged
     :param advertise: internal address of this controller (``ip:port``)
     :param metrics: counts the calls
     """
@@ -59,26 +60,30 @@
         self._advertise = advertise
 
     async def answer_forwarded(self, call: Call) -> CallAnswer:
-        """Answer a call of another controller; one that waits to be added is always answered."""
+        """Answer a call that another controller forwarded.
+
+        A controller that waits to be added is always answered, also by a controller that does not
+        lead.
+        """
         if not isinstance(call, AwaitMembershipCall):
             return await self.answer(call)
         began_at = boot_seconds()
-        answer = self._replica.welcome(call)
+        answer = self._replica.answer_membership_call(call)
         if self._replica.leads:
             self._counts.answered(call, answer, began_at, boot_seconds())
         return answer
 
     async def answer(self, call: Call) -> CallAnswer:
-        """Carry out a call, or say that this controller does not lead."""
+        """Execute a call, or answer that this controller does not lead."""
         service = self._leader()
         if service is None or not self._replica.leads:
-            return failed(Failure(ResultCode.NOT_LEADER))
+            return failure_answer(Failure(ResultCode.NOT_LEADER))
         began_at = boot_seconds()
-        answer = await self._carry_out(call, service)
+        answer = await self._execute(call, service)
         self._counts.answered(call, answer, began_at, boot_seconds())
         return answer
 
-    async def _carry_out(self, call: Call, service: LeaderService) -> CallAnswer:
+    async def _execute(self, call: Call, service: LeaderService) -> CallAnswer:
         match call:
             case DeclareCall():
                 return await self._declare(call, service)
@@ -92,13 +97,15 @@
     async def _declare(self, call: DeclareCall, service: LeaderService) -> CallAnswer:
         if not self._has_enough_voters(service):
             detail = "Too few controllers hold the log yet."
-            return failed(Failure(ResultCode.NOT_LEADER, detail, 200))
+            return failure_answer(Failure(ResultCode.NOT_LEADER, detail, 200))
         entry = DeclareVersion(call.version, call.document, call.declaration)
         result = await self._replica.propose(entry)
         if isinstance(result, Err):
-            return failed(result.err_value)
+            return failure_answer(result.err_value)
         if not isinstance(result.ok_value, DeclaredVersion):
-            return failed(Failure(ResultCode.CONTROL_OUTCOME_UNKNOWN, "The leadership was lost."))
+            return failure_answer(
+                Failure(ResultCode.CONTROL_OUTCOME_UNKNOWN, "The leadership was lost.")
+            )
         in_force = result.ok_value.version
         EVENTS.info("declaration", version=call.version, in_force=in_force)
         return CallAnswer(version=in_force, leader=self._advertise)
@@ -114,29 +121,31 @@
     async def _read(self) -> CallAnswer:
         confirmed = await self._replica.confirm_leadership()
         if isinstance(confirmed, Err):
-            return failed(confirmed.err_value)
+            return failure_answer(confirmed.err_value)
         state = self._replica.state
         return CallAnswer(version=state.version, document=state.document, leader=self._advertise)
 
     async def _announce(self, call: AnnounceCall, service: LeaderService) -> CallAnswer:
-        book = service.decisions.announcements
-        entry = book.announced(call.member, call.sequence, boot_seconds())
+        announcements = service.decisions.announcements
+        entry = announcements.announced(call.member, call.sequence, boot_seconds())
         return await self._record(entry)
 
     async def _withdraw(self, call: WithdrawCall, service: LeaderService) -> CallAnswer:
-        book = service.decisions.announcements
-        entry = book.withdrawn(call.identity, boot_seconds(), call.started_at_ms)
+        announcements = service.decisions.announcements
+        entry = announcements.withdrawn(call.identity, boot_seconds(), call.started_at_ms)
         return await self._record(entry)
 
     async def _record(self, entry: ControlEntry | None) -> CallAnswer:
-        """Acknowledge a member's word once a quorum holds what it changes."""
+        """Record a change of members; acknowledge it once a quorum holds it."""
         if entry is None:
             return CallAnswer(leader=self._advertise)
         result = await self._replica.propose(entry)
         if isinstance(result, Err):
-            return failed(result.err_value)
+            return failure_answer(result.err_value)
         if result.ok_value is None:
-            return failed(Failure(ResultCode.CONTROL_OUTCOME_UNKNOWN, "The leadership was lost."))
+            return failure_answer(
+                Failure(ResultCode.CONTROL_OUTCOME_UNKNOWN, "The leadership was lost.")
+            )
         members = ",".join(f"{m.identity}:{m.state}" for m in entry.members)
         EVENTS.info("members-recorded", members=members, removed=",".join(entry.removed))
         return CallAnswer(leader=self._advertise)
--- a/limedyke/controller/status_report.py
+++ b/limedyke/controller/status_report.py
@@ -1,4 +1,4 @@
-"""The state of the whole system, as the leading controller sees it."""
+"""The state of the whole system as the leading controller knows it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 class StatusReport:
     """Builds the answer to ``StatusRequest``.
 
-    :param addresses: gives the addresses of the controllers by name
+    :param addresses: the addresses of the controllers by name
     """
 
     def __init__(self, replica: Replica, addresses: dict[str, str]) -> None:
@@ -21,7 +21,7 @@
         self._addresses = addresses
 
     def report(self, request_id: str, service: LeaderService) -> Status:
-        """Return the present state; called only under the leader lease."""
+        """Return the current state; call this only under the leader lease."""
         replica = self._replica
         state = replica.state
         now = boot_seconds()
@@ -44,17 +44,17 @@
         rows += [self._controller(learner, "learner") for learner in configuration.learners]
         known = {identity.name for identity in configuration.voters + configuration.learners}
         known_identities = set(configuration.voters + configuration.learners)
-        for name, stranger in sorted(self._replica.strangers.items()):
-            if stranger not in known_identities:
+        for name, non_member in sorted(self._replica.non_members.items()):
+            if non_member not in known_identities:
                 role = "replaced-disk" if name in known else "waiting"
-                rows.append(self._controller(stranger, role))
+                rows.append(self._controller(non_member, role))
         return tuple(rows)
 
     def _controller(self, identity: ControllerIdentity, role: str) -> ControllerStatus:
         agreement = self._replica.agreement
         is_self = identity == agreement.identity
         progress = agreement.member_progress().get(identity)
-        heard_at = progress.heard_at if progress else 0.0
+        last_response_at = progress.last_response_at if progress else 0.0
         return ControllerStatus(
             name=identity.name,
             address=self._addresses.get(identity.name, ""),
@@ -62,7 +62,7 @@
             matched_index=agreement.last_index
             if is_self
             else (progress.match_index if progress else 0),
-            silent_ms=0 if is_self else int((boot_seconds() - heard_at) * 1000),
+            silent_ms=0 if is_self else int((boot_seconds() - last_response_at) * 1000),
         )
 
     def _proxy(self, record: ProxyRecord, service: LeaderService, now: float) -> ProxyStatus:
--- a/limedyke/core/sessions/client_exchange.py
+++ b/limedyke/core/sessions/client_exchange.py
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CancelOther:
+class CancelRunningUnit:
     """Cancel the unit that the connection with this cancel key is running."""
 
     process_id: int
@@ -114,4 +114,4 @@
 
 Event = ClientMessages | AnswerReceived | UnitEnded | Tick | LeaveRequested
 SessionCommand = SendToClient | RunUnit | AbandonUnit | CloseClient
-LoginCommand = SendToClient | StartTls | CancelOther | LoginSucceeded | CloseClient
+LoginCommand = SendToClient | StartTls | CancelRunningUnit | LoginSucceeded | CloseClient
--- a/limedyke/core/sessions/session_settings.py
+++ b/limedyke/core/sessions/session_settings.py
@@ -32,7 +32,7 @@
         """Total length of the current names and values, in characters."""
         return sum(len(name) + len(value) for name, value in self._current.items())
 
-    def to_replay(self) -> tuple[SessionSetting, ...]:
+    def settings_to_replay(self) -> tuple[SessionSetting, ...]:
         """Return the settings to apply to a connection before a new transaction."""
         if self._replay is None:
             items = sorted(self._committed.items())
--- a/limedyke/proxy/forwarding/link.py
+++ b/limedyke/proxy/forwarding/link.py
@@ -1,4 +1,4 @@
-"""The sending side of one forwarding link: streams, credit and a sign of life."""
+"""The sending side of a forwarding link: streams, flow control and liveness probes."""
 
 from __future__ import annotations
 
@@ -25,17 +25,18 @@
 from limedyke.transport.link import Link, LinkClosedError
 
 SILENCE_BEFORE_PROBE_S = 0.15
-"""Longer than most units take, so that calm links are rarely probed."""
+"""Silence, in seconds, after which a busy link is probed. It is longer than most units take, so
+that healthy links are rarely probed."""
 SILENCE_LIMIT_S = 1.5
-LOOK_INTERVAL_S = 0.05
-LOADED_MACHINE_S = 0.15
-"""How much later than usual a link may tell something when a machine at either end is short of
-processor time."""
-HEARD_LATELY_S = 0.1
-"""A link that told something so lately isn't asked for a sign of life."""
+"""Silence, in seconds, after which a busy link is closed."""
+CHECK_INTERVAL_S = 0.05
+LOADED_MACHINE_DELAY_S = 0.15
+"""Allowed delay, in seconds, when a machine at either end is short of processor time."""
+RECENT_RECEIVE_S = 0.1
+"""A link that received something within this time, in seconds, needs no probe before a unit."""
 RECENT_USE_S = 1.0
-"""A link used this lately stays open above the limit of links too: its caller may not have got
-to use it yet, and closing it would only have it dialled again."""
+"""A link used within this time, in seconds, stays open even above the limit of links: its caller
+may not have used it yet, and would have to dial it again."""
 
 
 NEVER = float("inf")
@@ -44,7 +45,7 @@
 
 
 class NotSent(enum.Enum):
-    """What a unit's end is when no byte of it went to the home proxy: it surely did not run."""
+    """Returned for a unit of which no byte was sent, so that it certainly did not run."""
 
     NOT_SENT = "not-sent"
 
@@ -53,34 +54,34 @@
 
 
 async def no_relay(chunk: AnswerChunk) -> None:
-    """Take no part of an answer: a statement's answer comes whole in its end."""
+    """Ignore parts of an answer; the answer to a statement is contained in its end message."""
 
 
 class _Stream:
-    """A unit under way at the other end."""
+    """A unit that runs at the other end."""
 
     def __init__(self) -> None:
         self.received: deque[AnswerChunk | ForwardedEnd] = deque()
         self.wake = curio.Event()
 
 
-CROWDED_S = 0.3
-"""A home proxy that left a unit to others is asked last for so long: about the time in which the
-requests that wait there are served."""
+CROWDED_FOR_S = 0.3
+"""Seconds for which a home proxy that refused a unit as crowded is chosen last: about the time in
+which it serves its waiting requests."""
 
 
 class HomeLink:
     """A link to a home proxy, shared by many units.
 
-    Only this end closes a link for being idle: at the other end a unit may be on its way.
+    Only this end closes an idle link. The other end can't tell whether a unit is in flight.
 
-    :param idle_limit_s: the link closes when nothing was on it for so long
-    :param travel_s: how long a message and its answer travel, as its opening took
+    :param idle_limit_s: the link is closed after this idle time
+    :param travel_s: network round trip time, measured while the link was opened
     :param zone: of the home proxy
-    :ivar transactions: open transactions that are on the home proxy, by this proxy's numbers
-    :ivar used_at: when a unit or transaction was last on it (``time.monotonic()`` seconds)
-    :ivar is_draining: the home proxy has said that it takes no new work
-    :ivar crowded_until: the home proxy has said that much waits there; others are asked first
+    :ivar transactions: numbers of this proxy's transactions that are open at the home proxy
+    :ivar used_at: when a unit or transaction last used it (``time.monotonic()`` seconds)
+    :ivar is_draining: the home proxy reported that it accepts no new work
+    :ivar crowded_until: until when the home proxy counts as crowded; others are preferred
     """
 
     def __init__(
@@ -104,55 +105,56 @@
         self._link = link
         self._outbox = Outbox(link)
         self._streams: dict[int, _Stream] = {}
-        self._number_of: dict[int, int] = {}
+        self._stream_by_unit: dict[int, int] = {}
         self._numbers = itertools.count(1)
-        self._heard_at = time.monotonic()
-        self._received_at = float("-inf")
-        self._signed = curio.Event()
-        self._owes_sign = False
+        self._last_heard_at = time.monotonic()
+        self._last_received_at = float("-inf")
+        self._heard = curio.Event()
+        self._is_marked_silent = False
 
     @property
     def takes_work(self) -> bool:
-        """Whether new work belongs here: the other end neither drains nor owes a sign of life."""
+        """Whether new work may be sent here: the other end is neither draining nor silent."""
         return not (self.is_silent or self.is_draining)
 
     @property
     def is_silent(self) -> bool:
-        """Whether the other end owes a sign of life: what is sent there may never be answered."""
-        if not self._streams or self._owes_sign:
-            return self._owes_sign
-        return time.monotonic() - self._heard_at > self.longest_silence_s
+        """Whether the other end has been silent for too long and may be dead."""
+        if not self._streams or self._is_marked_silent:
+            return self._is_marked_silent
+        return time.monotonic() - self._last_heard_at > self.longest_silence_s
 
     @property
     def is_crowded(self) -> bool:
-        """Whether the home proxy has said lately that much waits there."""
+        """Whether the home proxy recently refused a unit as crowded."""
         return time.monotonic() < self.crowded_until
 
-    def was_crowded(self) -> None:
-        """Note that the home proxy left a unit to another one."""
-        self.crowded_until = time.monotonic() + CROWDED_S
+    def mark_crowded(self) -> None:
+        """Record that the home proxy refused a unit as crowded."""
+        self.crowded_until = time.monotonic() + CROWDED_FOR_S
 
     @property
     def is_busy(self) -> bool:
-        """Whether a unit or an open transaction is on the link, or one was given up unheard."""
-        return bool(self._streams or self.transactions or self._owes_sign)
+        """Whether a unit or open transaction uses the link, or it is marked silent and probed."""
+        return bool(self._streams or self.transactions or self._is_marked_silent)
 
     @property
     def longest_silence_s(self) -> float:
-        """For how long a link with work on it may tell nothing while both ends work.
+        """The longest silence, in seconds, of a busy link while both ends work.
 
-        It is asked for a sign of life after a silence, which takes one more look and its travel.
+        It is the time until the probe, one check interval, the round trip of the probe, and the
+        delay of a loaded machine.
         """
-        return SILENCE_BEFORE_PROBE_S + LOOK_INTERVAL_S + self.travel_s + LOADED_MACHINE_S
+        return SILENCE_BEFORE_PROBE_S + CHECK_INTERVAL_S + self.travel_s + LOADED_MACHINE_DELAY_S
 
     async def close_if_idle(self) -> None:
-        """Close the link unless something is on it; no unit starts on it from now on."""
+        """Close the link unless it is busy; no further unit can start on it."""
         if not self.is_busy:
             self.closed = True
             await self._work_began.set()
 
     async def run(self) -> None:
-        """Serve the link until it closes, falls silent, or was idle for its limit."""
+        """Serve the link until it closes, falls silent or reaches its idle limit."""
         try:
             async with curio.TaskGroup(wait=any) as tasks:
                 await tasks.spawn(self._receive)
@@ -162,7 +164,7 @@
             self.closed = True
             self._outbox.closed = True
             await self._link.close()
-            await self._signed.set()
+            await self._heard.set()
             for stream in list(self._streams.values()):
                 await stream.wake.set()
 
@@ -170,15 +172,15 @@
         try:
             while True:
                 message = await self._link.receive()
-                self._heard_at = self._received_at = time.monotonic()
-                self._owes_sign = False
-                if not self._signed.is_set():
-                    await self._signed.set()
-                await self._take(message)
+                self._last_heard_at = self._last_received_at = time.monotonic()
+                self._is_marked_silent = False
+                if not self._heard.is_set():
+                    await self._heard.set()
+                await self._handle(message)
         except LinkClosedError:
             return
 
-    async def _take(self, message: object) -> None:
+    async def _handle(self, message: object) -> None:
         if not isinstance(message, AnswerChunk | AnswerEnd | StatementUnitEnd):
             return
         stream = self._streams.get(message.stream)
@@ -189,7 +191,7 @@
     async def _watch(self) -> None:
         """Return when the link is to be closed.
 
-        An idle link costs no look: there may be hundreds.
+        Idle links are not polled, as there may be hundreds.
         """
         while not self.closed:
             if self.is_busy and await self._fell_silent():
@@ -203,49 +205,52 @@
                 await curio.ignore_after(idle_left_s, self._work_began.wait)
 
     async def _fell_silent(self) -> bool:
-        """Tell whether the other end gave no sign of life before all work on it had ended."""
+        """Watch a busy link; tell whether it fell silent before its work had ended.
+
+        Probes are sent during a silence, and pauses of this process don't count as silence.
+        """
         sequence = 0
-        looked_at = self._heard_at = time.monotonic()
+        looked_at = self._last_heard_at = time.monotonic()
         while self.is_busy:
-            await curio.sleep(LOOK_INTERVAL_S)
+            await curio.sleep(CHECK_INTERVAL_S)
             now = time.monotonic()
-            own_pause = max(0.0, now - looked_at - 2 * LOOK_INTERVAL_S)
+            own_pause = max(0.0, now - looked_at - 2 * CHECK_INTERVAL_S)
             looked_at = now
-            self._heard_at += own_pause
-            silence = now - self._heard_at
+            self._last_heard_at += own_pause
+            silence = now - self._last_heard_at
             if silence > SILENCE_LIMIT_S:
                 return self.is_busy
             if silence > SILENCE_BEFORE_PROBE_S:
                 sequence += 1
-                await self._put_quietly(LinkProbe(sequence, False))
+                await self._put_if_open(LinkProbe(sequence, False))
         return False
 
-    async def _put_quietly(self, message: object) -> None:
+    async def _put_if_open(self, message: object) -> None:
         try:
             await self._outbox.put(message)
         except LinkClosedError:
             return
 
-    async def gives_sign(self) -> bool:
-        """Ask for a sign of life, unless one came lately; tell whether it came in time.
+    async def answers_probe(self) -> bool:
+        """Probe the other end unless it was heard recently; tell whether it answered in time.
 
-        It takes a journey there and back, which is well spent before a unit that must not be sent
-        twice, while there is reason to think that others have been cut off or lost power too.
+        The round trip is worth its cost before a unit that must not be sent twice, while other home
+        proxies seem to have failed.
         """
-        if time.monotonic() - self._received_at < HEARD_LATELY_S:
+        if time.monotonic() - self._last_received_at < RECENT_RECEIVE_S:
             return True
-        self._signed.clear()
+        self._heard.clear()
         self.used_at = time.monotonic()
-        await self._put_quietly(LinkProbe(0, False))
-        await curio.ignore_after(self.travel_s + LOADED_MACHINE_S, self._signed.wait)
-        if self._signed.is_set() and not self.closed:
+        await self._put_if_open(LinkProbe(0, False))
+        await curio.ignore_after(self.travel_s + LOADED_MACHINE_DELAY_S, self._heard.wait)
+        if self._heard.is_set() and not self.closed:
             return True
-        await self._note_no_sign()
+        await self._mark_silent()
         return False
 
-    async def _note_no_sign(self) -> None:
-        """Have the link asked on until it tells something, or closes; nothing new is sent there."""
-        self._owes_sign = True
+    async def _mark_silent(self) -> None:
+        """Mark the link as silent: it is probed until it receives data or closes, and not used."""
+        self._is_marked_silent = True
         if not self._work_began.is_set():
             await self._work_began.set()
 
@@ -253,23 +258,23 @@
         self,
         unit: ForwardedUnit,
         relay: Relay = no_relay,
-        patience_s: float = NEVER,
+        silence_limit_s: float = NEVER,
         limit_s: float = NEVER,
     ) -> ForwardedEnd | NotSent | None:
         """Run a unit at the home proxy.
 
-        :param patience_s: how long the link may tell nothing at all before the unit is given up
-        :param limit_s: how long it is waited for at most
-        :returns: None when the link closed before its end, or fell silent: it may have run.
-            ``NOT_SENT`` when no byte of it was sent, nor will be
+        :param silence_limit_s: longest silence of the link before the unit is abandoned
+        :param limit_s: timeout in seconds
+        :returns: the end of its answer. None when there was none in time, so that the unit may have
+            run; ``NOT_SENT`` when no byte of it was or will be sent
         """
         number = next(self._numbers)
         stream = _Stream()
         began_at = time.monotonic()
         if not self.is_busy:
-            self._heard_at = began_at
+            self._last_heard_at = began_at
         self._streams[number] = stream
-        self._number_of[unit.stream] = number
+        self._stream_by_unit[unit.stream] = number
         self.used_at = time.monotonic()
         sent = dataclasses.replace(unit, stream=number)
         ended = False
@@ -279,7 +284,9 @@
             if not await self._queue(sent):
                 ended = True
                 return NOT_SENT
-            end = await self._follow(number, stream, unit, relay, patience_s, began_at + limit_s)
+            end = await self._await_end(
+                number, stream, unit, relay, silence_limit_s, began_at + limit_s
+            )
             ended = end is not None or self.closed
             if end is None and self._outbox.withdraw(sent):
                 ended = True
@@ -290,30 +297,30 @@
             return None
         finally:
             del self._streams[number]
-            del self._number_of[unit.stream]
+            del self._stream_by_unit[unit.stream]
             self.used_at = time.monotonic()
             if not ended:
-                self._owes_sign = self._received_at <= began_at
-                await self._put_quietly(AbandonWork(number, unit.transaction, False))
+                self._is_marked_silent = self._last_received_at <= began_at
+                await self._put_if_open(AbandonWork(number, unit.transaction, False))
 
     async def _queue(self, unit: ForwardedUnit) -> bool:
-        """Queue a unit to be sent; False when the link has closed, so that it never will be."""
+        """Queue a unit to be sent; return False when the link has closed, so that it never is."""
         try:
             await self._outbox.put(unit)
         except LinkClosedError:
             return False
         return True
 
-    async def _follow(
+    async def _await_end(
         self,
         number: int,
         stream: _Stream,
         unit: ForwardedUnit,
         relay: Relay,
-        patience_s: float,
+        silence_limit_s: float,
         until: float,
     ) -> ForwardedEnd | None:
-        heard_at = time.monotonic()
+        last_heard_at = time.monotonic()
         while True:
             while stream.received:
                 message = stream.received.popleft()
@@ -324,8 +331,8 @@
             if self.closed:
                 return None
             stream.wake.clear()
-            heard_at = max(heard_at, self._heard_at)
-            left_s = min(heard_at + patience_s, until) - time.monotonic()
+            last_heard_at = max(last_heard_at, self._last_heard_at)
+            left_s = min(last_heard_at + silence_limit_s, until) - time.monotonic()
             if left_s <= 0.0:
                 return None
             if left_s == NEVER:
@@ -335,18 +342,18 @@
 
     def carries(self, work: AbandonWork) -> bool:
         """Tell whether a unit or its transaction is at this home proxy."""
-        return work.stream in self._number_of or work.transaction in self.transactions
+        return work.stream in self._stream_by_unit or work.transaction in self.transactions
 
     async def abandon(self, work: AbandonWork) -> None:
-        """Pass an abandon or cancel request on."""
-        number = self._number_of.get(work.stream, 0)
-        await self._put_quietly(AbandonWork(number, work.transaction, work.cancel_only))
+        """Forward a request to abandon or cancel work."""
+        number = self._stream_by_unit.get(work.stream, 0)
+        await self._put_if_open(AbandonWork(number, work.transaction, work.cancel_only))
 
 
 def surplus_links(links: Iterable[HomeLink], limit: int) -> list[HomeLink]:
     """Return the links to close so that at most ``limit`` stay, the least recently used first.
 
-    Links with work on them, or used a moment ago, stay even when that leaves more than the limit.
+    Busy and recently used links stay open even above the limit.
     """
     opened = [link for link in links if not link.closed]
     recent = time.monotonic() - RECENT_USE_S
--- a/limedyke/proxy/statements/members/member_queries.py
+++ b/limedyke/proxy/statements/members/member_queries.py
@@ -1,4 +1,4 @@
-"""Asks members of themselves: their state, their position, and which of them leads."""
+"""Queries members for their status, their log position and their role."""
 
 from __future__ import annotations
 
@@ -22,74 +22,74 @@
 )
 
 SEARCH_INTERVAL_S = 0.15
-SEARCH_TIMEOUT_S = 0.5
+STATUS_QUERY_TIMEOUT_S = 0.5
 
 
-class MemberQuestions:
-    """Questions of the proxy's own, on connections of the pools."""
+class MemberQueries:
+    """The proxy's own status queries, sent on pooled connections."""
 
     async def prove_position(self, group: StatementGroup, limit_s: float) -> LogPosition | None:
-        """Ask the member that should lead for its position, now; None when it does not lead."""
+        """Query the presumed primary for its position; None when it is not proven to be primary."""
         pool = group.primary_pool()
         if pool is None:
             return None
         asked_at = time.monotonic()
         if not pool.observed.takes_work(asked_at) or pool.observed.seems_silent(asked_at):
-            await self.look_for_primary(group)
+            await self.search_primary(group)
             return None
         status = await self.ask_status(pool, min(limit_s, 1.0))
         if status is None:
             return None
-        await group.says_role(pool.observed.record.identity, status.is_primary)
+        await group.record_reported_role(pool.observed.record.identity, status.is_primary)
         if not status.is_primary:
-            await self.look_for_primary(group)
+            await self.search_primary(group)
             return None
         group.learn_position(pool.observed.record.identity, asked_at, status.position, proven=True)
         return status.position
 
     async def learn_position(self, group: StatementGroup) -> None:
-        """Ask the recorded primary for its position, in the background and once at a time."""
+        """Query the presumed primary's position in the background, one query at a time."""
         pool = group.primary_pool()
-        if pool is None or group.position_is_asked:
+        if pool is None or group.is_position_query_running:
             return
-        group.position_is_asked = True
+        group.is_position_query_running = True
         await curio.spawn(self._learn_position, group, pool, daemon=True)
 
     async def _learn_position(self, group: StatementGroup, pool: MemberPool) -> None:
         asked_at = time.monotonic()
         try:
-            status = await self.ask_status(pool, SEARCH_TIMEOUT_S)
+            status = await self.ask_status(pool, STATUS_QUERY_TIMEOUT_S)
         finally:
-            group.position_is_asked = False
+            group.is_position_query_running = False
         if status is not None and status.is_primary:
             identity = pool.observed.record.identity
             group.learn_position(identity, asked_at, status.position, proven=True)
 
-    async def look_for_primary(self, group: StatementGroup) -> None:
-        """Ask the members, in the background, which of them leads; not too often."""
+    async def search_primary(self, group: StatementGroup) -> None:
+        """Query the members' roles in the background, at a limited rate."""
         now = time.monotonic()
-        if now < group.next_search_at:
+        if now < group.next_primary_search_at:
             return
-        group.next_search_at = now + SEARCH_INTERVAL_S
+        group.next_primary_search_at = now + SEARCH_INTERVAL_S
         for pool in list(group.pools.values()):
             if pool.observed.is_ready and pool.limit > 0:
                 await curio.spawn(self._ask_role, group, pool, daemon=True)
 
     async def _ask_role(self, group: StatementGroup, pool: MemberPool) -> None:
         asked_at = time.monotonic()
-        status = await self.ask_status(pool, SEARCH_TIMEOUT_S)
+        status = await self.ask_status(pool, STATUS_QUERY_TIMEOUT_S)
         if status is None:
             return
         identity = pool.observed.record.identity
         if status.is_primary:
             group.learn_position(identity, asked_at, status.position, proven=True)
-        await group.says_role(identity, status.is_primary)
+        await group.record_reported_role(identity, status.is_primary)
 
     async def ask_status(self, pool: MemberPool, limit_s: float) -> MemberStatus | None:
-        """Ask a member what it says of itself; None when it doesn't answer.
+        """Return a member's status; None when it doesn't answer.
 
-        It is asked on any connection, also one that may have gone silent by itself: no answer only
-        makes the member seem to hang, and ``examine`` finds out.
+        The query uses any connection, even one that may be dead itself. A missing answer therefore
+        only marks the member as silent; ``diagnose_silence`` then finds the cause.
         """
         try:
             connection = await pool.getconn(ANY_TENANT, {}, 0, limit_s)
@@ -99,54 +99,54 @@
             return None
         except (ConnectionLostError, ConnectionRefusedByMemberError, PoolClosedError):
             return None
-        return await self._ask_on(pool, connection, limit_s)
+        return await self._query_on(pool, connection, limit_s)
 
-    async def examine(self, pool: MemberPool, limit_s: float) -> None:
-        """Find out whether a member that seems to hang does, or connections to it are silent.
+    async def diagnose_silence(self, pool: MemberPool, limit_s: float) -> None:
+        """Find out whether a silent member hangs, or only connections to it are dead.
 
-        It is asked on a new connection. When it answers there, connections that are idle and were
-        not heard from since have to answer too, or are closed.
+        The member is queried on a new connection. If it answers there, idle connections without
+        data since the silence began are queried too, and closed if they don't answer.
         """
         now = time.monotonic()
         silent_since = now - pool.observed.silent_s(now)
         try:
-            connection = await pool.getconn_new()
+            connection = await pool.open_new_connection()
         except (ConnectionLostError, ConnectionRefusedByMemberError, PoolClosedError):
             return
         if connection is None:
             await pool.connector.check_address(limit_s)
             return
         asked_at = time.monotonic()
-        await self._ask_on(pool, connection, limit_s)
+        await self._query_on(pool, connection, limit_s)
         if connection.is_closed:
             pool.observed.answer_timed_out(asked_at, limit_s, time.monotonic())
             return
-        await self._check_unheard(pool, pool.take_unheard(silent_since), limit_s)
+        await self._check_silent_connections(pool, pool.check_out_silent(silent_since), limit_s)
 
-    async def _check_unheard(
-        self, pool: MemberPool, unheard: list[MemberConnection], limit_s: float
+    async def _check_silent_connections(
+        self, pool: MemberPool, silent_connections: list[MemberConnection], limit_s: float
     ) -> None:
-        """Ask on idle connections one after the other, as each question takes a slot.
+        """Query idle connections one after the other, as each query takes a slot of the member.
 
-        Once one is silent the others are closed unasked: they went silent together.
+        Once one doesn't answer, the others are closed too: they probably broke together.
         """
-        while unheard:
-            connection = unheard.pop()
-            await self._ask_on(pool, connection, limit_s)
+        while silent_connections:
+            connection = silent_connections.pop()
+            await self._query_on(pool, connection, limit_s)
             if connection.is_closed:
                 break
-        for connection in unheard:
+        for connection in silent_connections:
             await connection.close()
             await pool.putconn(connection)
 
-    async def _ask_on(
+    async def _query_on(
         self, pool: MemberPool, connection: MemberConnection, limit_s: float
     ) -> MemberStatus | None:
-        """Ask on a connection, which is given back; it is closed when no answer comes."""
+        """Query on a connection and return it to the pool; it is closed if no answer comes."""
         observed = pool.observed
         asked_at = time.monotonic()
         observed.sent(asked_at)
-        pool.sent_on(connection)
+        pool.release_reservation(connection)
         is_answered = True
         status = None
         try:
--- a/limedyke/proxy/statements/planned_stop.py
+++ b/limedyke/proxy/statements/planned_stop.py
@@ -1,4 +1,4 @@
-"""The planned stop of a proxy: takes less and less, answers all that it took, then leaves."""
+"""The planned stop of a proxy: it accepts less work in phases and answers all it has accepted."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from limedyke.proxy.forwarding.server import ForwardingServer
 from limedyke.proxy.statements.clients.client import StatementClient
 
-LOOK_INTERVAL_S = 0.05
+CHECK_INTERVAL_S = 0.05
 MS_PER_S = 1_000
 EVENTS = EventLog("proxy")
 
 
 class ForwardedWork(Protocol):
-    """What other proxies have here."""
+    """The work of other proxies on this one."""
 
     @property
     def has_work(self) -> bool:
@@ -27,23 +27,23 @@
 
     @property
     def under_way(self) -> int:
-        """How many units run here."""
+        """Number of running units."""
 
 
 class LeavingControl(Protocol):
     """Tells the controllers that the proxy leaves."""
 
     async def leave(self, done: bool) -> None:
-        """Tell that the proxy drains, or is done with it."""
+        """Report that the proxy is draining, or has finished."""
 
 
 class PlannedStop:
     """Takes one proxy out of service.
 
-    :param state: told to all that takes work
-    :param clients: connected at present
-    :param forwarded: what other proxies have here
-    :param home_server: serves their links
+    :param state: shared with all components that accept work
+    :param clients: the connected clients
+    :param forwarded: the work of other proxies on this one
+    :param home_server: serves the links of other proxies
     """
 
     def __init__(
@@ -61,47 +61,47 @@
         self._control = control
 
     async def run(self, whole_s: float, close_listener: Callable[[], Awaitable[None]]) -> None:
-        """Leave service.
+        """Run the planned stop.
 
         :param whole_s: seconds until the process is killed
-        :param close_listener: lets no new client in
+        :param close_listener: stops accepting clients
         """
         began_at = time.monotonic()
         schedule = self._state.begin(began_at, whole_s)
         EVENTS.info("stopping", clients=len(self._clients))
         await curio.sleep(schedule.idle_sessions_until - began_at)
-        await self._serve_until(schedule.statements_until)
+        await self._wait_until(schedule.statements_until)
         await close_listener()
         self._home_server.draining = True
-        await self._serve_until(schedule.answers_until)
-        cut = await self._answer_the_rest(schedule)
+        await self._wait_until(schedule.answers_until)
+        interrupted = await self._interrupt_remaining(schedule)
         await self._control.leave(done=True)
         EVENTS.info(
             "stopped",
             clients=len(self._clients),
             under_way=sum(client.is_serving for client in self._clients),
             forwarded_under_way=self._forwarded.under_way,
-            cut_short=cut,
+            cut_short=interrupted,
             elapsed_ms=int((time.monotonic() - began_at) * MS_PER_S),
         )
 
-    async def _serve_until(self, until: float) -> None:
-        """Serve what is here until a moment or the end of it; idle sessions end meanwhile."""
+    async def _wait_until(self, until: float) -> None:
+        """Wait until a moment, or until no work is left; end sessions as the schedule says."""
         while self._clients or self._forwarded.has_work:
             if time.monotonic() >= until:
                 return
             for client in list(self._clients):
-                await client.leave()
-            await curio.sleep(LOOK_INTERVAL_S)
+                await client.end_if_due()
+            await curio.sleep(CHECK_INTERVAL_S)
 
-    async def _answer_the_rest(self, schedule: StopSchedule) -> int:
-        """Have each statement under way told what is known of it; return how many there were."""
-        cut = 0
+    async def _interrupt_remaining(self, schedule: StopSchedule) -> int:
+        """Answer each running statement with its known outcome; return how many there were."""
+        interrupted = 0
         for client in list(self._clients):
-            cut += client.is_serving
-            await client.cut_short()
+            interrupted += client.is_serving
+            await client.interrupt_statement()
         while self._clients and time.monotonic() < schedule.ends_at:
             for client in list(self._clients):
-                await client.leave()
-            await curio.sleep(LOOK_INTERVAL_S)
-        return cut
+                await client.end_if_due()
+            await curio.sleep(CHECK_INTERVAL_S)
+        return interrupted
--- a/limedyke/proxy/unit_once_write.py
+++ b/limedyke/proxy/unit_once_write.py
@@ -1,4 +1,4 @@
-"""Runs a write with a once-key outside of a transaction: key row and write commit together."""
+"""Runs a write with a once-key outside a transaction: key row and write commit together."""
 
 from __future__ import annotations
 
@@ -20,17 +20,18 @@
     OnceKey,
     key_failure,
 )
-from limedyke.proxy.unit_write import Executed, UnitWrite, settle_commit
+from limedyke.proxy.unit_write import Executed, UnitWrite, verify_commit
 from limedyke.result_codes import Failure, ResultCode
 
 ATTEMPTS = 2
+"""The second attempt follows the creation of the key table."""
 
 
 class UnitOnceWrite(UnitWrite):
     """One write with a once-key.
 
-    ``BEGIN`` and the key row are sent ahead of the batch; when the key was used
-    before, the row fails and the batch with it.
+    ``BEGIN`` and the insert of the key row are sent before the batch.  If the key was
+    used before, the insert fails and aborts the transaction, and with it the batch.
     """
 
     def __init__(self, context: UnitContext) -> None:
@@ -64,23 +65,27 @@
             return Executed(exchange, Failure(ResultCode.OUTCOME_UNKNOWN, str(error)))
 
     def _once_plan(self) -> ExchangePlan:
-        ahead = frames.query(f"BEGIN; {self._key.insert_sql}")
+        preamble = frames.query(f"BEGIN; {self._key.insert_sql}")
         return ExchangePlan(
-            None, check_after=True, is_write=True, ahead=ahead, read_ahead=self._read_insert
+            None,
+            check_after=True,
+            is_write=True,
+            preamble=preamble,
+            read_preamble=self._read_insert,
         )
 
     async def _read_insert(self, connection: BackendConnection) -> None:
-        self._inserted = await connection.read_own()
+        self._inserted = await connection.read_internal_result()
 
     async def _create_table(self, connection: BackendConnection) -> None:
-        """Create the table, after a batch that failed for want of it and did not run."""
+        """Create the key table, after a batch did not run because the table is missing."""
         await self._context.execute(connection, "ROLLBACK")
         await self._context.execute(connection, CREATE_TABLE_SQL)
 
     async def _complete(
         self, connection: BackendConnection, exchange: Exchange, term: int
     ) -> Executed:
-        """Commit the key row and the write, or roll a failed write back."""
+        """Commit the key row and the write, or roll back a failed write."""
         reader = exchange.reader
         if reader.sqlstate:
             await self._context.execute(connection, "ROLLBACK")
@@ -95,7 +100,7 @@
     async def _repeat(
         self, connection: BackendConnection, exchange: Exchange, term: int
     ) -> Executed:
-        """Answer as the first attempt was answered, once that is sure to be kept."""
+        """Repeat the answer of the first attempt, after a commit that proves it is durable."""
         found = await self._key.look_up(connection)
         if found.state is not KeyState.REPEATED:
             return Executed(exchange, key_failure(found))
@@ -118,11 +123,11 @@
             connection.broken = True
             detail = f"commit answered {answer.sqlstate}: {answer.message}"
             return Executed(exchange, Failure(ResultCode.OUTCOME_UNKNOWN, detail))
-        failure, position = await settle_commit(self._context, connection, term)
+        failure, position = await verify_commit(self._context, connection, term)
         return Executed(exchange, failure, position)
 
     def _failure_of(self, exchange: Exchange, failure: Failure) -> Failure:
-        """Tell what is known when the batch was not answered whole: it was not committed."""
+        """Return the failure for an incomplete answer; COMMIT has not been sent at that point."""
         if failure.code is ResultCode.FEATURE_NOT_SUPPORTED:
             return failure
         if may_end_transaction(self._unit):
