--- a/limedyke/core/sql/statement_classifier.py
+++ b/limedyke/core/sql/statement_classifier.py
@@ -169,11 +169,16 @@
         if "ON COMMIT DROP" not in " ".join(words):
             return commands.refused("temporary tables, other than ON COMMIT DROP")
         return StatementProfile(Access.WRITE)
-    leaves_state = words[0] in ("INSERT", "UPDATE", "DELETE", "MERGE") and _calls_unknown(tokens)
+    leaves_state = words[0] in (
+        "INSERT",
+        "UPDATE",
+        "DELETE",
+        "MERGE",
+    ) and _has_unknown_call_after_table(tokens)
     return StatementProfile(Access.WRITE, leaves_state=leaves_state)
 
 
-def _calls_unknown(tokens: list[Token]) -> bool:
+def _has_unknown_call_after_table(tokens: list[Token]) -> bool:
     """Like ``has_unknown_call``, but skips the table name in INSERT INTO table (...)."""
     start = 0
     for index, token in enumerate(tokens[:8]):
