--- a/limedyke/core/sessions/local_commands.py
+++ b/limedyke/core/sessions/local_commands.py
@@ -1,4 +1,4 @@
-"""Commands that the proxy answers itself: its own settings, prepared names, DISCARD."""
+"""Commands that the proxy executes itself: its own settings, DEALLOCATE, DISCARD."""
 
 from __future__ import annotations
 
@@ -40,10 +40,10 @@
 
 
 class LocalCommands:
-    """Carries out the commands of one batch.
+    """Executes the local commands of one batch.
 
-    :ivar notices: sent before the answer
-    :ivar statuses: sent before ReadyForQuery
+    :ivar notices: NoticeResponse messages to send before the answer
+    :ivar statuses: ParameterStatus messages to send before ReadyForQuery
     """
 
     __slots__ = ("_context", "_moment", "_state", "notices", "statuses")
@@ -58,34 +58,35 @@
     def admit(
         self, profile: StatementProfile, opens: Callable[[], bool] | None = None
     ) -> StatementProfile:
-        """Return the profile that holds in the present transaction state.
+        """Return the profile that applies in the current transaction state.
 
-        The end of a lost transaction, or of none, is answered here; after a lost
-        transaction nothing else is taken.
+        The proxy itself answers COMMIT and ROLLBACK when the transaction is lost or none is
+        open.  In a lost transaction it rejects every other statement.
 
-        :param opens: tells whether the batch opens a transaction itself, which an end may mean
+        :param opens: tells whether the batch itself opens a transaction, which a COMMIT or
+            ROLLBACK in the batch may then end
         """
         state = self._state
         if profile.changes:
             self._check_size(profile)
-        if state.is_in_transaction and not state.lost:
+        if state.is_in_transaction and not state.transaction_lost:
             self._check_read_only(profile)
             return profile
         effects = [change.effect for _, change in profile.changes]
         ends = profile.statements == 1 and len(effects) == 1 and effects[0] in TRANSACTION_ENDS
-        if ends and not state.lost and opens is not None and opens():
+        if ends and not state.transaction_lost and opens is not None and opens():
             return profile
         if ends:
-            command = "ROLLBACK" if state.lost else effects[0].name
+            command = "ROLLBACK" if state.transaction_lost else effects[0].name
             changes = ((0, SessionChange(Effect.ROLLBACK)),)
             return replace(profile, changes=changes, local=True, command=command)
-        if not state.lost:
+        if not state.transaction_lost:
             return profile
         message = "current transaction is aborted, commands ignored until end of transaction block"
         raise BatchError(error_response(FAILED_TRANSACTION, message))
 
     def _check_size(self, profile: StatementProfile) -> None:
-        """Refuse settings that would make the session too large to keep and to replay."""
+        """Reject settings that would make the session too large to store and to replay."""
         added = sum(
             len(change.name) + len(change.value)
             for _, change in profile.changes
@@ -96,16 +97,19 @@
             raise BatchError(error_response(CONFIGURATION_LIMIT, message))
 
     def _check_read_only(self, profile: StatementProfile) -> None:
-        """Refuse to make a transaction writable that was routed as a read-only one."""
+        """Reject making a transaction writable after it was routed as read-only."""
         if not self._state.read_only:
             return
         if any(change.name == READ_ONLY_MODE for _, change in profile.changes):
-            detail = "Not carried: making a read-only transaction writable."
+            detail = "Not supported: making a read-only transaction writable."
             failure = Failure(ResultCode.FEATURE_NOT_SUPPORTED, detail)
             raise BatchError(failure_response(failure))
 
     def run(self, change: SessionChange) -> str:
-        """Carry out a command and return the value to show; raises ``BatchError``."""
+        """Execute a command and return the value to show.
+
+        :raises BatchError: when the command fails
+        """
         match change.effect:
             case Effect.SET | Effect.RESET:
                 self._set(change.name, change.value)
@@ -121,13 +125,13 @@
                 self._end_transaction()
         return ""
 
-    def take_setting(self, name: str, value: str) -> Failure | None:
-        """Take one of the proxy's own settings; returns why a token is refused.
+    def apply_setting(self, name: str, value: str) -> Failure | None:
+        """Apply one of the proxy's own settings; return the failure if a token is rejected.
 
-        :raises BatchError: for another invalid value
+        :raises BatchError: for any other invalid value
         """
         if name == SESSION_TOKEN_SETTING:
-            return self._take_token(value)
+            return self._apply_token(value)
         if name == BARRIER:
             self._set_barrier(value)
             return None
@@ -139,7 +143,7 @@
         return None
 
     def token_status(self) -> bytes:
-        """Return the ParameterStatus with the session's token; empty while no key is declared."""
+        """Return the ParameterStatus with the session token; empty if no key is declared."""
         token = self._token()
         return parameter_status(SESSION_TOKEN_SETTING, token) if token else b""
 
@@ -150,7 +154,7 @@
         self._state.end_transaction()
 
     def _set(self, name: str, value: str) -> None:
-        failure = self.take_setting(name, value)
+        failure = self.apply_setting(name, value)
         if failure is not None:
             raise BatchError(failure_response(failure))
         if name == SESSION_NAME_SETTING and value:
@@ -158,7 +162,7 @@
         if name in (SESSION_TOKEN_SETTING, SESSION_NAME_SETTING, BARRIER):
             self.statuses += self.token_status()
 
-    def _take_token(self, token: str) -> Failure | None:
+    def _apply_token(self, token: str) -> Failure | None:
         if not token:
             return None
         state = self._state
--- a/limedyke/core/sessions/session_opening.py
+++ b/limedyke/core/sessions/session_opening.py
@@ -1,4 +1,4 @@
-"""Opens the session of a client that has proved who it is."""
+"""Opens the session of an authenticated client."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from limedyke.core.sessions.session_settings import SessionSettings
 from limedyke.core.sessions.session_state import SessionState
 from limedyke.core.sessions.session_token import TokenOwner
-from limedyke.core.sql.statement_commands import PROTECTED_SETTINGS, is_carried_encoding
+from limedyke.core.sql.statement_commands import PROTECTED_SETTINGS, is_supported_encoding
 from limedyke.messages.work import TransactionStatus
 from limedyke.postgres.client_messages import (
     READY,
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelKey:
-    """What a client must present to cancel: sent as BackendKeyData."""
+    """The key that a client must present to cancel; sent as BackendKeyData."""
 
     process_id: int
     secret: int = field(repr=False)
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenedSession:
-    """A new session and what to send first."""
+    """A new session and the first messages to send to the client."""
 
     session: Session
     greeting: bytes
@@ -49,22 +49,22 @@
 def open_session(
     context: SessionContext, login: LoginSucceeded, key: CancelKey, moment: Moment
 ) -> Result[OpenedSession, bytes]:
-    """Open a session, or return the ErrorResponse that refuses its startup settings."""
+    """Open a session, or return the ErrorResponse that rejects its startup settings."""
     own, others = _split_settings(login.settings)
     encoding = others.get("client_encoding", "utf8")
-    if not is_carried_encoding(encoding):
+    if not is_supported_encoding(encoding):
         failure = Failure(ResultCode.FEATURE_NOT_SUPPORTED, f"client encoding {encoding}")
         return Err(failure_response(failure, "FATAL"))
     protected = [name for name in others if name in PROTECTED_SETTINGS]
     if protected:
-        detail = f"Not carried: {PROTECTED_SETTINGS[protected[0]]}."
+        detail = f"Not supported: {PROTECTED_SETTINGS[protected[0]]}."
         return Err(failure_response(Failure(ResultCode.FEATURE_NOT_SUPPORTED, detail), "FATAL"))
     owner = TokenOwner(login.tenant, login.group, login.user)
     state = SessionState(owner, SessionSettings(replayed_settings(others)))
     state.last_active = moment.now
     local = LocalCommands(context, state, moment)
     try:
-        failure = _take_own_settings(local, own)
+        failure = _apply_own_settings(local, own)
     except BatchError as error:
         return Err(as_fatal(error.answer))
     if failure is not None:
@@ -87,9 +87,9 @@
     return own, others
 
 
-def _take_own_settings(local: LocalCommands, settings: dict[str, str]) -> Failure | None:
+def _apply_own_settings(local: LocalCommands, settings: dict[str, str]) -> Failure | None:
     for name, value in settings.items():
-        failure = local.take_setting(name, value)
+        failure = local.apply_setting(name, value)
         if failure is not None:
             return failure
     return None
--- a/limedyke/core/sql/sql_prepare.py
+++ b/limedyke/core/sql/sql_prepare.py
@@ -1,4 +1,4 @@
-"""PREPARE and EXECUTE as SQL: the statement is kept by the session and renamed."""
+"""Plans SQL PREPARE and EXECUTE: the session keeps the statement under a name of its own."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     ParsedStatement,
     StatementNames,
     check_refusal,
-    check_room,
+    check_statement_limits,
     statement_name,
     with_body,
 )
@@ -56,9 +56,9 @@
 def plan_prepare(
     change: SessionChange, profile: StatementProfile, names: StatementNames
 ) -> BatchPlan:
-    """Plan PREPARE: the back end parses the statement; the answer is the proxy's.
+    """Plan PREPARE: the back end parses the statement, and the proxy answers the client.
 
-    :param profile: that of the prepared statement
+    :param profile: profile of the prepared statement
     """
     check_refusal(profile)
     if profile.local or profile.changes:
@@ -67,7 +67,7 @@
     if name in names.named:
         message = f'prepared statement "{change.name}" already exists'
         raise BatchError(error_response(DUPLICATE_STATEMENT, message))
-    check_room(names, 0, len(change.value))
+    check_statement_limits(names, 0, len(change.value))
     unknown = [name for name in change.types if name not in TYPE_OIDS]
     if unknown:
         _refuse(f"PREPARE with a parameter of type {unknown[0]}")
@@ -81,7 +81,7 @@
 
 
 def plan_execute(message: ClientMessage, change: SessionChange, names: StatementNames) -> BatchPlan:
-    """Plan EXECUTE: the client's name is replaced by that at the back end."""
+    """Plan EXECUTE: the client's statement name is replaced by the name at the back end."""
     known = names.named.get(change.name.encode())
     if known is None or known.prepared is None:
         text = f'prepared statement "{change.name}" does not exist'
