--- a/limedyke/cli/__init__.py
+++ b/limedyke/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The ``limedyke`` command: starts the processes, and speaks to controllers for operators."""
+"""The ``limedyke`` command: starts the processes and sends operator requests to controllers."""
--- a/limedyke/cli/command.py
+++ b/limedyke/cli/command.py
@@ -1,6 +1,6 @@
-"""How an operator's command runs: one request to the leader, an answer printed, an exit status.
+"""Runs an operator command: sends a request to the leader, prints the answer, sets the exit status.
 
-Exit statuses: 0 done, 1 refused, 2 settings, arguments or declaration invalid, 3 outcome unknown.
+Exit statuses: 0 done; 1 refused; 2 invalid settings, arguments or declaration; 3 outcome unknown.
 """
 
 from __future__ import annotations
@@ -28,11 +28,14 @@
 DEFAULT_SETTINGS = "operator.yaml"
 TEXT = "text"
 JSON = "json"
-_INVALID = (ResultCode.SETTINGS_INVALID, ResultCode.DECLARATION_INVALID)
+_INVALID_INPUT_CODES = (ResultCode.SETTINGS_INVALID, ResultCode.DECLARATION_INVALID)
 
 
 class CommandFailedError(Exception):
-    """A command ends with a failure; the exit status follows from its code."""
+    """Raised when a command fails; the failure's result code determines the exit status.
+
+    :param refused: the controller's refusal; None when the command failed on this machine
+    """
 
     def __init__(self, failure: Failure, refused: Refused | None = None) -> None:
         super().__init__(str(failure))
@@ -45,19 +48,19 @@
         code = self.failure.code
         if code is ResultCode.CONTROL_OUTCOME_UNKNOWN:
             return EXIT_UNKNOWN
-        is_own = self.refused is None and code in _INVALID
-        return EXIT_SETTINGS_INVALID if is_own else EXIT_REFUSED
+        is_local = self.refused is None and code in _INVALID_INPUT_CODES
+        return EXIT_SETTINGS_INVALID if is_local else EXIT_REFUSED
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorCommand:
-    """A command whose arguments have been read, and which has not run yet.
+    """A parsed command that has not run yet.
 
-    The command line is checked to its end before anything is sent: a mistyped flag must not
-    be noticed only after a plan has been confirmed without it.
+    The whole command line is checked before anything is sent, so that a mistyped flag is reported
+    before a plan is confirmed without it.
 
-    :param action: asks the controllers and returns the answer
-    :param output: text or json
+    :param action: sends the request to the controllers and returns the answer
+    :param output: output format, ``text`` or ``json``
     """
 
     action: Callable[[], object]
@@ -65,9 +68,9 @@
 
 
 def run_command(result: object) -> object:
-    """Run a command that fire has read; anything else is fire's to print.
+    """Run a command that fire has parsed; return any other value for fire to print.
 
-    :raises SystemExit: with the status of a failure
+    :raises SystemExit: when the command fails, with its exit status
     """
     if not isinstance(result, OperatorCommand):
         return result
@@ -83,10 +86,10 @@
 
 
 def ask(settings: str, request: object) -> object:
-    """Return the leader's answer to a request.
+    """Send a request to the leader and return its answer.
 
-    :param settings: the operator's settings file; empty for the default one
-    :raises CommandFailedError: when it is refused, or was not answered
+    :param settings: path of the operator's settings file; empty for the default
+    :raises CommandFailedError: when the request is refused or not answered
     """
     path = Path(settings or os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS))
     loaded = load_operator(path)
@@ -102,9 +105,9 @@
 
 
 def whole_number(flag: str, value: object) -> int:
-    """Return the value of a flag as a whole number.
+    """Return the value of a flag as an integer.
 
-    :raises CommandFailedError: when it is none
+    :raises CommandFailedError: when the value is not an integer
     """
     try:
         return int(str(value))
