--- a/limedyke/cli/declaration_commands.py
+++ b/limedyke/cli/declaration_commands.py
@@ -1,4 +1,4 @@
-"""The operator's commands on the declared configuration: plan, confirm, status, history."""
+"""Operator commands that change or show the declared configuration and its state."""
 
 from __future__ import annotations
 
@@ -31,22 +31,22 @@
 from limedyke.scram_verifier import make_verifier
 from limedyke.settings.base import EXIT_SETTINGS_INVALID
 
-PRESENT_REVISION = "-1"
+CURRENT_REVISION = "-1"
 DEFAULT_HISTORY = "50"
 
 
 def plan(
-    *files: str, settings: str = "", output: str = TEXT, base_revision: str = PRESENT_REVISION
+    *files: str, settings: str = "", output: str = TEXT, base_revision: str = CURRENT_REVISION
 ) -> OperatorCommand:
-    """Show what would change if the declaration in FILES came into force.
+    """Show what would change if the declaration in FILES took effect.
 
     Nothing takes effect before ``limedyke confirm PLAN``.
 
     Args:
-        files: YAML files that together are the whole declaration
+        files: YAML files that together contain the whole declaration
         settings: operator's settings file; default $LIMEDYKE_OPERATOR_SETTINGS or operator.yaml
         output: text or json
-        base_revision: refuse unless this revision is in force; -1 for the present one
+        base_revision: refuse unless this revision is in force; -1 for the current one
     """
 
     def action() -> Plan:
@@ -68,20 +68,21 @@
 ) -> OperatorCommand:
     """Bring a plan into force.
 
-    A confirmation whose answer was lost may be sent again; it gets its first answer.
+    A confirmation whose answer was lost may be sent again with the same request id; it returns
+    the original answer.
 
     Args:
-        plan_id: the id that ``limedyke plan`` showed
+        plan_id: the id shown by ``limedyke plan``
         settings: operator's settings file
         output: text or json
-        request_id: an id of the caller's own, to send the same request again
+        request_id: request id chosen by the caller, for resending the same request
     """
     request = ConfirmRequest(request_id or new_request_id(), plan_id)
     return OperatorCommand(lambda: ask(settings, request), output)
 
 
 def status(settings: str = "", output: str = TEXT) -> OperatorCommand:
-    """Show the controllers, the proxies and who lags, and the primary of each group.
+    """Show the controllers, the proxies and their lag, and the primary of each group.
 
     Args:
         settings: operator's settings file
@@ -91,10 +92,10 @@
 
 
 def load(group: str = "", settings: str = "", output: str = TEXT) -> OperatorCommand:
-    """Show who uses each member of a group: its limit, and what each proxy has and wants of it.
+    """Show each group member's connection limit, and how many connections each proxy has and wants.
 
     Args:
-        group: the group; all when left out
+        group: the group; all groups when omitted
         settings: operator's settings file
         output: text or json
     """
@@ -104,10 +105,10 @@
 def history(
     limit: str = DEFAULT_HISTORY, settings: str = "", output: str = TEXT
 ) -> OperatorCommand:
-    """Show who confirmed what, the newest last.
+    """Show the confirmed plans and who confirmed them, newest last.
 
     Args:
-        limit: how many entries
+        limit: maximum number of entries
         settings: operator's settings file
         output: text or json
     """
@@ -129,10 +130,10 @@
 
 
 def verifier(user: str) -> None:
-    """Print a SCRAM verifier for a user of a tenant; the password comes from standard input.
+    """Print a SCRAM verifier for a tenant's user; the password is read from standard input.
 
     Args:
-        user: name of the user, for the prompt only
+        user: name of the user, shown in the prompt only
     """
     if sys.stdin.isatty():
         password = getpass.getpass(f"Password of {user}: ")
