--- a/limedyke/cli/main.py
+++ b/limedyke/cli/main.py
@@ -1,4 +1,4 @@
-"""The command ``limedyke``."""
+"""Entry point of the ``limedyke`` command."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     overrides: dict[str, object],
     run: Callable[[CommonSettings, Secrets], int],
 ) -> None:
-    """Load settings and secrets, run a process and exit with its status."""
+    """Load settings and secrets, run the process and exit with its status."""
     loaded = load_settings(model, Path(settings), overrides)
     if isinstance(loaded, Err):
         print(loaded.err_value, file=sys.stderr)
@@ -49,7 +49,7 @@
 
 
 def _program(module: str, name: str) -> Callable[[CommonSettings, Secrets], int]:
-    """Return the function that runs a kind of process; the other kind is not loaded."""
+    """Return the function that runs one kind of process, importing only that kind's modules."""
     return getattr(import_module(module), name)
 
 
@@ -76,17 +76,17 @@
 
 
 def explain(request: str, *files: str) -> None:
-    """Print what event logs say of a request, and the decisions shortly before.
+    """Print the event log lines of a request, and the decisions shortly before it.
 
     Args:
         request: the request's id, as its client sent it
-        files: logs of the processes; standard input without any
+        files: log files of the processes; standard input when omitted
     """
     print(as_explanation(explain_request(request, _log_lines(files))))
 
 
 def _log_lines(files: tuple[str, ...]) -> Iterator[tuple[str, str]]:
-    """Give the lines of files with their names; bytes that are no text don't stop it."""
+    """Yield each line with the name of its file; undecodable bytes are replaced."""
     if not files:
         yield from (("-", line) for line in sys.stdin)
     for name in files:
@@ -123,9 +123,9 @@
 
 
 def as_text(arguments: list[str]) -> list[str]:
-    """Quote the values among an operator's arguments, so that fire takes each as text.
+    """Quote the values in an operator's arguments so that fire reads each as a string.
 
-    It reads ``1e5`` as a number otherwise, and names and ids may look so.
+    Without quotes, fire parses a name or id such as ``1e5`` as a number.
     """
     return [_quoted(argument) for argument in arguments]
 
