--- a/limedyke/cli/operation_commands.py
+++ b/limedyke/cli/operation_commands.py
@@ -1,4 +1,4 @@
-"""The operator's commands that move work: drain, switchover, and changes of the controllers."""
+"""Operator commands that move load: drain, cap, switchover and controller membership changes."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 
 def drain(item: str, settings: str = "", output: str = TEXT, undo: bool = False) -> OperatorCommand:
-    """Plan that a proxy, or a member of a group, leaves service; confirm the plan to do it.
+    """Plan to take a proxy or a group member out of service; confirm the plan to do it.
 
-    The same can be declared: ``draining: true`` of a proxy, ``leaving: true`` of a member.
+    The declaration can say the same: ``draining: true`` on a proxy, ``leaving: true`` on a member.
 
     Args:
         item: the name of a proxy, or GROUP/MEMBER
         settings: operator's settings file
         output: text or json
-        undo: plan that it comes back into service
+        undo: plan to return it to service
     """
 
     def action() -> Plan:
@@ -63,7 +63,7 @@
 
 
 def _check_proxy(declared: Declaration, name: str, settings: str) -> None:
-    """Refuse a name that is neither a known proxy nor declared."""
+    """Raise CommandFailedError when a proxy is neither declared nor known to the controllers."""
     if name in [intent.name for intent in declared.proxies]:
         return
     status = ask(settings, StatusRequest(new_request_id()))
@@ -78,16 +78,16 @@
     output: str = TEXT,
     undo: bool = False,
 ) -> OperatorCommand:
-    """Plan a bound on the connections to a member, over all proxies; confirm the plan to set it.
+    """Plan a limit on all proxies' connections to a member; confirm the plan to set it.
 
-    Statements run on connections, so it bounds how many run there at once.
+    Each running statement occupies a connection, so this also limits concurrent statements.
 
     Args:
         member: GROUP/MEMBER, a member that announces itself
-        connections: the bound; each home proxy keeps one, however low it is
+        connections: the limit; each home proxy keeps one connection even if the limit is lower
         settings: operator's settings file
         output: text or json
-        undo: plan that only the group's limit bounds them
+        undo: plan to remove the limit, so that only the group's limit applies
     """
     bound = None if undo else whole_number("connections", connections)
 
@@ -100,7 +100,7 @@
 
 
 def _with_cap(declared: Declaration, item: str, bound: int | None) -> Declaration:
-    """Return the declaration with a member's cap set, or lifted where there is no bound."""
+    """Return the declaration with a member's cap set, or removed when ``bound`` is None."""
     group_name, _, member = item.partition("/")
     groups = {group.name: group for group in declared.groups}
     group = groups.get(group_name)
@@ -133,22 +133,22 @@
     output: str = TEXT,
     request_id: str = "",
 ) -> OperatorCommand:
-    """Move the primary of a group to another member; without --yes only say what would happen.
+    """Move the primary of a group to another member; without --yes only show what would happen.
 
     Args:
         group: the group
-        member: the new primary; the most advanced other member when left out
-        yes: do it
+        member: the new primary; defaults to the most advanced other member
+        yes: carry out the change
         settings: operator's settings file
         output: text or json
-        request_id: an id of the caller's own, to send the same request again
+        request_id: request id chosen by the caller, for resending the same request
     """
     request = SwitchoverRequest(request_id or new_request_id(), group, member, bool(yes))
     return OperatorCommand(lambda: ask(settings, request), output)
 
 
 class ControllerCommands:
-    """Change the controllers themselves, one at a time."""
+    """Change the set of controllers, one at a time."""
 
     def add(
         self,
@@ -161,9 +161,9 @@
         """Make a waiting controller a learner, which copies the log but does not vote.
 
         Args:
-            name: the controller, as ``status`` shows it waiting
-            address: where it listens, when the settings of the others don't name it
-            yes: do it; without it only say what would happen
+            name: the controller, listed as waiting by ``status``
+            address: its listen address, if the other controllers' settings don't name it
+            yes: carry out the change; without it only show what would happen
             settings: operator's settings file
             output: text or json
         """
@@ -176,7 +176,7 @@
 
         Args:
             name: the learner
-            yes: do it; without it only say what would happen
+            yes: carry out the change; without it only show what would happen
             settings: operator's settings file
             output: text or json
         """
@@ -188,9 +188,9 @@
         """Let a caught-up learner take the place of a voter.
 
         Args:
-            old: the voter that leaves
-            new: the learner; left out when it has the old one's name and a new disk
-            yes: do it; without it only say what would happen
+            old: the voter to remove
+            new: the learner; omit it when it has the old voter's name and a new disk
+            yes: carry out the change; without it only show what would happen
             settings: operator's settings file
             output: text or json
         """
@@ -202,8 +202,8 @@
         """Remove a learner or voter.
 
         Args:
-            name: the controller that leaves
-            yes: do it; without it only say what would happen
+            name: the controller to remove
+            yes: carry out the change; without it only show what would happen
             settings: operator's settings file
             output: text or json
         """
