--- a/limedyke/cli/operator_client.py
+++ b/limedyke/cli/operator_client.py
@@ -1,4 +1,4 @@
-"""The operator's side of control: finds the leader and resends under the same request id."""
+"""Client for operator requests: finds the leader and retries with the same request id."""
 
 from __future__ import annotations
 
@@ -20,16 +20,17 @@
 
 DIAL_TIMEOUT_S = 1.0
 ANSWER_TIMEOUT_S = 5.0
-PAUSE_S = 0.1
+RETRY_PAUSE_S = 0.1
 RETRIED_CODES = frozenset(
     {ResultCode.NOT_LEADER, ResultCode.CONTROL_OUTCOME_UNKNOWN, ResultCode.QUEUE_TIMEOUT}
 )
 
 
 class OperatorSettings(Model):
-    """Settings of the operator's commands: a YAML file.
+    """Settings of the operator commands, read from a YAML file.
 
-    ``secret`` names the operator's key in ``secrets_file``; ``deadline_s`` bounds all tries.
+    ``secret`` names the operator's key in ``secrets_file``; ``deadline_s`` limits the total time
+    of all attempts.
     """
 
     operator: str
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorIdentity:
-    """Who the operator is: the name and key known to the controllers."""
+    """The operator's name and key, as known to the controllers."""
 
     name: str
     key: bytes
@@ -70,7 +71,7 @@
 
 
 class OperatorClient:
-    """Sends one request until it is answered by a leader, or the deadline passes."""
+    """Resends one request until a leader answers or the deadline passes."""
 
     def __init__(self, settings: OperatorSettings, identity: OperatorIdentity) -> None:
         self._settings = settings
@@ -78,10 +79,10 @@
         self._may_have_arrived = False
 
     async def ask(self, request: object) -> Result[object, Failure]:
-        """Return the answer to a request, or a failure.
+        """Send a request and return the answer or a failure.
 
         :returns: CONTROL_OUTCOME_UNKNOWN when the request was sent and never answered,
-            NOT_LEADER when no controller took it
+            NOT_LEADER when no controller accepted it
         """
         deadline = time.monotonic() + self._settings.deadline_s
         addresses = list(self._settings.controllers)
@@ -103,14 +104,14 @@
                 last = failure_of(answer.ok_value)
                 redirected = answer.ok_value.leader
             if not redirected:
-                await curio.sleep(PAUSE_S)
-        return Err(self._give_up(last))
+                await curio.sleep(RETRY_PAUSE_S)
+        return Err(self._final_failure(last))
 
-    def _give_up(self, last: Failure | None) -> Failure:
+    def _final_failure(self, last: Failure | None) -> Failure:
         detail = str(last) if last else ""
         if self._may_have_arrived:
             return Failure(ResultCode.CONTROL_OUTCOME_UNKNOWN, detail)
-        return Failure(ResultCode.NOT_LEADER, f"No controller took the request. {detail}")
+        return Failure(ResultCode.NOT_LEADER, f"No controller accepted the request. {detail}")
 
     @staticmethod
     def _is_final(answer: object) -> bool:
@@ -153,7 +154,7 @@
 
 
 def failure_of(answer: Refused) -> Failure:
-    """Return a refusal as a failure."""
+    """Convert a controller's refusal to a failure."""
     code = CODE_BY_NUMBER.get(answer.code, ResultCode.INTERNAL_ERROR)
     failure = Failure(code, answer.detail)
     return replace(failure, retry_after_ms=answer.retry_after_ms or None)
