--- a/limedyke/cli/text.py
+++ b/limedyke/cli/text.py
@@ -1,4 +1,4 @@
-"""Operators' answers as text for a terminal."""
+"""Formats answers to operator requests as text for a terminal."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @singledispatch
 def text_of(answer: object) -> str:
-    """Return an answer as lines of text."""
+    """Format an answer as one or more lines of text."""
     return str(answer)
 
 
@@ -147,7 +147,7 @@
 
 
 def _share(use: ProxyUse, load: MemberLoad) -> str:
-    """Return a proxy's part of what is leased of a member."""
+    """Return a proxy's percentage of the connections leased on a member."""
     return f"{100 * use.held // load.held} %" if load.held else "-"
 
 
@@ -162,7 +162,7 @@
 
 
 def _table(heads: Sequence[str], rows: Iterable[Sequence[object]]) -> list[str]:
-    """Return rows in columns as wide as their widest cell."""
+    """Format rows as left-aligned columns, each as wide as its widest cell."""
     cells = [tuple(heads), *[tuple(str(cell) for cell in row) for row in rows]]
     widths = [max(len(cell) for cell in column) for column in zip(*cells, strict=True)]
     lines = []
