--- a/features/control_declarations.feature
+++ b/features/control_declarations.feature
@@ -28,8 +28,8 @@
       | tenants.yaml | 3    | operation_wait_ms: 1501      | tenants.radio.operation_wait_ms  | less than or equal to 1500 |
       | tenants.yaml | 3    | colour: red                  | tenants.radio.colour             | not permitted              |
       | tenants.yaml | 6    | verifier: secret             | tenants.radio.users.0.verifier   | expected SCRAM-SHA-256     |
-      | tenants.yaml | 7    | - name: editor               | tenants.radio.users.1.name       | stands twice               |
-      | tenants.yaml | 9    | - name: radio                | tenants.radio                    | declared already at        |
+      | tenants.yaml | 7    | - name: editor               | tenants.radio.users.1.name       | is listed twice            |
+      | tenants.yaml | 9    | - name: radio                | tenants.radio                    | already declared at        |
       | tenants.yaml | 10   | users: []                    | tenants.cold.users               | at least 1 item            |
       | tenants.yaml | 1    | tenant:                      | tenant                           | unknown key; expected one  |
 
@@ -40,7 +40,7 @@
       | groups.yaml  | 4    | slots: many                  | groups.core.slots                | valid integer              |
       | groups.yaml  | 5    | admin_secret: ''             | groups.core.admin_secret         | at least 1 character       |
       | groups.yaml  | 6    | promotion: manual            | groups.core.promotion            | controllers                |
-      | groups.yaml  | 12   | - name: a                    | groups.core.members.1.name       | a stands twice             |
+      | groups.yaml  | 12   | - name: a                    | groups.core.members.1.name       | a is listed twice          |
       | groups.yaml  | 9    | address: db.example:5432     | groups.core.members.0.address    | not appear to be an IPv4   |
       | groups.yaml  | 9    | address: 10.0.0.1            | groups.core.members.0.address    | expected ip:port           |
       | groups.yaml  | 9    | address: 10.0.0.1:0          | groups.core.members.0.address    | port must not be 0         |
@@ -53,7 +53,7 @@
     Examples: token keys and proxies
       | file         | line | text                         | key                              | reason                     |
       | others.yaml  | 2    | - key_id: 0                  | token_keys.0.key_id              | greater than or equal to 1 |
-      | others.yaml  | 4    | - key_id: 1                  | token_keys.1                     | declared already at        |
+      | others.yaml  | 4    | - key_id: 1                  | token_keys.1                     | already declared at        |
       | others.yaml  | 7    | - name: P1                   | proxies.P1.name                  | should match pattern       |
       | others.yaml  | 8    | draining: perhaps            | proxies.p1.draining              | valid boolean              |
 
@@ -67,7 +67,7 @@
       | a list               | groups.yaml:1: expected a mapping  |
       | a tab                | groups.yaml:2: found character     |
       | an open quote        | groups.yaml:                       |
-      | a key twice          | groups.yaml:2: the key             |
+      | a key twice          | groups.yaml:2: duplicate key       |
       | bytes that are no text | groups.yaml: 'utf-8' codec       |
       | a scalar section     | groups.yaml:1: groups: expected a list |
       | a scalar item        | groups.yaml:2: groups.0: Input should be |
--- a/limedyke/declaration/checks.py
+++ b/limedyke/declaration/checks.py
@@ -1,4 +1,4 @@
-"""Checks across the items of a declaration: names, references, addresses and budgets."""
+"""Checks that involve several items: unique names, references, addresses and budgets."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 from limedyke.settings.base import Model
 
 PROBE_CONNECTIONS = 3
+"""Connections of a group that are reserved for probes and that tenants' budgets can't use."""
 
 
-def check_together(items: dict[str, list[Located]]) -> list[Problem]:
-    """Return what is wrong with items that are each right by themselves.
+def check_consistency(items: dict[str, list[Located]]) -> list[Problem]:
+    """Return the problems between items that are each valid on their own.
 
-    :param items: the items of each section, all files together
+    :param items: the items of each section, from all files
     """
     problems = []
     for section in ("tenants", "groups", "proxies"):
@@ -36,7 +37,7 @@
         known = first.setdefault(identity(located.item), located)
         if known is not located:
             place = f"{known.file}:{line_at(known.node, ())}"
-            problems.append(located.problem(f"declared already at {place}"))
+            problems.append(located.problem(f"already declared at {place}"))
     return problems
 
 
@@ -47,16 +48,16 @@
         value = getattr(part, attribute)
         if value in seen:
             path = (field, position, attribute)
-            problems.append(located.problem(f"{value} stands twice", path))
+            problems.append(located.problem(f"{value} is listed twice", path))
         seen.add(value)
     return problems
 
 
 def _check_group(located: Located, tenants: set[str], addresses: dict[str, str]) -> list[Problem]:
-    """Return what is wrong with a group.
+    """Return the problems of a group.
 
-    :param tenants: the names of the declared tenants
-    :param addresses: the owner of each address seen so far; this group's are added
+    :param tenants: names of the declared tenants
+    :param addresses: owner of each member address seen so far; this group's addresses are added
     """
     problems = _repeated_inside(located, "members", "name")
     problems += _repeated_inside(located, "access", "tenant")
--- a/limedyke/declaration/file.py
+++ b/limedyke/declaration/file.py
@@ -1,6 +1,6 @@
-"""Operators' YAML: read with line numbers, checked, and turned into a ``Declaration``.
+"""Loads a declaration from operators' YAML files, with line numbers for error messages.
 
-Several files make one declaration; each holds any of the keys ``tenants``,
+A declaration may be split over several files, each with any of the top-level keys ``tenants``,
 ``groups``, ``token_keys`` and ``proxies``.  Every problem is reported as
 ``file:line: key: reason``.
 """
@@ -14,7 +14,7 @@
 from pydantic import ValidationError
 from result import Err, Ok, Result
 
-from limedyke.declaration.checks import check_together
+from limedyke.declaration.checks import check_consistency
 from limedyke.declaration.conversion import declaration_of
 from limedyke.declaration.models import GroupModel, ProxyModel, TenantModel, TokenKeyModel
 from limedyke.declaration.places import Located, Problem, child, join_key, line_at
@@ -31,14 +31,14 @@
 
 
 class _UniqueKeyLoader(yaml.SafeLoader):
-    """Refuses a key that stands twice in one mapping."""
+    """A YAML loader that rejects duplicate keys in a mapping."""
 
     def construct_mapping(self, node: yaml.MappingNode, deep: bool = False) -> dict:
         seen = set()
         for key, _ in node.value:
             if key.value in seen:
                 raise yaml.constructor.ConstructorError(
-                    None, None, f"the key {key.value!r} stands twice", key.start_mark
+                    None, None, f"duplicate key {key.value!r}", key.start_mark
                 )
             seen.add(key.value)
         return super().construct_mapping(node, deep)
@@ -47,14 +47,14 @@
 def load_declaration(paths: Iterable[Path]) -> Result[Declaration, Failure]:
     """Read and check the files of one declaration.
 
-    :returns: the declaration, or DECLARATION_INVALID with all problems, one a line
+    :returns: the declaration, or DECLARATION_INVALID with all problems, one per line
     """
     items: dict[str, list[Located]] = {section: [] for section in _MODEL_OF_SECTION}
     problems: list[Problem] = []
     for path in paths:
         problems += _read_file(path, items)
     if not problems:
-        problems = check_together(items)
+        problems = check_consistency(items)
     if problems:
         detail = "\n".join(str(problem) for problem in problems)
         return Err(Failure(ResultCode.DECLARATION_INVALID, detail))
@@ -62,7 +62,7 @@
 
 
 def _read_file(path: Path, items: dict[str, list[Located]]) -> list[Problem]:
-    """Add a file's items; return what is wrong with it."""
+    """Add a file's items to ``items``; return the file's problems."""
     file = str(path)
     try:
         text = path.read_text()
@@ -96,7 +96,7 @@
 
 
 def _key_line(node: yaml.MappingNode, name: str) -> int:
-    """Return the line of a mapping's key, counted from 1; 0 when it isn't there."""
+    """Return the 1-based line of a key in a mapping, or 0 when the mapping lacks the key."""
     return next((key.start_mark.line + 1 for key, _ in node.value if key.value == name), 0)
 
 
@@ -126,6 +126,6 @@
 
 
 def _label(entry: object, position: int) -> str:
-    """Return how problems name an entry: by its name or key id, or by its position."""
+    """Return the label of an entry in problem reports: its name, key id or position."""
     name = entry.get("name", entry.get("key_id")) if isinstance(entry, dict) else None
     return str(position) if name is None else str(name)
