--- a/limedyke/declaration/__init__.py
+++ b/limedyke/declaration/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' YAML: read, checked, and turned into the declaration that controllers keep."""
+"""Reads and validates operators' YAML files and converts them to a ``Declaration``."""
--- a/limedyke/declaration/conversion.py
+++ b/limedyke/declaration/conversion.py
@@ -1,4 +1,4 @@
-"""The checked items of the operators' YAML, turned into a ``Declaration``."""
+"""Converts the validated items of operators' YAML to a ``Declaration``."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def declaration_of(items: dict[str, list[Located]]) -> Declaration:
-    """Return the checked items as a declaration, in the order of their names."""
+    """Return the validated items as a declaration, each section sorted by name or key id."""
     tenants = [_tenant(located.item) for located in items["tenants"]]
     groups = [_group(located.item) for located in items["groups"]]
     keys = [TokenKey(located.item.key_id, located.item.secret) for located in items["token_keys"]]
--- a/limedyke/declaration/models.py
+++ b/limedyke/declaration/models.py
@@ -1,4 +1,4 @@
-"""The shape of operators' YAML: each item of a declaration, checked by itself."""
+"""Pydantic models of the items in operators' YAML; each item is validated on its own."""
 
 from __future__ import annotations
 
@@ -17,14 +17,18 @@
 SCRAM_KEY_BYTES = 32
 LARGEST_NUMBER = 2**31 - 1
 LONGEST_OPERATION_WAIT_MS = 1_500
-"""No token is promised for later."""
+"""Longest time that an operation may wait for a rate-limit token; the limiter does not promise
+tokens further ahead."""
 
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9_-]{0,62}$")]
 Count = Annotated[int, Field(ge=1, le=LARGEST_NUMBER)]
 
 
 def check_verifier(value: str) -> str:
-    """Return a SCRAM-SHA-256 verifier as PostgreSQL stores it; raise ValueError otherwise."""
+    """Return ``value`` if it is a SCRAM-SHA-256 verifier in PostgreSQL's format.
+
+    :raises ValueError: when it is malformed or has too few iterations
+    """
     form = "expected SCRAM-SHA-256$<iterations>:<salt>$<stored key>:<server key>"
     try:
         mechanism, salted, keys = value.split("$")
@@ -45,7 +49,10 @@
 
 
 def check_member_address(value: str) -> str:
-    """Return an address whose port is not 0 and whose IP names one host."""
+    """Return ``value`` if its port is not 0 and its IP address is that of a single host.
+
+    :raises ValueError: otherwise
+    """
     host, _, port = value.rpartition(":")
     if int(port) == 0:
         raise ValueError("the port must not be 0")
@@ -56,7 +63,7 @@
 
 
 class UserModel(Model):
-    """A login; passwords are given as SCRAM verifiers only, see ``limedyke verifier``."""
+    """A login; the password is given only as a SCRAM verifier (see ``limedyke verifier``)."""
 
     name: Annotated[str, Field(pattern=r"^[A-Za-z0-9_][A-Za-z0-9_.@-]{0,62}$")]
     verifier: Annotated[str, AfterValidator(check_verifier)]
@@ -85,7 +92,7 @@
 
 
 class MemberModel(Model):
-    """A back end of a group."""
+    """A member of a group: one PostgreSQL server."""
 
     name: Name
     address: Annotated[Address, AfterValidator(check_member_address)]
@@ -94,7 +101,7 @@
 
 
 class AccessModel(Model):
-    """What a tenant may use of a group."""
+    """A tenant's access to a group: database, backend user and connection budget."""
 
     tenant: Name
     database: Annotated[str, Field(min_length=1, max_length=63)]
@@ -117,14 +124,14 @@
 
 
 class TokenKeyModel(Model):
-    """A session-token signing key; the newest signs."""
+    """A session-token signing key; the newest key signs new tokens."""
 
     key_id: Annotated[int, Field(ge=1, le=LARGEST_NUMBER)]
     secret: Annotated[str, Field(min_length=1)]
 
 
 class ProxyModel(Model):
-    """A declared state of a proxy."""
+    """The declared state of a proxy."""
 
     name: Name
     draining: bool = False
