--- a/limedyke/declaration/checks.py
+++ b/limedyke/declaration/checks.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 
 from limedyke.declaration.models import GroupModel
-from limedyke.declaration.places import Located, Problem, line_at
+from limedyke.declaration.source_locations import LocatedItem, Problem, line_at
 from limedyke.settings.base import Model
 
 PROBE_CONNECTIONS = 3
 """Connections of a group that are reserved for probes and that tenants' budgets can't use."""
 
 
-def check_consistency(items: dict[str, list[Located]]) -> list[Problem]:
+def check_consistency(items: dict[str, list[LocatedItem]]) -> list[Problem]:
     """Return the problems between items that are each valid on their own.
 
     :param items: the items of each section, from all files
@@ -30,8 +30,8 @@
     return problems
 
 
-def _repeated(found: list[Located], identity: Callable[[Model], object]) -> list[Problem]:
-    first: dict[object, Located] = {}
+def _repeated(found: list[LocatedItem], identity: Callable[[Model], object]) -> list[Problem]:
+    first: dict[object, LocatedItem] = {}
     problems = []
     for located in found:
         known = first.setdefault(identity(located.item), located)
@@ -41,7 +41,7 @@
     return problems
 
 
-def _repeated_inside(located: Located, field: str, attribute: str) -> list[Problem]:
+def _repeated_inside(located: LocatedItem, field: str, attribute: str) -> list[Problem]:
     seen = set()
     problems = []
     for position, part in enumerate(getattr(located.item, field)):
@@ -53,7 +53,9 @@
     return problems
 
 
-def _check_group(located: Located, tenants: set[str], addresses: dict[str, str]) -> list[Problem]:
+def _check_group(
+    located: LocatedItem, tenants: set[str], addresses: dict[str, str]
+) -> list[Problem]:
     """Return the problems of a group.
 
     :param tenants: names of the declared tenants
@@ -70,7 +72,7 @@
     return problems
 
 
-def _check_addresses(located: Located, addresses: dict[str, str]) -> list[Problem]:
+def _check_addresses(located: LocatedItem, addresses: dict[str, str]) -> list[Problem]:
     group: GroupModel = located.item
     problems = []
     for position, member in enumerate(group.members):
@@ -82,7 +84,7 @@
     return problems
 
 
-def _check_tenants(located: Located, tenants: set[str]) -> list[Problem]:
+def _check_tenants(located: LocatedItem, tenants: set[str]) -> list[Problem]:
     problems = []
     for position, access in enumerate(located.item.access):
         if access.tenant not in tenants:
@@ -91,7 +93,7 @@
     return problems
 
 
-def _check_budgets(located: Located) -> list[Problem]:
+def _check_budgets(located: LocatedItem) -> list[Problem]:
     group: GroupModel = located.item
     budgets = sum(access.connection_budget for access in group.access)
     if budgets + PROBE_CONNECTIONS <= group.connection_limit:
