--- a/limedyke/declaration/source_locations.py
+++ b/limedyke/declaration/source_locations.py
@@ -1,4 +1,4 @@
-"""Where an item stands in the operators' YAML, so that a problem names its file and line."""
+"""Source locations of items in operators' YAML, for error messages with file and line."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing wrong in a file; ``line`` counts from 1, 0 when there is none."""
+    """An error in a declaration file; ``line`` is 1-based, or 0 when no line is known."""
 
     file: str
     line: int
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LocatedItem:
-    """A checked item and where it stands."""
+    """A validated item with its source location."""
 
     item: Model
     file: str
@@ -34,18 +34,18 @@
     key: str
 
     def problem(self, reason: str, path: tuple = ()) -> Problem:
-        """Return a problem of this item at a path inside it."""
+        """Return a problem located at a path inside this item."""
         line = line_at(self.node, path)
         return Problem(self.file, line, join_key(self.key, path), reason)
 
 
 def join_key(key: str, path: Iterable) -> str:
-    """Return the key of what a path reaches inside an item, such as ``tenants.shop.users.0``."""
+    """Return the dotted key of a path inside an item, such as ``tenants.shop.users.0``."""
     return ".".join([key, *(str(part) for part in path)])
 
 
 def line_at(node: yaml.Node, path: Iterable) -> int:
-    """Return the line of the deepest node that the path reaches."""
+    """Return the 1-based line of the deepest node on the path that exists."""
     for part in path:
         inner = child(node, part)
         if inner is None:
@@ -55,7 +55,7 @@
 
 
 def child(node: yaml.Node, part: object) -> yaml.Node | None:
-    """Return the node under a mapping's key or at a sequence's position, if there is one."""
+    """Return the node at a mapping's key or a sequence's index, or None if it does not exist."""
     if isinstance(node, yaml.MappingNode):
         for key, value in node.value:
             if key.value == str(part):
