--- a/limedyke/settings/__init__.py
+++ b/limedyke/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of the processes; each process loads only the modules it needs."""
+"""Settings of the processes; each process imports only the modules it needs."""
--- a/limedyke/settings/base.py
+++ b/limedyke/settings/base.py
@@ -1,4 +1,4 @@
-"""What all settings have in common, checked by pydantic."""
+"""Pydantic base models shared by all settings."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class Model(BaseModel):
-    """Base of all settings: unknown keys are errors and values don't change."""
+    """Base class of all settings: rejects unknown keys and is immutable."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class CommonSettings(Model):
-    """Settings of every process.
+    """Settings common to all processes.
 
     ``source_ip`` is the local address of outgoing connections; ``secrets_file``
-    maps secret names to values and stays out of version control;
+    maps secret names to values and must not be kept in version control;
     ``cluster_key`` is the name of the secret shared by proxies and controllers.
     """
 
--- a/limedyke/settings/controller.py
+++ b/limedyke/settings/controller.py
@@ -15,7 +15,7 @@
 
 
 class OperatorKey(Model):
-    """An operator allowed to plan and confirm; ``secret`` names a secret."""
+    """An operator who may plan and confirm changes; ``secret`` is the name of the key's secret."""
 
     name: str
     secret: str
@@ -24,8 +24,9 @@
 class ControllerSettings(CommonSettings):
     """Settings of ``limedyke controller``. Times are in milliseconds.
 
-    ``voters_wanted`` has the leader keep so many voters by itself, 0 leaves that to operators;
-    ``keeps_unsynced_writes`` says that the boot id of the machine tells losses of power apart.
+    ``voters_wanted`` is the number of voters that the leader maintains automatically; with 0,
+    operators manage the voters.  ``keeps_unsynced_writes`` means that the machine's boot id changes
+    with every loss of power: while it is unchanged, no unsynced write has been lost.
     """
 
     listen: Address
--- a/limedyke/settings/files.py
+++ b/limedyke/settings/files.py
@@ -1,6 +1,6 @@
-"""Reads settings and secrets from YAML files, overridden by flags.
+"""Loads settings and secrets from YAML files; command-line flags override settings.
 
-An error names the file, the key and the reason; commands then exit with
+Errors name the file, the key and the reason; commands then exit with
 ``EXIT_SETTINGS_INVALID``.
 """
 
@@ -21,7 +21,7 @@
 
 
 def describe_validation_error(source: str, error: ValidationError) -> str:
-    """Return one line per problem: the source, the key and the reason."""
+    """Return the source, key and reason of each problem, separated by semicolons."""
     lines = []
     for problem in error.errors():
         key = ".".join(str(part) for part in problem["loc"]) or "(top)"
@@ -61,7 +61,7 @@
 
 
 def _read_mapping(path: Path) -> Result[dict, Failure]:
-    """Return the mapping in a YAML file; an empty file is an empty one."""
+    """Return the mapping in a YAML file; an empty file yields an empty mapping."""
     try:
         values = yaml.safe_load(path.read_text()) or {}
     except (OSError, yaml.YAMLError) as error:
--- a/limedyke/settings/proxy.py
+++ b/limedyke/settings/proxy.py
@@ -10,7 +10,7 @@
 
 
 class TlsSettings(Model):
-    """TLS towards callers; the files are read again on SIGHUP."""
+    """TLS settings for client connections; the files are reloaded on SIGHUP."""
 
     certificate: Path
     private_key: Path
