--- a/limedyke/bounded_stream.py
+++ b/limedyke/bounded_stream.py
@@ -1,45 +1,45 @@
-"""A text stream for logs that never blocks its writer: what doesn't fit is dropped and counted."""
+"""A non-blocking text stream for logs: lines that don't fit the buffer are dropped and counted."""
 
 from __future__ import annotations
 
 import os
 from collections import deque
 
-MAXIMUM_WAITING_BYTES = 256 * 1024
+MAXIMUM_BUFFERED_BYTES = 256 * 1024
 DROPPED_LINE = "event=log-lines-dropped count={count}\n"
 
 
 class BoundedStream:
-    """Writes lines to a file descriptor, as far as its reader takes them.
+    """Writes lines to a file descriptor and buffers what its reader does not accept yet.
 
-    :param descriptor: it is made non-blocking
-    :param maximum_bytes: lines that wait hold at most so much; further ones are dropped
+    :param descriptor: the file descriptor; it is set to non-blocking mode
+    :param maximum_bytes: size limit of the buffered lines; lines beyond it are dropped
     """
 
-    def __init__(self, descriptor: int, maximum_bytes: int = MAXIMUM_WAITING_BYTES) -> None:
+    def __init__(self, descriptor: int, maximum_bytes: int = MAXIMUM_BUFFERED_BYTES) -> None:
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._maximum_bytes = maximum_bytes
-        self._waiting: deque[bytes] = deque()
-        self._waiting_bytes = 0
-        self._dropped_unsaid = 0
+        self._queue: deque[bytes] = deque()
+        self._queued_bytes = 0
+        self._unreported_drops = 0
         self.dropped = 0
-        """Lines dropped since the start."""
+        """Number of lines dropped since the start."""
 
     def write(self, text: str) -> None:
-        """Take text for the reader; it is dropped when too much waits already."""
+        """Buffer and write text; drop it if the buffer is full."""
         data = text.encode()
-        if self._waiting_bytes + len(data) > self._maximum_bytes:
+        if self._queued_bytes + len(data) > self._maximum_bytes:
             self.dropped += 1
-            self._dropped_unsaid += 1
+            self._unreported_drops += 1
         else:
-            self._put(data)
+            self._enqueue(data)
         self.flush()
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
-        while self._waiting:
-            data = self._waiting[0]
+        """Write as much buffered text as the descriptor accepts without blocking."""
+        while self._queue:
+            data = self._queue[0]
             try:
                 written = os.write(self._descriptor, data)
             except BlockingIOError:
@@ -47,26 +47,26 @@
             except OSError:
                 self._drop_all()
                 return
-            self._waiting_bytes -= written
+            self._queued_bytes -= written
             if written < len(data):
-                self._waiting[0] = data[written:]
+                self._queue[0] = data[written:]
                 return
-            self._waiting.popleft()
-        self._say_what_was_dropped()
+            self._queue.popleft()
+        self._report_dropped_lines()
 
-    def _put(self, data: bytes) -> None:
-        self._waiting.append(data)
-        self._waiting_bytes += len(data)
+    def _enqueue(self, data: bytes) -> None:
+        self._queue.append(data)
+        self._queued_bytes += len(data)
 
-    def _say_what_was_dropped(self) -> None:
-        if not self._dropped_unsaid:
+    def _report_dropped_lines(self) -> None:
+        if not self._unreported_drops:
             return
-        count, self._dropped_unsaid = self._dropped_unsaid, 0
-        self._put(DROPPED_LINE.format(count=count).encode())
+        count, self._unreported_drops = self._unreported_drops, 0
+        self._enqueue(DROPPED_LINE.format(count=count).encode())
         self.flush()
 
     def _drop_all(self) -> None:
-        """Give up what waits: the reader has gone."""
-        self.dropped += len(self._waiting)
-        self._waiting.clear()
-        self._waiting_bytes = 0
+        """Drop all buffered lines after a write error, as when the reader has closed its end."""
+        self.dropped += len(self._queue)
+        self._queue.clear()
+        self._queued_bytes = 0
