--- a/limedyke/settings_watch.py
+++ b/limedyke/settings_watch.py
@@ -1,4 +1,4 @@
-"""Notices that a process's settings file has changed, by SIGHUP or by itself."""
+"""Reloads a process's settings on SIGHUP or when the settings file changes."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 class SettingsWatcher:
-    """Calls back when a settings file has changed; handles SIGHUP from the moment it is made.
+    """Calls back when a settings file has changed; handles SIGHUP from construction on.
 
     :param path: the settings file
-    :param apply: reads the file and puts into force what can change in a running process; it
-        raises ValueError or OSError when the file is not usable, and the old settings stay
+    :param apply: reads the file and applies the settings that can change in a running process;
+        raises ValueError or OSError if the file is unusable, which keeps the old settings
     """
 
     def __init__(self, path: Path, apply: Callable[[], Awaitable[None]]) -> None:
         self._path = path
         self._apply = apply
         self._is_signalled = False
-        self._seen = self._fingerprint()
-        signal.signal(signal.SIGHUP, self._note)
+        self._last_fingerprint = self._fingerprint()
+        signal.signal(signal.SIGHUP, self._handle_signal)
 
-    def _note(self, number: int, frame: object) -> None:
+    def _handle_signal(self, number: int, frame: object) -> None:
         self._is_signalled = True
 
     def _fingerprint(self) -> tuple[int, int, int] | None:
@@ -41,15 +41,15 @@
         return found.st_mtime_ns, found.st_size, found.st_ino
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Poll the file and the signal until cancelled."""
         while True:
             await curio.sleep(POLL_S)
-            present = self._fingerprint()
-            if not self._is_signalled and present == self._seen:
+            fingerprint = self._fingerprint()
+            if not self._is_signalled and fingerprint == self._last_fingerprint:
                 continue
             cause = "signal" if self._is_signalled else "file"
             self._is_signalled = False
-            self._seen = present
+            self._last_fingerprint = fingerprint
             await self._reload(cause)
 
     async def _reload(self, cause: str) -> None:
