--- a/limedyke/stop_signal.py
+++ b/limedyke/stop_signal.py
@@ -1,4 +1,4 @@
-"""Waits for the signals that ask a process to stop."""
+"""Handles the signals that request a process to stop."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class StopSignal:
-    """Notes SIGTERM and SIGINT from the moment it is made."""
+    """Records SIGTERM and SIGINT; the handlers are installed on construction."""
 
     def __init__(self) -> None:
         self.is_set = False
-        signal.signal(signal.SIGTERM, self._note)
-        signal.signal(signal.SIGINT, self._note)
+        signal.signal(signal.SIGTERM, self._handle_signal)
+        signal.signal(signal.SIGINT, self._handle_signal)
 
-    def _note(self, number: int, frame: object) -> None:
-        """Take the signal; the process's last moments are not to be cut by a second one."""
+    def _handle_signal(self, number: int, frame: object) -> None:
+        """Record the signal and ignore further ones, which would interrupt the shutdown."""
         self.is_set = True
         signal.signal(number, signal.SIG_IGN)
 
     async def wait(self) -> None:
-        """Return once one of the signals has come."""
+        """Wait until one of the signals has been received."""
         while not self.is_set:
             await curio.sleep(POLL_S)
