--- a/limedyke/metrics.py
+++ b/limedyke/metrics.py
@@ -1,7 +1,7 @@
-"""What the metrics of all processes share: the registry, buckets and label values.
+"""Registry, histogram buckets and label values shared by the metrics of all processes.
 
-Label values come from fixed enumerations, result-code labels or declared tenants, so that their
-number is bounded.  Per-group labels are left out on purpose: a node serves many groups.
+Label values come from fixed enumerations, result-code labels or declared tenants, which bounds
+their number.  There are no per-group labels because a node serves many groups.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class PromotionOutcome(enum.StrEnum):
-    """How a promotion ended, at the proxy that ran it or at the leader."""
+    """The state of a promotion, as counted by the proxy that runs it or by the leader."""
 
     STARTED = "started"
     DONE = "done"
@@ -43,7 +43,7 @@
 
 
 def new_registry() -> CollectorRegistry:
-    """Return a registry with the metrics of the process itself (processor time, memory, files)."""
+    """Return a registry with process metrics: CPU time, memory and open files."""
     registry = CollectorRegistry()
     ProcessCollector(registry=registry)
     return registry
--- a/limedyke/result_codes.py
+++ b/limedyke/result_codes.py
@@ -1,8 +1,8 @@
-"""Numbered result codes: every refusal and failure that the product reports.
+"""Numbered result codes for every refusal and failure that the processes report.
 
-A code has a stable number (shown as ``LD`` and four digits), the SQLSTATE a
-PostgreSQL client sees, and an outcome: whether the request is known not to
-have run.  The table in ``docs/RESULT_CODES.md`` is generated from this module.
+A code has a stable number (shown as ``LD`` and four digits), the SQLSTATE sent to
+PostgreSQL clients, and an outcome that says whether the request may have run.
+The table in ``docs/RESULT_CODES.md`` is generated from this module.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What is known about a request when its answer is an error."""
+    """Whether a request that was answered with an error has run."""
 
     DID_NOT_RUN = "did-not-run"
     RAN_AND_FAILED = "ran-and-failed"
@@ -25,7 +25,7 @@
 
     :param number: stable number, never reused
     :param sqlstate: five characters, as sent to PostgreSQL clients
-    :param outcome: what is known about the request
+    :param outcome: whether the request has run
     :param meaning: one sentence for the operator page
     """
 
@@ -220,7 +220,7 @@
 
     @property
     def label(self) -> str:
-        """The code as operators see it, such as ``LD3004``."""
+        """The code as shown to operators, such as ``LD3004``."""
         return f"LD{self.value.number:04d}"
 
     @property
@@ -230,7 +230,7 @@
 
     @property
     def outcome(self) -> Outcome:
-        """What is known about the refused request."""
+        """Whether the request has run."""
         return self.value.outcome
 
 
@@ -238,18 +238,18 @@
 
 
 def did_not_run(number: int) -> bool:
-    """Tell whether the code of this number says that the request surely did not run."""
+    """Return True if the code with this number guarantees that the request did not run."""
     code = CODE_BY_NUMBER.get(number)
     return code is not None and code.outcome is Outcome.DID_NOT_RUN
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """An expected failure, carried as the error side of a ``result.Result``.
+    """An expected failure, carried as the error value of a ``result.Result``.
 
-    :param code: the numbered code
+    :param code: the result code
     :param detail: one sentence about this occurrence, without secrets
-    :param retry_after_ms: when to come back, or None when no time is known
+    :param retry_after_ms: delay before a retry in milliseconds; None when unknown
     """
 
     code: ResultCode
