--- a/limedyke/curio_logging.py
+++ b/limedyke/curio_logging.py
@@ -1,4 +1,4 @@
-"""What curio itself may log."""
+"""Configures the logging of curio itself."""
 
 from __future__ import annotations
 
@@ -6,8 +6,9 @@
 
 
 def suppress_late_timeout_warnings() -> None:
-    """Silence warnings about waits that ended well just after their time limit.
+    """Suppress curio's warnings about operations that completed just after their timeout.
 
-    The loops here wait for work at most until their next tick, so this is the ordinary case.
+    Event loops in this project wait for work with a timeout at their next tick, so such
+    completions are normal.
     """
     logging.getLogger("curio.time").setLevel(logging.ERROR)
--- a/limedyke/event_log.py
+++ b/limedyke/event_log.py
@@ -1,4 +1,4 @@
-"""Event log: one line of key=value pairs for each event, through logbook."""
+"""Event log: writes each event as one line of key=value pairs through logbook."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def _format_value(value: object) -> str:
-    """Quote a value as a JSON string when it holds anything but plain characters."""
+    """Format a value; it is quoted as a JSON string if it contains special characters."""
     if isinstance(value, float):
         return f"{value:.6g}"
     text = str(value)
@@ -27,20 +27,20 @@
 
 
 def format_event(event: str, **fields: object) -> str:
-    """Return the one-line form of an event: ``event=NAME key=value ...``."""
+    """Return an event formatted as one line: ``event=NAME key=value ...``."""
     pairs = [f"event={event}"]
     pairs.extend(f"{key}={_format_value(value)}" for key, value in fields.items())
     return " ".join(pairs)
 
 
 class TextOutput(Protocol):
-    """Where lines are written."""
+    """A writable text stream."""
 
     def write(self, text: str) -> None:
-        """Take text."""
+        """Write or buffer text."""
 
     def flush(self) -> None:
-        """Pass on what was taken."""
+        """Write buffered text."""
 
 
 class EventLog:
@@ -53,15 +53,15 @@
         self._logger = logbook.Logger(component)
 
     def info(self, event: str, **fields: object) -> None:
-        """Write an event of ordinary interest."""
+        """Write an event of normal operation."""
         self._logger.info(format_event(event, **fields))
 
     def warning(self, event: str, **fields: object) -> None:
-        """Write an event an operator may want to look at."""
+        """Write an event that an operator may want to examine."""
         self._logger.warning(format_event(event, **fields))
 
     def error(self, event: str, **fields: object) -> None:
-        """Write an event an operator has to look at."""
+        """Write an event that needs an operator's attention."""
         self._logger.error(format_event(event, **fields))
 
     def debug(self, event: str, **fields: object) -> None:
@@ -70,10 +70,10 @@
 
 
 def start_logging(level: str = "INFO", stream: TextOutput | None = None) -> None:
-    """Send events of this process to a stream.
+    """Write the events of this process to a stream.
 
-    :param level: the lowest level written, a logbook level name
-    :param stream: standard error when None
+    :param level: name of the lowest logbook level that is written
+    :param stream: the output stream; None for standard error
     """
     handler = logbook.StreamHandler(stream or sys.stderr, level=level, format_string=_FORMAT)
     handler.push_application()
