--- a/limedyke/garbage_collection.py
+++ b/limedyke/garbage_collection.py
@@ -1,15 +1,16 @@
-"""How often Python looks for garbage in a process that has started."""
+"""Configures Python's cyclic garbage collector after a process has started."""
 
 from __future__ import annotations
 
 import gc
 
 GARBAGE_THRESHOLDS = (50_000, 20, 100)
-"""Objects are freed as they are dropped; only cycles wait for these."""
+"""Thresholds of the three generations.  Reference counting frees most objects at once; only
+reference cycles wait for the collector."""
 
 
 def resume_garbage_collection() -> None:
-    """Look for garbage among what is made from now on."""
+    """Enable garbage collection, excluding the objects that exist now."""
     gc.freeze()
     gc.set_threshold(*GARBAGE_THRESHOLDS)
     gc.enable()
--- a/limedyke/interrupt.py
+++ b/limedyke/interrupt.py
@@ -1,4 +1,4 @@
-"""Raises an exception in a task where it waits, as often as wanted."""
+"""Raises an exception in another task, repeatedly if needed."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 async def interrupt(task: curio.Task, error: type[curio.CancelledError]) -> None:
-    """Raise an exception in another task at its present or next wait; return at once.
+    """Raise an exception in another task at its current or next blocking call; don't wait for it.
 
-    curio cancels a task once only: one that goes on after an interruption would never end when it
-    is cancelled, and its process would stay until it is killed.
+    curio cancels a task only once.  Without the reset of ``task.cancelled``, a task that continues
+    after an interruption could not be cancelled later, and its process would run until killed.
     """
     await task.cancel(exc=error, blocking=False)
     task.cancelled = False
--- a/limedyke/link_tasks.py
+++ b/limedyke/link_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that serve a link and end with it."""
+"""Runs tasks that serve a link until it closes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 async def serve_until_closed(serve: Callable[..., Awaitable[None]], *arguments: object) -> str:
-    """Run ``serve`` until its link ends; return the reason, so that no task ends in an error."""
+    """Run ``serve`` and return the reason when its link closes, instead of raising an error.
+
+    :returns: why the link closed, or ``done`` when ``serve`` returned by itself
+    """
     try:
         await serve(*arguments)
     except LinkClosedError as error:
