--- a/limedyke/addresses.py
+++ b/limedyke/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of processes: ``ip:port`` with a numeric IP."""
+"""Parses process addresses of the form ``ip:port`` with a numeric IP."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def check_address(value: str) -> str:
-    """Return ``value`` when it is ``ip:port`` with a numeric IP; raise ValueError otherwise."""
+    """Return ``value`` if it is ``ip:port`` with a numeric IP; raise ValueError otherwise."""
     host, separator, port = value.rpartition(":")
     if not separator:
         raise ValueError("expected ip:port")
--- a/limedyke/scram_verifier.py
+++ b/limedyke/scram_verifier.py
@@ -1,4 +1,4 @@
-"""SCRAM-SHA-256 verifiers in PostgreSQL's form."""
+"""Creates SCRAM-SHA-256 verifiers in PostgreSQL's format."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 
 ITERATIONS = 4_096
 SALT_BYTES = 16
-"""As PostgreSQL makes them; another length would tell who is declared, see ``mock_verifier``."""
+"""The salt length that PostgreSQL uses.  ``mock_verifier`` must use the same length, because a
+different one would reveal which users are declared."""
 
 
 def make_verifier(password: str, iterations: int = ITERATIONS) -> str:
