--- a/limedyke/controller/call_router.py
+++ b/limedyke/controller/call_router.py
@@ -113,7 +113,7 @@
 
     async def drain(self) -> None:
         """Return once all calls that other controllers passed on are answered."""
-        await self._forwarded.ended()
+        await self._forwarded.wait_until_idle()
 
     async def ask(self, call: Call, timeout_s: float) -> CallAnswer:
         """Return the answer to a call within ``timeout_s``."""
--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -421,7 +421,7 @@
         if self._edge is not None:
             await self._edge.drain()
         await self._desk.drain()
-        await self._operators_under_way.ended()
+        await self._operators_under_way.wait_until_idle()
 
 
 def run_controller(
--- a/limedyke/in_flight.py
+++ b/limedyke/in_flight.py
@@ -31,7 +31,7 @@
         """End it, however it ended."""
         self.count -= 1
 
-    async def ended(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Return once nothing is under way."""
         while self.count:
             await curio.sleep(LOOK_INTERVAL_S)
