--- a/limedyke/in_flight.py
+++ b/limedyke/in_flight.py
@@ -1,4 +1,4 @@
-"""Counts work under way, for whoever has to wait until it has ended."""
+"""Counts operations in flight, so that a shutdown can wait for them to finish."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 import curio
 
-LOOK_INTERVAL_S = 0.01
+POLL_INTERVAL_S = 0.01
 
 
 class InFlightCounter:
-    """A context that each piece of work runs in.
+    """A context manager around each operation; it can be entered concurrently.
 
-    :ivar count: how many run at present
+    :ivar count: number of operations in flight
     """
 
     def __init__(self) -> None:
         self.count = 0
 
     def __enter__(self) -> None:
-        """Begin one piece of work."""
+        """Count the start of an operation."""
         self.count += 1
 
     def __exit__(
@@ -28,10 +28,10 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """End it, however it ended."""
+        """Count the end of an operation, whether it succeeded or failed."""
         self.count -= 1
 
     async def wait_until_idle(self) -> None:
-        """Return once nothing is under way."""
+        """Wait until no operation is in flight."""
         while self.count:
-            await curio.sleep(LOOK_INTERVAL_S)
+            await curio.sleep(POLL_INTERVAL_S)
