--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Small programs that developers run on the source tree."""
+"""Developer tools that run on the source tree."""
--- a/tools/result_code_table.py
+++ b/tools/result_code_table.py
@@ -1,4 +1,4 @@
-"""Writes docs/RESULT_CODES.md from the result codes, or checks that it is up to date.
+"""Generates docs/RESULT_CODES.md from the result codes, or checks that it is up to date.
 
 Usage: ``python -m tools.result_code_table [--check]``.
 """
