--- a/limedyke/controller/server.py
+++ b/limedyke/controller/server.py
@@ -71,7 +71,7 @@
 
     authority: PromotionAuthority | None
 
-    async def run(self, desk: CallRouter, learn_peers: LearnPeers) -> None:
+    async def run(self, call_router: CallRouter, learn_peers: LearnPeers) -> None:
         """Serve calls until cancelled.
 
         :param learn_peers: takes the controllers that changed settings name
