--- a/features/steps/home_silence_steps.py
+++ b/features/steps/home_silence_steps.py
@@ -1,4 +1,4 @@
-"""Steps on home proxies that go silent: what is sent to them, and what goes elsewhere."""
+"""Steps on home proxies that go silent, and on the units that go elsewhere."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class _FakeLink:
-    """A link whose other end does what ``state`` says; counts the units on the wire."""
+    """A fake link whose other end behaves as ``state`` says; counts the units sent."""
 
     def __init__(self, state):
         self.state = state
@@ -38,7 +38,7 @@
         self._closed = curio.Event()
 
     async def send(self, message):
-        """Send a message, unless the other end takes no more bytes."""
+        """Send a message, unless the other end accepts no more bytes."""
         if "takes no more" in self.state:
             await self._closed.wait()
             raise LinkClosedError("closed")
@@ -90,7 +90,7 @@
     context.end = curio.run(send)
 
 
-@then("silence: it is told as {told}")
+@then("silence: its outcome is {told}")
 def step_told(context, told):
     expected = {"lost": None, "not sent": NOT_SENT}
     if told == "answered":
@@ -99,7 +99,7 @@
         assert context.end is expected[told], context.end
 
 
-@then("silence: {count:d} units ever went onto the wire")
+@then("silence: {count:d} units were sent")
 def step_wire(context, count):
     assert context.fake.units == count, context.fake.units
 
--- a/limedyke/controller/call_router.py
+++ b/limedyke/controller/call_router.py
@@ -1,4 +1,4 @@
-"""Takes calls from outside at any controller, and passes them on to the leader."""
+"""Accepts external calls at any controller and forwards them to the leader."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import curio
 from result import Err
 
-from limedyke.controller.leading.leader_calls import LeaderCalls, failed
+from limedyke.controller.leading.leader_calls import LeaderCalls, failure_answer
 from limedyke.event_log import EventLog
 from limedyke.in_flight import InFlightCounter
 from limedyke.link_tasks import serve_until_closed
@@ -18,8 +18,8 @@
 from limedyke.transport.link import KeyLookup, Link, LinkClosedError, LinkIdentity, dial
 
 DIAL_TIMEOUT_S = 0.6
-ASK_LIMIT_S = 1.0
-LEADER_LOST = frozenset(
+CALL_TIMEOUT_S = 1.0
+LEADER_LOST_CODES = frozenset(
     code.value.number for code in (ResultCode.NOT_LEADER, ResultCode.CONTROL_OUTCOME_UNKNOWN)
 )
 EVENTS = EventLog("calls")
@@ -43,26 +43,26 @@
             await self.link.send(ForwardedCall(number, call))
             return await answers.get()
         except LinkClosedError as error:
-            return _lost(str(error))
+            return _unknown_outcome(str(error))
         finally:
             self._waiting.pop(number, None)
 
     async def start(self) -> None:
-        """Begin to take answers."""
+        """Start receiving answers."""
         self._receiver = await curio.spawn(self._receive_all, daemon=True)
 
     async def stop(self) -> None:
-        """End the link; the task that reads it must not find it closed under its hands."""
+        """Close the link; the receiving task is cancelled first, as it reads from the link."""
         if self._receiver is not None:
             await self._receiver.cancel()
         await self.link.close()
 
     async def _receive_all(self) -> None:
-        """Hand out answers until the link ends; then tell those that wait."""
+        """Deliver answers until the link closes; then fail the calls that still wait."""
         reason = await serve_until_closed(self._receive)
         self.is_open = False
         for answers in list(self._waiting.values()):
-            await answers.put(_lost(reason))
+            await answers.put(_unknown_outcome(reason))
         await self.link.close()
 
     async def _receive(self) -> None:
@@ -75,16 +75,16 @@
                 await answers.put(message.answer)
 
 
-def _lost(reason: str) -> CallAnswer:
-    return failed(Failure(ResultCode.CONTROL_OUTCOME_UNKNOWN, reason))
+def _unknown_outcome(reason: str) -> CallAnswer:
+    return failure_answer(Failure(ResultCode.CONTROL_OUTCOME_UNKNOWN, reason))
 
 
 class CallRouter:
-    """Answers calls: on the leader itself, else through a link to the leader.
+    """Answers calls: locally on the leader, otherwise over a link to the leader.
 
-    :param calls: carries calls out on the leader; None before the cluster is founded
+    :param calls: gives what executes calls on the leader; None before the cluster is founded
     :param leader_address: internal address of the known leader, or an empty string
-    :param leader_lost: called when the controller there can't be reached or leads no longer
+    :param leader_lost: called when the controller there cannot be reached or no longer leads
     """
 
     def __init__(
@@ -103,58 +103,58 @@
         self._keys = keys
         self._source_ip = source_ip
         self._link: _LeaderLink | None = None
-        self._dialling = curio.Lock()
-        self._answer_by = float("inf")
+        self._dial_lock = curio.Lock()
+        self._answer_deadline = float("inf")
         self._forwarded = InFlightCounter()
 
-    def stop_at(self, answer_by: float) -> None:
-        """Answer each call by a moment of the monotonic clock: the process ends soon after."""
-        self._answer_by = answer_by
+    def set_answer_deadline(self, deadline: float) -> None:
+        """Answer each call by this time of the monotonic clock; the process ends soon after."""
+        self._answer_deadline = deadline
 
     async def drain(self) -> None:
-        """Return once all calls that other controllers passed on are answered."""
+        """Return once all calls that other controllers forwarded are answered."""
         await self._forwarded.wait_until_idle()
 
     async def ask(self, call: Call, timeout_s: float) -> CallAnswer:
         """Return the answer to a call within ``timeout_s``."""
-        limit_s = min(timeout_s, self._answer_by - time.monotonic())
+        limit_s = min(timeout_s, self._answer_deadline - time.monotonic())
         async with curio.ignore_after(max(0.0, limit_s)):
             return await self._ask(call)
-        return _lost("no answer in time")
+        return _unknown_outcome("no answer in time")
 
     async def ask_leader(self, address: str, call: Call) -> CallAnswer:
-        """Ask the controller at an address over the link to the leader, which stays open."""
-        async with curio.ignore_after(ASK_LIMIT_S):
+        """Ask the controller at an address over the persistent link to the leader."""
+        async with curio.ignore_after(CALL_TIMEOUT_S):
             link = await self._leader_link(address)
             if link is None:
-                return _lost("not reached")
+                return _unknown_outcome("not reached")
             return await link.ask(call)
-        return _lost("no answer in time")
+        return _unknown_outcome("no answer in time")
 
     async def ask_at(self, address: str, call: Call) -> CallAnswer:
-        """Ask any controller over a link of its own."""
-        async with curio.ignore_after(ASK_LIMIT_S):
+        """Ask any controller over a link that is opened for this call."""
+        async with curio.ignore_after(CALL_TIMEOUT_S):
             return await self._ask_at(address, call)
-        return _lost("no answer in time")
+        return _unknown_outcome("no answer in time")
 
     async def _ask_at(self, address: str, call: Call) -> CallAnswer:
         dialled = await dial(address, self._identity, self._keys, self._source_ip, DIAL_TIMEOUT_S)
         if isinstance(dialled, Err):
-            return _lost(str(dialled.err_value))
+            return _unknown_outcome(str(dialled.err_value))
         link = dialled.ok_value
         try:
             await link.send(ForwardedCall(0, call))
             answered = await link.receive()
         except LinkClosedError as error:
-            return _lost(str(error))
+            return _unknown_outcome(str(error))
         finally:
             await link.close()
         if not isinstance(answered, ForwardedAnswer):
-            return _lost(f"unexpected {type(answered).__name__}")
+            return _unknown_outcome(f"unexpected {type(answered).__name__}")
         return answered.answer
 
     async def serve(self, link: Link) -> None:
-        """Answer the calls that another controller passes on."""
+        """Answer the calls that another controller forwards."""
         while True:
             message = await link.receive()
             if not isinstance(message, ForwardedCall):
@@ -163,7 +163,7 @@
 
     async def _answer_forwarded(self, link: Link, message: ForwardedCall) -> None:
         calls = self._calls()
-        answer = failed(Failure(ResultCode.NOT_LEADER))
+        answer = failure_answer(Failure(ResultCode.NOT_LEADER))
         with self._forwarded:
             if calls is not None:
                 answer = await calls.answer_forwarded(message.call)
@@ -172,7 +172,7 @@
     async def _ask(self, call: Call) -> CallAnswer:
         calls = self._calls()
         if calls is None:
-            return failed(Failure(ResultCode.NOT_LEADER, "No cluster is known yet."))
+            return failure_answer(Failure(ResultCode.NOT_LEADER, "No cluster is known yet."))
         answer = await calls.answer(call)
         if answer.code != ResultCode.NOT_LEADER.value.number:
             return answer
@@ -181,13 +181,13 @@
             return answer
         link = await self._leader_link(address)
         forwarded = answer if link is None else await link.ask(call)
-        if forwarded.code in LEADER_LOST:
+        if forwarded.code in LEADER_LOST_CODES:
             await self._leader_lost()
         return forwarded
 
     async def _leader_link(self, address: str) -> _LeaderLink | None:
-        """Return a link to the leader, opened anew when there is none; None when it fails."""
-        async with self._dialling:
+        """Return the open link to the leader, dialling if there is none; None if that fails."""
+        async with self._dial_lock:
             known = self._link
             if known is not None and known.is_open and known.address == address:
                 return known
--- a/limedyke/proxy/server.py
+++ b/limedyke/proxy/server.py
@@ -1,4 +1,4 @@
-"""The process ``limedyke proxy``: wires clients, back ends, control and status together."""
+"""The process ``limedyke proxy``: connects clients, back ends, control client and status page."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 from limedyke.transport.traffic import Place
 
 EXIT_FAILED = 1
-TURN_AWAY_S = 0.1
+REJECT_TIMEOUT_S = 0.1
 LEASE_CHECK_S = 1.0
 GAUGES_INTERVAL_S = 1.0
 MOCK_SECRET_PURPOSE = b"limedyke mock verifier"
@@ -68,9 +68,9 @@
         self._traffic = TrafficCounter(self._registry)
         self._directory = LoginDirectory()
         self._first_view = curio.Event()
-        self._drain_asked = curio.Event()
+        self._drain_requested = curio.Event()
         self._draining = False
-        self._bridge = ControlBridge(self._take_view)
+        self._bridge = ControlBridge(self._apply_view)
         store = ControlStore(settings.data_folder / "control")
         self._control = ControlClient(settings, secrets, store, self._bridge, self._traffic)
         self._control.limits.metrics = LimitMetrics(self._registry)
@@ -145,7 +145,7 @@
                 serve_status, settings.status_listen, self._registry, lambda: True, self._ready
             )
             await tasks.spawn(self._watch.run)
-            await tasks.spawn(self._bridge.keep_leases, LEASE_CHECK_S)
+            await tasks.spawn(self._bridge.forward_lease_renewals, LEASE_CHECK_S)
             await tasks.spawn(ReloadOnHangup(self._tls).run)
             await tasks.spawn(self._refresh_gauges)
             await tasks.spawn(self._await_stop_signal)
@@ -161,7 +161,7 @@
         LOG.info("serving", listen=self._settings.client_listen)
         acceptor = Acceptor(clients, self._admit, LOG)
         await curio.spawn(acceptor.run, daemon=True)
-        await self._drain_asked.wait()
+        await self._drain_requested.wait()
         self._draining = True
         self._metrics.draining.set(1)
         await acceptor.close()
@@ -173,22 +173,24 @@
         self._metrics.clients_accepted.inc()
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if not self._services.registry.has_room:
-            await curio.spawn(self._turn_away, sock, daemon=True)
+            await curio.spawn(self._reject_client, sock, daemon=True)
             return
         await curio.spawn(ClientConnection(sock, self._services).run, daemon=True)
 
-    async def _turn_away(self, sock: socket.socket) -> None:
+    async def _reject_client(self, sock: socket.socket) -> None:
         failure = Failure(ResultCode.TOO_MANY_CLIENTS, "The proxy is full.")
         self._metrics.count_refusal(ResultCode.TOO_MANY_CLIENTS)
         try:
-            await curio.ignore_after(TURN_AWAY_S, sock.sendall, failure_response(failure, "FATAL"))
+            await curio.ignore_after(
+                REJECT_TIMEOUT_S, sock.sendall, failure_response(failure, "FATAL")
+            )
             await sock.close()
         except OSError:
             return
 
-    # News from outside
+    # Control views and stop signals
 
-    async def _take_view(self, view: ControlView) -> None:
+    async def _apply_view(self, view: ControlView) -> None:
         revoked = self._directory.update(view)
         keys = {key.key_id: self._secrets.get(key.secret) for key in view.token_keys}
         missing = [key_id for key_id, value in keys.items() if not value]
@@ -203,13 +205,13 @@
             await self._watch.end_revoked(self._directory.is_allowed)
         await self._first_view.set()
         if self._control.view_confirmed and view.is_draining(self._settings.name):
-            await self._drain_asked.set()
+            await self._drain_requested.set()
 
     async def _await_stop_signal(self) -> None:
         await StopSignal().wait()
         LOG.info("stop-asked")
         await self._first_view.set()
-        await self._drain_asked.set()
+        await self._drain_requested.set()
         await curio.Event().wait()
 
     async def _refresh_gauges(self) -> None:
--- a/limedyke/proxy/statements/hedged_read.py
+++ b/limedyke/proxy/statements/hedged_read.py
@@ -1,4 +1,4 @@
-"""One read at a member and, when that one takes longer than it ever does, beside it at another."""
+"""A read that is also sent to a second member when the first takes unusually long."""
 
 from __future__ import annotations
 
@@ -14,44 +14,44 @@
 from limedyke.proxy.statements.members.member_pool import MemberPool
 from limedyke.proxy.statements.members.pinned_connection import PinnedConnection
 
-LEAST_PATIENCE_S = 0.1
-"""A read is not sent to a second member sooner: a healthy machine pauses for up to a tenth of a
-second when its share of a core is spent."""
-UNANSWERED = frozenset({AnswerKind.LOST, AnswerKind.TIMED_OUT})
-RAN_IN_VAIN = UNANSWERED | {AnswerKind.FAILED}
-"""A read that may have run, or failed, at one member may be tried at another: one that is ill fails
-what others serve."""
+MINIMUM_HEDGE_DELAY_S = 0.1
+"""Minimum delay, in seconds, before a read is sent to a second member: a healthy machine pauses for
+up to 0.1 s when its CPU quota is used up."""
+UNANSWERED_KINDS = frozenset({AnswerKind.LOST, AnswerKind.TIMED_OUT})
+RETRYABLE_READ_ANSWERS = UNANSWERED_KINDS | {AnswerKind.FAILED}
+"""Answers after which a read is tried at another member although it may have run: a faulty member
+fails reads that others serve."""
 
 
 @dataclass(frozen=True, slots=True)
 class SentRead:
-    """What a member answered to a read, and the connection that it ran on."""
+    """A member's answer to a read, and the connection that it ran on."""
 
     pinned: PinnedConnection
     answer: MemberAnswer
 
     @property
     def is_final(self) -> bool:
-        """Whether the read is over: it was served, or failed for good."""
-        return self.answer.kind not in NOT_RUN | RAN_IN_VAIN
+        """Whether no other member need be tried."""
+        return self.answer.kind not in NOT_RUN | RETRYABLE_READ_ANSWERS
 
     async def put_back(self, attempt: Attempt) -> None:
-        """Give the connection of a read that is not over back, and note why it was not served."""
+        """Return the connection of a read that is not final, and record why it failed."""
         kind = self.answer.kind
-        attempt.failed(kind, self.pinned.identity)
-        if kind in RAN_IN_VAIN:
-            attempt.runs += 1
-        if kind in UNANSWERED:
+        attempt.record_failure(kind, self.pinned.identity)
+        if kind in RETRYABLE_READ_ANSWERS:
+            attempt.possible_runs += 1
+        if kind in UNANSWERED_KINDS:
             await self.pinned.abandon()
         else:
             await self.pinned.release()
 
 
 @dataclass(frozen=True, slots=True)
-class SecondMember:
-    """Where a read may run beside the first member.
+class HedgeTarget:
+    """The second member for a hedged read.
 
-    :param after: position that the member's log must hold; None at the primary
+    :param after: log position that the member must hold; None for the primary
     """
 
     pool: MemberPool
@@ -59,50 +59,50 @@
 
 
 class HedgedRead:
-    """Runs one read at one member or two.
+    """Runs one read on one member or two.
 
-    The first is not broken off while it may still answer sooner; the first answer counts.
+    The first try continues when the second starts; the first final answer is used.
 
-    :param choose_second: returns another member that has room, or None
+    :param choose_hedge_target: returns another member with room, or None
     """
 
     def __init__(
         self,
         exchange: MemberExchange,
         attempt: Attempt,
-        choose_second: Callable[[], SecondMember | None],
+        choose_hedge_target: Callable[[], HedgeTarget | None],
     ) -> None:
         self._exchange = exchange
         self._attempt = attempt
-        self._choose_second = choose_second
+        self._choose_hedge_target = choose_hedge_target
         self._answered: list[SentRead] = []
 
     async def run(self, pinned: PinnedConnection, after: LogPosition | None) -> SentRead:
         """Return the first final answer, or the last one when none is final."""
-        if not self._attempt.may_run_again():
+        if not self._attempt.may_retry_read():
             return await self._ask(pinned, after)
         sent: SentRead | None = None
         try:
-            sent = await self._run_beside(pinned, after)
+            sent = await self._run_hedged(pinned, after)
         finally:
-            await self._give_back_all_but(sent)
+            await self._release_all_but(sent)
         return sent
 
-    async def _run_beside(self, pinned: PinnedConnection, after: LogPosition | None) -> SentRead:
+    async def _run_hedged(self, pinned: PinnedConnection, after: LogPosition | None) -> SentRead:
         async with curio.TaskGroup() as reads:
             await reads.spawn(self._ask, pinned, after)
             ended = None
-            async with curio.ignore_after(_patience_s(pinned)):
+            async with curio.ignore_after(_hedge_delay_s(pinned)):
                 ended = await reads.next_done()
             if ended is None:
-                await self._begin_second(reads)
+                await self._start_hedge(reads)
                 ended = await reads.next_done()
             sent = await self._first_final(reads, ended)
             await reads.cancel_remaining()
         return sent
 
-    async def _give_back_all_but(self, chosen: SentRead | None) -> None:
-        """Give back connections of answers that came too late to count, at the same moment even."""
+    async def _release_all_but(self, chosen: SentRead | None) -> None:
+        """Release the connections of all other answers, even of one that came at the same time."""
         for sent in self._answered:
             if sent is not chosen and not sent.pinned.is_given_back:
                 await sent.pinned.release()
@@ -119,14 +119,14 @@
             ended = await reads.next_done()
         return sent
 
-    async def _begin_second(self, reads: curio.TaskGroup) -> None:
-        second = self._choose_second()
+    async def _start_hedge(self, reads: curio.TaskGroup) -> None:
+        second = self._choose_hedge_target()
         if second is not None and self._attempt.may_be_sent():
             self._attempt.tried.add(second.pool.observed.record.identity)
-            self._exchange.second_begun()
+            self._exchange.count_hedged_read()
             await reads.spawn(self._connect_and_ask, second)
 
-    async def _connect_and_ask(self, second: SecondMember) -> SentRead | None:
+    async def _connect_and_ask(self, second: HedgeTarget) -> SentRead | None:
         wait_s = self._attempt.connection_wait_s(second.pool)
         pinned = await self._exchange.connect(second.pool, self._attempt, wait_s)
         return None if pinned is None else await self._ask(pinned, second.after)
@@ -139,5 +139,5 @@
         return sent
 
 
-def _patience_s(pinned: PinnedConnection) -> float:
-    return max(LEAST_PATIENCE_S, pinned.pool.observed.answer.longest_s)
+def _hedge_delay_s(pinned: PinnedConnection) -> float:
+    return max(MINIMUM_HEDGE_DELAY_S, pinned.pool.observed.answer.longest_s)
