--- a/limedyke/log_explanation.py
+++ b/limedyke/log_explanation.py
@@ -83,8 +83,7 @@
             malformed_count += 1
     parsed.sort(key=lambda line: line.at)
     request_lines = tuple(line for line in parsed if line.fields.get("request") == request)
-    context = _context_of(request_lines, parsed)
-    return Explanation(request, request_lines, context, malformed_count)
+    return Explanation(request, request_lines, _context_of(request_lines, parsed), malformed_count)
 
 
 def _context_of(request_lines: tuple[LogLine, ...], lines: list[LogLine]) -> tuple[LogLine, ...]:
