--- a/features/control_commands.feature
+++ b/features/control_commands.feature
@@ -5,7 +5,7 @@
     Given operators: three controllers and a proxy
     And operators: a plan waits
 
-  Scenario Outline: operators: what is refused, and how
+  Scenario Outline: operators: refused commands
     When operators: "<command>" is run as <operator>
     Then operators: the command exits with <status> and shows "<text>"
     And operators: nothing has changed
@@ -42,7 +42,7 @@
       | controller remove c9 --yes                 | anna     | 1      | c9 is no member        |
       | controller replace c9                      | anna     | 1      | c9 is no learner       |
 
-  Scenario Outline: operators: a controller that is gone is passed over
+  Scenario Outline: operators: an unreachable controller is skipped
     Given operators: the first address in the settings of <operator> <state>
     When operators: "status" is run as <operator>
     Then operators: the command exits with <status> and shows "<text>"
@@ -53,7 +53,7 @@
       | anna-gone  | is not listened to                | 0      | proxies linked |
       | bert-reset | closes each connection at once    | 1      | LD4006        |
 
-  Scenario Outline: operators: the interface is closed to others
+  Scenario Outline: operators: other peers can't use the operator interface
     When operators: <who> speaks to the leader
     Then operators: it gets no answer
     And operators: nothing has changed
@@ -64,7 +64,7 @@
       | a proxy that confirms a plan      |
       | a proxy that calls itself anna    |
 
-  Scenario Outline: operators: what needs no controller
+  Scenario Outline: operators: commands that need no controller
     When operators: "<command>" is run without settings
     Then operators: the command exits with <status> and shows "<text>"
 
