--- a/features/control_declarations.feature
+++ b/features/control_declarations.feature
@@ -1,19 +1,19 @@
 Feature: Operators' declarations
   Files are checked before anything is sent; each problem names file, line, key and reason.
 
-  Scenario: declarations: a whole declaration is read, its items in the order of their names
+  Scenario: declarations: a declaration is read with its items sorted by name
     Given declarations: the files of an example
     Then declarations: they are read with 2 tenants, 2 groups, 2 token keys and 1 proxies
-    And declarations: however the items are ordered and spread over files, it is the same
+    And declarations: the order of the items and their division into files make no difference
 
-  Scenario: declarations: what is left out has its default
+  Scenario: declarations: omitted values get their defaults
     Given declarations: the files of an example
     Then declarations: the defaults are those of the operators' page
 
   Scenario: declarations: the examples in the repository and on the operators' page are valid
-    Then declarations: each of them is read
+    Then declarations: each of them is valid
 
-  Scenario Outline: declarations: what is refused, and where
+  Scenario Outline: declarations: invalid values are reported with their location
     Given declarations: the files of an example
     When declarations: in "<file>" line <line> becomes "<text>"
     Then declarations: it is refused at "<file>" line <line> for "<key>" because "<reason>"
@@ -57,7 +57,7 @@
       | others.yaml  | 7    | - name: P1                   | proxies.P1.name                  | should match pattern       |
       | others.yaml  | 8    | draining: perhaps            | proxies.p1.draining              | valid boolean              |
 
-  Scenario Outline: declarations: files that can't be read as such
+  Scenario Outline: declarations: malformed files are refused
     Given declarations: the files of an example
     When declarations: "groups.yaml" holds <content>
     Then declarations: it is refused because "<reason>"
@@ -72,7 +72,7 @@
       | a scalar section     | groups.yaml:1: groups: expected a list |
       | a scalar item        | groups.yaml:2: groups.0: Input should be |
 
-  Scenario: declarations: a problem of several items stands where they begin
+  Scenario: declarations: a problem of a whole list is reported at its first item
     Given declarations: the files of an example
     When declarations: in "groups.yaml" line 11 becomes "leaving: true"
     Then declarations: it is refused at "groups.yaml" line 8 for "groups.core.members" because "all members are leaving"
@@ -82,8 +82,8 @@
     When declarations: "groups.yaml" holds nothing
     Then declarations: they are read with 2 tenants, 0 groups, 2 token keys and 1 proxies
 
-  Scenario: declarations: all problems are named at once
+  Scenario: declarations: all problems are reported at once
     Given declarations: the files of an example
     When declarations: in "groups.yaml" line 4 becomes "slots: 0"
     And declarations: in "tenants.yaml" line 3 becomes "client_limit: 0"
-    Then declarations: it is refused with 2 problems, one a line
+    Then declarations: it is refused with 2 problems, one per line
--- a/features/steps/control_declarations_steps.py
+++ b/features/steps/control_declarations_steps.py
@@ -1,4 +1,4 @@
-"""Steps on operators' declarations."""
+"""Steps for operators' declarations."""
 
 from __future__ import annotations
 
@@ -98,7 +98,7 @@
     assert names == sorted(names), names
 
 
-@then("declarations: however the items are ordered and spread over files, it is the same")
+@then("declarations: the order of the items and their division into files make no difference")
 def _(context):
     first = _load(context).unwrap()
     items = [
@@ -138,7 +138,7 @@
         assert f"| `{field}` | {default} |" in page, field
 
 
-@then("declarations: each of them is read")
+@then("declarations: each of them is valid")
 def _(context):
     page = (ROOT / "docs" / "DECLARATIONS.md").read_text()
     parts = []
@@ -187,7 +187,7 @@
     assert any(reason in problem for problem in problems), problems
 
 
-@then("declarations: it is refused with {count:d} problems, one a line")
+@then("declarations: it is refused with {count:d} problems, one per line")
 def _(context, count):
     problems = _problems(context)
     assert len(problems) == count and all(re.match(r"\w+\.yaml:\d+: ", p) for p in problems)
