--- a/features/foundation_settings.feature
+++ b/features/foundation_settings.feature
@@ -1,7 +1,7 @@
 Feature: Settings of a process
-  A settings file is checked whole before the process starts.
+  The whole settings file is validated before the process starts.
 
-  Scenario Outline: A valid settings file is taken with its defaults
+  Scenario Outline: A valid settings file is completed with defaults
     Given settings: the valid settings of a <process>
     When settings: the file is loaded
     Then settings: "<key>" is "<value>"
@@ -12,7 +12,7 @@
       | proxy      | maximum_clients       | 12000 |
       | controller | connection_lease_ms   | 30000 |
 
-  Scenario: A flag goes before the file
+  Scenario: A flag overrides the file
     Given settings: the valid settings of a proxy
     When settings: the file is loaded with the flag "zone" set to "z9"
     Then settings: "zone" is "z9"
@@ -53,7 +53,7 @@
   Scenario: Secrets are read by name and never shown
     Given settings: a secrets file with "cluster" set to "hush"
     Then settings: the secret "cluster" is "hush"
-    And settings: showing the secrets does not show "hush"
+    And settings: the text forms of the secrets do not contain "hush"
 
   Scenario: Every setting is on the operators' page
     Then settings: docs/SETTINGS.md lists every setting with its default
--- a/features/steps/foundation_settings_steps.py
+++ b/features/steps/foundation_settings_steps.py
@@ -103,7 +103,7 @@
     assert context.secrets.get(name) == value
 
 
-@then('settings: showing the secrets does not show "{value}"')
+@then('settings: the text forms of the secrets do not contain "{value}"')
 def step_hidden(context, value):
     assert value not in repr(context.secrets) + str(context.secrets)
 
