--- a/features/foundation_metrics.feature
+++ b/features/foundation_metrics.feature
@@ -1,8 +1,8 @@
 Feature: Metrics of the processes
-  A metric that nobody counts tells operators that nothing happens.
+  A metric that is never updated would tell operators that nothing happens.
 
   Scenario Outline: Every metric is counted somewhere in its process
-    Then metrics: each one of a <process> is used by its code
+    Then metrics: the code of a <process> uses each of its metrics
 
     Examples:
       | process    |
@@ -10,7 +10,7 @@
       | controller |
 
   Scenario: The operators' page names only metrics that exist
-    Then metrics: each name in docs/OPERATING.md is shown by a process
+    Then metrics: each name in docs/OPERATING.md is exported by a process
 
   Scenario Outline: A leader counts what it hears and decides
     When metrics: a leader <does>
@@ -30,8 +30,8 @@
       | records a primary 2 s after a loss | limedyke_controller_promotion_seconds_sum                        | 2     |
       | records a first primary            | limedyke_controller_promotion_seconds_count                      | 0     |
 
-  Scenario Outline: Counts of pools become gauges and growing counters
-    When metrics: the pools' opened connections are seen as <seen>
+  Scenario Outline: Pool counts become gauges and monotonic counters
+    When metrics: the pools report as opened connections, in turn, <seen>
     Then metrics: "limedyke_proxy_backend_opened_total{result=ok}" is <total>
 
     Examples:
--- a/features/steps/foundation_metrics_steps.py
+++ b/features/steps/foundation_metrics_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the metrics: each is counted, and the page names only those that exist."""
+"""Steps for the metrics: the code updates each one, and the page names only existing ones."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
 }
 
 
-@then("metrics: each one of a {process} is used by its code")
+@then("metrics: the code of a {process} uses each of its metrics")
 def step_used(context, process):
     metrics = CLASSES[process](CollectorRegistry())
     names = {name for name in vars(metrics) if not name.startswith("_")}
@@ -80,10 +80,10 @@
     if "count_read(" in text:
         names.discard("reads")
     unused = {name for name in names if not re.search(rf"metrics\.{name}\b", text)}
-    assert not unused, f"declared and never counted: {sorted(unused)}"
+    assert not unused, f"declared and never updated: {sorted(unused)}"
 
 
-@then("metrics: each name in docs/OPERATING.md is shown by a process")
+@then("metrics: each name in docs/OPERATING.md is exported by a process")
 def step_page(context):
     registry = new_registry()
     ProxyMetrics(registry)
@@ -103,7 +103,7 @@
     ACTIONS[does](LeaderMetrics(ControllerMetrics(context.registry)))
 
 
-@when("metrics: the pools' opened connections are seen as {seen}")
+@when("metrics: the pools report as opened connections, in turn, {seen}")
 def step_pools(context, seen):
     context.registry = CollectorRegistry()
     gauges = PoolGauges(ProxyMetrics(context.registry))
