--- a/features/foundation_pages.feature
+++ b/features/foundation_pages.feature
@@ -1,5 +1,5 @@
 Feature: Pages of the project
-  Whoever follows a page must arrive.
+  Links and examples in the pages must work.
 
   Scenario: Links lead to files
     Then pages: every relative link in README.md, CONTRIBUTING.md and docs leads to a file
@@ -7,5 +7,5 @@
   Scenario: The first declaration in README.md can be planned
     Then pages: the declaration in README.md is accepted
 
-  Scenario: The architecture names the modules that stand
+  Scenario: The architecture page lists the existing modules
     Then pages: docs/ARCHITECTURE.md names each module of the product once, and no other
--- a/features/steps/foundation_pages_steps.py
+++ b/features/steps/foundation_pages_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the project's pages: links and the first declaration."""
+"""Steps for the project's pages: links, the first declaration and the list of modules."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
     text = (ROOT / "docs" / "ARCHITECTURE.md").read_text()
     named = _named_modules(text[text.index("## Modules") : text.index("## What a group offers")])
     files = (path.relative_to(ROOT).as_posix() for path in (ROOT / "limedyke").rglob("*.py"))
-    standing = [file for file in files if not file.endswith("__init__.py")]
-    assert sorted(named) == sorted(standing), sorted(set(named) ^ set(standing))
+    existing = [file for file in files if not file.endswith("__init__.py")]
+    assert sorted(named) == sorted(existing), sorted(set(named) ^ set(existing))
 
 
 def _named_modules(tables: str) -> list[str]:
-    """Return the paths that the tables name; each table's head names its folder."""
+    """Return the module paths listed in the tables; each table's head gives the folder."""
     named = []
     folder = ""
     for line in tables.splitlines():
