--- a/features/foundation_runner.feature
+++ b/features/foundation_runner.feature
@@ -1,5 +1,5 @@
-Feature: The runner of the tests
-  Its verdict is the sum over all feature files, and only listed failures are let pass.
+Feature: The test runner
+  Its verdict is the sum over all feature files, and only listed failures are tolerated.
 
   Scenario Outline: A feature file that does not pass counts as failed
     Given runner: a project whose feature file <content>
@@ -16,7 +16,7 @@
       | holds no scenario        | 0      | (the whole file) |
       | never ends               | 0      | (the whole file) |
 
-  Scenario Outline: Only listed failures are let pass
+  Scenario Outline: Only listed failures are tolerated
     When runner: <failed> fail and the list holds <listed>
     Then runner: the unexpected failures are <unexpected>
 
@@ -42,7 +42,7 @@
       | an entry without issue         | refused  |
       | an entry of five fields        | refused  |
 
-  Scenario: A feature for fleets is told by its tag
+  Scenario: A fleet feature is recognised by its tag
     Then runner: a feature tagged @fleet runs alone, and one that only mentions it does not
 
   Scenario: Fleet features of two checkouts run in turn
--- a/features/steps/foundation_runner_steps.py
+++ b/features/steps/foundation_runner_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the runner of the tests."""
+"""Steps for the test runner."""
 
 from __future__ import annotations
 
--- a/features/support/behave_run.py
+++ b/features/support/behave_run.py
@@ -1,4 +1,4 @@
-"""Runs one feature file in its own behave process and reads its verdict."""
+"""Runs one feature file in its own behave process and parses the result."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
         output, _ = process.communicate(timeout=timeout_s)
         return process.returncode, output
     except subprocess.TimeoutExpired:
-        # The process leads its own group, which holds only what this feature started.
+        # The process has its own process group, which contains only this feature's processes.
         os.killpg(process.pid, signal.SIGKILL)
         output, _ = process.communicate(timeout=KILL_WAIT_S)
         return None, output
--- a/features/support/known_red.py
+++ b/features/support/known_red.py
@@ -21,7 +21,7 @@
     :param test: ``feature file:scenario name``
     :param command: the command that runs it, with its seed
     :param seen: what was observed
-    :param issue: number of the open issue that mends it
+    :param issue: number of the open issue about the failure
     """
 
     test: str
@@ -31,7 +31,7 @@
 
 
 def parse_known_red(text: str) -> tuple[KnownRed, ...]:
-    """Return the entries of the list; blank lines and lines starting with ``#`` don't count.
+    """Return the entries of the list; blank lines and lines starting with ``#`` are ignored.
 
     :raises KnownRedError: when a line is malformed or there are more than ``MAXIMUM_ENTRIES``
     """
--- a/features/support/platform_path.py
+++ b/features/support/platform_path.py
@@ -1,4 +1,4 @@
-"""Makes the modules of ``platform/`` importable by their own names, as its programs see them."""
+"""Adds ``platform/`` to the import path, so that its modules are top-level as in its programs."""
 
 from __future__ import annotations
 
--- a/features/support/run_features.py
+++ b/features/support/run_features.py
@@ -1,9 +1,9 @@
-"""Runs all feature files, several at once, and sums their verdicts.
+"""Runs all feature files, several in parallel, and sums up their results.
 
 Usage: ``python -m features.support.run_features [FEATURE ...]``.  Features tagged
 ``@fleet`` start many processes and run one at a time, after the others.  The last
-line is ``scenarios: N passed, N failed``; the exit code is 0 when nothing failed
-that is not listed in KNOWN-RED.txt.
+line is ``scenarios: N passed, N failed``; the exit code is 0 when every failure is
+listed in KNOWN-RED.txt.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 
 
 def is_fleet_feature(text: str) -> bool:
-    """Tell whether a feature file is tagged to run alone."""
+    """Return True if a feature file is tagged ``@fleet`` and must run alone."""
     head = text.split("Feature:", 1)[0]
     return FLEET_TAG.search(head) is not None
 
@@ -73,27 +73,27 @@
 
 @contextmanager
 def fleet_turn(lock: Path = FLEET_LOCK) -> Iterator[None]:
-    """Wait until no other checkout on this machine runs a fleet feature.
+    """Hold a lock that lets only one checkout on this machine run a fleet feature at a time.
 
-    Their processes listen on the same loopback addresses.
+    The processes of fleet features listen on the same loopback addresses in every checkout.
     """
     with lock.open("w") as held:
         fcntl.flock(held, fcntl.LOCK_EX)
         yield
 
 
-def _run_in_turn(feature: str) -> FeatureResult:
+def _run_fleet_feature(feature: str) -> FeatureResult:
     with fleet_turn():
         return _run_one(feature)
 
 
 def run_all(features: tuple[str, ...]) -> list[FeatureResult]:
     """Run the feature files, those tagged ``@fleet`` one at a time at the end."""
-    alone = [name for name in features if is_fleet_feature((ROOT / name).read_text())]
-    together = [name for name in features if name not in alone]
+    sequential = [name for name in features if is_fleet_feature((ROOT / name).read_text())]
+    parallel = [name for name in features if name not in sequential]
     with ThreadPoolExecutor(PARALLEL_FEATURES) as executor:
-        results = list(executor.map(_run_one, together))
-    results.extend(_run_in_turn(name) for name in alone)
+        results = list(executor.map(_run_one, parallel))
+    results.extend(_run_fleet_feature(name) for name in sequential)
     return results
 
 
