--- a/features/line_protocol.feature
+++ b/features/line_protocol.feature
@@ -1,11 +1,11 @@
 Feature: The platform's line protocol
-  Texts pass byte for byte, and nothing that a peer sends ends more than its own session.
+  Text is passed on byte for byte, and invalid input from a peer ends only that peer's session.
 
   Scenario Outline: line protocol: a client sends <sent>
     When line protocol: a client sends "<sent>"
-    Then line protocol: the proxy takes "<taken>"
+    Then line protocol: the proxy reads "<taken>"
 
-    Examples: what it takes
+    Examples: accepted lines
       | sent                                | taken                                  |
       | START db u1\r\n                     | session db                             |
       | START db\r\n                        | session db                             |
@@ -25,7 +25,7 @@
       | QUERY 1 READ x\r\nQUERY 2 READ y\r\n | read 1 READ x, read 2 READ y          |
       | QUERY 1 RE                          | nothing                                |
 
-    Examples: what it refuses
+    Examples: refused lines
       | sent                                | taken                                  |
       | QUERY 1a DROP x\r\n                 | malformed                              |
       | QUERY 1a WAITLSN 3.1 READ x\r\n     | malformed                              |
@@ -40,8 +40,8 @@
       | HELO\r\n                            | malformed                              |
       | GET / HTTP/1.1\r\n                  | malformed                              |
 
-  Scenario: line protocol: cut anywhere, the same is taken
-    Then line protocol: "START db u\r\nQUERY 1 READ x\r\nTERMINATE\r\n" is taken alike wherever it is cut
+  Scenario: line protocol: a stream gives the same events wherever it is split
+    Then line protocol: "START db u\r\nQUERY 1 READ x\r\nTERMINATE\r\n" gives the same events wherever it is split
 
   Scenario: line protocol: every byte passes
     Then line protocol: a write of all bytes but CR and LF reaches a member unchanged
@@ -59,10 +59,10 @@
     When line protocol: a client sends 1048600 bytes without an end
     Then line protocol: it is refused
 
-  Scenario Outline: line protocol: a client is told <code>
-    Then line protocol: result code <code> is told as <word>
+  Scenario Outline: line protocol: the word for result code <code>
+    Then line protocol: result code <code> is sent as <word>
 
-    Examples: words that promise that nothing is kept
+    Examples: words that mean that nothing was stored
       | code | word    |
       | 3002 | BUSY    |
       | 3003 | BUSY    |
@@ -72,7 +72,7 @@
       | 2005 | ABORTED |
       | 3014 | LAGGING |
 
-    Examples: words that promise nothing
+    Examples: other words
       | code | word      |
       | 3001 | INDOUBT   |
       | 3007 | INDOUBT   |
@@ -84,8 +84,8 @@
       | 1009 | NODB      |
       | 2006 | NOSTMT    |
 
-  Scenario: line protocol: no code that leaves the outcome open is told as a promise
-    Then line protocol: each result code is told as its outcome allows
+  Scenario: line protocol: words that mean that the request did not run are reserved for such codes
+    Then line protocol: only codes with the outcome did-not-run map to words that mean so
 
   Scenario Outline: line protocol: a member answers <sent>
     When line protocol: a member answers "<sent>"
@@ -116,5 +116,5 @@
     When line protocol: a member answers "DATAROW replica 3 3.1209 0 12 2 17\r\nCOMPLETE -\r\nREADY I 3.1204\r\n"
     Then line protocol: its status is a replica in term 3 that received 3.1209, 12 ms behind
 
-  Scenario: line protocol: what is no member's line
+  Scenario: line protocol: an invalid line from a member
     Then line protocol: a member's "WHAT is this\r\n" is an error
--- a/features/steps/line_protocol_steps.py
+++ b/features/steps/line_protocol_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the platform's line protocol."""
+"""Steps for the platform's line protocol."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from limedyke.result_codes import CODE_BY_NUMBER, Outcome
 from line_protocol import LineClientCodec, LineMemberCodec
 
-PROMISES = {"BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGNODE", "MAXCONN"}
+DID_NOT_RUN_WORDS = {"BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGNODE", "MAXCONN"}
 
 
 def unescape(text: str) -> bytes:
-    """Return the bytes that a text in a feature stands for."""
+    """Return the bytes of a text in a feature, with its escapes resolved."""
     return text.replace("\\r", "\r").replace("\\n", "\n").encode("latin-1")
 
 
 def describe_event(event: object) -> str:
-    """Return a client's event in the words of the feature."""
+    """Describe a client's event in the notation of the feature."""
     match event:
         case SessionRequested():
             return f"session {event.database}"
@@ -40,7 +40,7 @@
 
 
 def described(data: bytes, codec: LineClientCodec) -> str:
-    """Return all events of some bytes."""
+    """Feed bytes to a codec and describe all resulting events."""
     return ", ".join(describe_event(event) for event in codec.feed(data)) or "nothing"
 
 
@@ -49,12 +49,12 @@
     context.taken = described(unescape(sent), LineClientCodec())
 
 
-@then('line protocol: the proxy takes "{taken}"')
+@then('line protocol: the proxy reads "{taken}"')
 def step_taken(context, taken):
     assert context.taken == taken, context.taken
 
 
-@then('line protocol: "{sent}" is taken alike wherever it is cut')
+@then('line protocol: "{sent}" gives the same events wherever it is split')
 def step_cut_anywhere(context, sent):
     data = unescape(sent)
     whole = described(data, LineClientCodec())
@@ -102,21 +102,21 @@
 
 
 def word_of(number: int) -> str:
-    """Return the word that a client is told for a result code."""
-    told = LineClientCodec().answer(StatementAnswer(number), TransactionStatus.IDLE)
-    return told.split(b" ")[1].decode()
+    """Return the error word that is sent to a client for a result code."""
+    sent = LineClientCodec().answer(StatementAnswer(number), TransactionStatus.IDLE)
+    return sent.split(b" ")[1].decode()
 
 
-@then("line protocol: result code {number:d} is told as {word}")
-def step_told_as(context, number, word):
+@then("line protocol: result code {number:d} is sent as {word}")
+def step_sent_as(context, number, word):
     assert word_of(number) == word, word_of(number)
 
 
-@then("line protocol: each result code is told as its outcome allows")
-def step_promises(context):
+@then("line protocol: only codes with the outcome did-not-run map to words that mean so")
+def step_did_not_run_words(context):
     for number, code in CODE_BY_NUMBER.items():
         if code.outcome is not Outcome.DID_NOT_RUN:
-            assert word_of(number) not in PROMISES, code
+            assert word_of(number) not in DID_NOT_RUN_WORDS, code
 
 
 @when('line protocol: a member answers "{sent}"')
@@ -160,4 +160,4 @@
         codec.feed(unescape(sent))
     except ValueError:
         return
-    raise AssertionError("it was taken")
+    raise AssertionError("the line was accepted")
