--- a/features/platform_processes.feature
+++ b/features/platform_processes.feature
@@ -1,8 +1,8 @@
 @fleet
-Feature: The programs on the platform, as real processes
+Feature: The platform's programs as real processes
   Three controllers and two proxies on loopback; stand-ins for members, operator and authority.
 
-  Scenario: platform: from the first configuration through the loss of the primary and a controller
+  Scenario: platform: configuration, loss of the primary and loss of a controller
     Given platform: all processes started empty
     Then platform: no proxy is ready for 3 s, as nothing is declared
     And platform: a configuration with the database "db1" is acknowledged within 8 s
@@ -26,9 +26,9 @@
     Then platform: a client connects to the second proxy before it is loaded
     And platform: that client's session at "db1" opens within 8 s
 
-  Scenario Outline: platform: a process that starts while its settings are <state> waits for the rest: <program>
-  A controller ended at once, as its settings file was empty at that moment: "Invalid JSON: EOF while parsing a value
-  at line 1 column 0", "event=failed", status 1. Settings that change are empty or half written for a moment.
+  Scenario Outline: platform: a process that starts while its settings file is <state> waits for the rest: <program>
+  A settings file that is being rewritten is empty or half written for a moment. A controller that started just then
+  exited with status 1: "Invalid JSON: EOF while parsing a value at line 1 column 0", "event=failed".
     Given platform: all processes started empty
     Then platform: a configuration with the database "db1" is acknowledged within 8 s
     When platform: the <program> is killed, and started while its settings are <state>
@@ -43,18 +43,18 @@
       | first controller | half written |
       | second proxy     | half written |
 
-  Scenario: platform: a process whose settings are no settings ends, and says why
+  Scenario: platform: a process with an invalid settings file exits and logs the reason
     Given platform: all processes started empty
     When platform: the second proxy is killed, and started while its settings are half written
-    Then platform: the second proxy ends with 1 within 6 s, and tells "validation error for NodeFile"
+    Then platform: the second proxy exits with status 1 within 6 s and logs "validation error for NodeFile"
 
-  Scenario Outline: platform: the primary starts again empty, under its identity and at its address, and <says>
+  Scenario Outline: platform: the primary restarts empty under its identity and address, and <says>
     Given platform: all processes started empty
     Then platform: a configuration with the database "db1" is acknowledged within 8 s
     And platform: every proxy is ready within 5 s
     When platform: a client at the first proxy opens "db1"
     Then platform: it asks "WRITE x 1" and is told "done I" within 5 s
-    When platform: the primary starts again empty, and <says>
+    When platform: the primary restarts empty, and <says>
     Then platform: a client that reads x for 4 s is told "1 done I" or refused, and "1 done I" at the end
     And platform: one member was promoted
     And platform: it asks "WRITE x 2" and is told "done I" within 2 s
@@ -64,11 +64,11 @@
       | says that it leads   |
       | says that it follows |
 
-  Scenario: platform: records of another writer name no member, and the others serve on
+  Scenario: platform: malformed member records are refused, and service continues
     Given platform: all processes started empty
     Then platform: a configuration with the database "db1" is acknowledged within 8 s
     And platform: every proxy is ready within 5 s
-    When platform: each controller gets 20 records of another writer of each kind
+    When platform: each controller receives 20 malformed member records of each kind
     Then platform: all of them were refused with 400
     And platform: no process has ended
     When platform: a client at the first proxy opens "db1"
--- a/features/steps/platform_members_steps.py
+++ b/features/steps/platform_members_steps.py
@@ -1,4 +1,4 @@
-"""Steps on members of the platform that start again empty, and on records of another writer."""
+"""Steps for platform members that restart empty, and for malformed member records."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from limedyke.transport.http_client import HttpCall, call_http
 
 ASK_PAUSE_S = 0.02
-WHOLE = {
+VALID_RECORD = {
     "service": GROUP,
     "address": "127.31.8.8:1",
     "zone": "z1",
@@ -31,23 +31,25 @@
     "callSeq": 1,
     "born": 1_790_000_000_000,
 }
-FOREIGN_BODIES = (
+INVALID_BODIES = (
     b"",
     b"\xff\xfe\x00",
     b"[]",
-    json.dumps({**WHOLE, "state": "resting"}).encode(),
-    json.dumps({**WHOLE, "address": "127.31.8.8"}).encode(),
-    json.dumps({**WHOLE, "callSeq": "1"}).encode(),
-    json.dumps({**WHOLE, "born": "now"}).encode(),
-    json.dumps({**WHOLE, "service": ""}).encode(),
-    json.dumps({name: value for name, value in WHOLE.items() if name != "capacity"}).encode(),
+    json.dumps({**VALID_RECORD, "state": "resting"}).encode(),
+    json.dumps({**VALID_RECORD, "address": "127.31.8.8"}).encode(),
+    json.dumps({**VALID_RECORD, "callSeq": "1"}).encode(),
+    json.dumps({**VALID_RECORD, "born": "now"}).encode(),
+    json.dumps({**VALID_RECORD, "service": ""}).encode(),
+    json.dumps(
+        {name: value for name, value in VALID_RECORD.items() if name != "capacity"}
+    ).encode(),
 )
 IDENTITIES = ("a", "x", "x%20y", "x%0D%0Ay")
-"""Of a member, of nobody, and two that are none."""
+"""An existing member, an unknown one, and two invalid names."""
 REFUSALS = ("BUSY", "LAGGING", "TIMEOUT", "FAILED", "INDOUBT", "ABORTED")
 
 
-@when("platform: the primary starts again empty, and says that it {says:w}")
+@when("platform: the primary restarts empty, and says that it {says:w}")
 def step_start_again(context, says):
     group = context.deployment.group
     run(context, group.start_again, group.primary.identity, says == "leads")
@@ -59,8 +61,8 @@
 )
 def step_reads_on(context, seconds, told, last):
     answers = run(context, _read_on, seconds)
-    odd = [answer for answer in answers if answer != told and not answer.startswith(REFUSALS)]
-    assert not odd, odd[:3]
+    others = [answer for answer in answers if answer != told and not answer.startswith(REFUSALS)]
+    assert not others, others[:3]
     assert answers[-1] == last, answers[-5:]
 
 
@@ -78,16 +80,16 @@
     return answers
 
 
-@when("platform: each controller gets {count:d} records of another writer of each kind")
-def step_foreign(context, count):
-    context.statuses = run(context, _send_foreign, count)
+@when("platform: each controller receives {count:d} malformed member records of each kind")
+def step_invalid_records(context, count):
+    context.statuses = run(context, _send_invalid_records, count)
 
 
-async def _send_foreign(count: int) -> set[int | None]:
+async def _send_invalid_records(count: int) -> set[int | None]:
     statuses = set()
     for ip in CONTROLLERS:
         for _ in range(count):
-            for body in FOREIGN_BODIES:
+            for body in INVALID_BODIES:
                 for identity in IDENTITIES:
                     call = HttpCall("PUT", f"/instances/{identity}", body)
                     address = f"{ip}:{CONTROL_PORT}"
--- a/features/steps/platform_processes_steps.py
+++ b/features/steps/platform_processes_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the programs of the platform as real processes."""
+"""Steps for the platform's programs as real processes."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 async def open_session(ip: str, database: str) -> tuple[LineClient, str]:
-    """Open a session at a proxy; return the client and what it was told."""
+    """Open a session at a proxy; return the client and the summarized answer."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     await sock.connect((ip, FRONT_PORT))
     client = LineClient(sock)
@@ -222,7 +222,7 @@
     assert status is None, (status, context.deployment.log(MACHINES[machine])[-600:])
 
 
-@then('platform: the {machine} ends with {status:d} within {limit:d} s, and tells "{told}"')
+@then('platform: the {machine} exits with status {status:d} within {limit:d} s and logs "{told}"')
 def step_ends(context, machine, status, limit, told):
     deployment = context.deployment
     ip = MACHINES[machine]
