--- a/features/failure_explanation.feature
+++ b/features/failure_explanation.feature
@@ -1,9 +1,9 @@
 @fleet
 Feature: Three failed requests, explained from logs and metrics alone
-  Real processes on loopback. What the scenario did is known; the steps that explain it see only
-  what the processes wrote to standard output, and their metrics.
+  Runs real processes on loopback. The steps that explain a failure use only the processes'
+  standard output and metrics, not the scenario's knowledge of what went wrong.
 
-  Scenario: explained: an unknown outcome, a refusal and a request that nobody answered
+  Scenario: explained: an unknown outcome, a refusal and an unanswered request
     Given platform: all processes started empty
     Then platform: a configuration with the database "db1" is acknowledged within 8 s
     And platform: every proxy is ready within 5 s
@@ -11,18 +11,18 @@
     Then platform: it asks "WRITE x 1" and is told "done I" within 5 s
     When explained: the primary hangs, and the authority is down
     And explained: the client asks "WRITE x 2" and is told "TIMEOUT I"
-    Then explained: the logs say of it "event=not-served", "code=LD3012", "outcome=unknown", "no answer of a"
-    And explained: decisions before it hold "event=member-judged", "member=a", "health=unreachable"
+    Then explained: the logs say about it "event=not-served", "code=LD3012", "outcome=unknown", "no answer of a"
+    And explained: decisions before it include "event=member-judged", "member=a", "health=unreachable"
     And explained: metrics of the first proxy count an answer with "LD3012"
     When explained: 3 s later the client asks "WRITE x 3" and is told "BUSY I"
-    Then explained: the logs say of it "event=try-failed", "reason=no-primary-that-answers"
-    And explained: decisions before it hold "event=decision", "primary a doubted", "can't reach it"
-    And explained: decisions before it hold "event=primary-recorded", "primary=none"
-    And explained: decisions before it hold "event=authority-answered", "outcome=unknown"
-    And explained: the logs say of it "event=not-served", "code=LD3002", "outcome=did-not-run"
+    Then explained: the logs say about it "event=try-failed", "reason=no-primary-that-answers"
+    And explained: decisions before it include "event=decision", "primary a doubted", "can't reach it"
+    And explained: decisions before it include "event=primary-recorded", "primary=none"
+    And explained: decisions before it include "event=authority-answered", "outcome=unknown"
+    And explained: the logs say about it "event=not-served", "code=LD3002", "outcome=did-not-run"
     And explained: the logs say that it was told to come back in 200 to 2000 ms
     And explained: metrics of the first proxy count an answer with "LD3002"
     When explained: the first proxy is killed, the client asks "WRITE x 4" and is told "closed"
     When platform: every proxy is ready again within 8 s
-    Then explained: no line carries it
+    Then explained: no log line contains it
     And explained: the first proxy's log shows a start after it was asked
--- a/features/steps/failure_explanation_steps.py
+++ b/features/steps/failure_explanation_steps.py
@@ -65,7 +65,7 @@
     step_ready(context, limit)
 
 
-@then("explained: the logs say of it {words}")
+@then("explained: the logs say about it {words}")
 def step_own(context, words):
     explanation = _explanation(context)
     assert _holds(explanation.request_lines, words), explanation.request_lines
@@ -79,7 +79,7 @@
     assert least <= int(refused[-1].fields["retry_after_ms"]) <= most, refused
 
 
-@then("explained: decisions before it hold {words}")
+@then("explained: decisions before it include {words}")
 def step_decisions(context, words):
     explanation = _explanation(context)
     assert _holds(explanation.context, words), explanation.context
@@ -94,7 +94,7 @@
     assert re.search(pattern, text), [line for line in text.splitlines() if "answers_total" in line]
 
 
-@then("explained: no line carries it")
+@then("explained: no log line contains it")
 def step_no_line(context):
     assert not _explanation(context).request_lines, _explanation(context).request_lines
 
