--- a/features/support/line_platform/__init__.py
+++ b/features/support/line_platform/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform: members that speak its line protocol, and its authority."""
+"""Fakes of the platform: members that speak the line protocol, and the promotion authority."""
--- a/features/support/line_platform/deployment.py
+++ b/features/support/line_platform/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment on loopback: the two programs as processes, stand-ins for all around them."""
+"""A deployment on loopback: real controller and proxy processes, fakes for everything else."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 
 class Deployment:
-    """Three controllers, two proxies or more, one group of members.
+    """Three controllers, two or more proxies, and one group of members.
 
-    :param folder: for data, node files and logs
-    :param proxies: addresses of the machines of the proxies
-    :ivar seeds: the controllers that node files name
-    :ivar priorities: of databases, where they are not the usual one
+    :param folder: holds data, node files and logs
+    :param proxies: IP addresses of the proxies' machines
+    :ivar seeds: the controllers listed in node files
+    :ivar priorities: priority by database, where it differs from ``USUAL_PRIORITY``
     """
 
     def __init__(self, folder: Path, proxies: tuple[str, ...] = PROXIES) -> None:
@@ -46,7 +46,7 @@
         self.proxies = proxies
         self.seeds = CONTROLLERS
         self._processes: dict[str, subprocess.Popen] = {}
-        self._further: set[str] = set()
+        self._extra_controllers: set[str] = set()
         self.tenants: list[dict] | None = None
         self.priorities: dict[str, int] = {}
         self.group = StandInGroup(GROUP, ("a", "b", "c"))
@@ -57,7 +57,7 @@
         self._born_ms = int(time.time() * 1_000)
 
     async def start(self) -> None:
-        """Start the stand-ins and all processes."""
+        """Start the fakes and all processes."""
         await self.group.start()
         listener = listen(CLOUD_ADDRESS).unwrap()
         server = HttpServer(self._promote, HttpLimits(64 * 1024))
@@ -66,19 +66,19 @@
             self.start_process(ip, "run_controller.py", bootstrap=True)
         for ip in self.proxies:
             self.start_process(ip, "run_proxy.py", bootstrap=True)
-        await curio.spawn(self._beat, daemon=True)
+        await curio.spawn(self._send_heartbeats, daemon=True)
 
     def start_controller(self, ip: str) -> None:
-        """Start a controller that is none of the seeds."""
-        self._further.add(ip)
+        """Start a controller that is not a seed."""
+        self._extra_controllers.add(ip)
         self.start_process(ip, "run_controller.py", bootstrap=True)
 
     def start_process(
         self, ip: str, program: str, bootstrap: bool = False, written: str | None = None
     ) -> None:
-        """Start one process with a node file of its own.
+        """Start one process with its own node file.
 
-        :param written: what is written of the file by then; None for all of it
+        :param written: content of the node file at the start; None for the complete file
         """
         path = self.write_node_file(ip, bootstrap)
         if written is not None:
@@ -99,13 +99,13 @@
         return PLATFORM_FOLDER
 
     def write_node_file(self, ip: str, bootstrap: bool = False) -> Path:
-        """Write a machine's node file as it is now; return its path."""
+        """Write the current node file of a machine; return its path."""
         path = self._folder / f"{ip}.json"
         path.write_text(json.dumps(self._node_file(ip, bootstrap)))
         return path
 
     def _node_file(self, ip: str, bootstrap: bool) -> dict:
-        is_controller = ip in CONTROLLERS or ip in self._further
+        is_controller = ip in CONTROLLERS or ip in self._extra_controllers
         front = {"front": f"{ip}:{FRONT_PORT}", "readiness": f"{ip}:{READY_PORT}"}
         return {
             "nodeName": ip,
@@ -122,11 +122,11 @@
         }
 
     def process(self, ip: str) -> subprocess.Popen:
-        """Return the newest process of a machine."""
+        """Return the most recently started process of a machine."""
         return self._processes[ip]
 
     def kill(self, ip: str) -> None:
-        """Kill a process."""
+        """Kill a machine's process and wait for its end."""
         self._processes[ip].kill()
         self._processes[ip].wait()
 
@@ -139,7 +139,7 @@
         return self._folder / ip
 
     async def stop(self) -> None:
-        """End everything that was started."""
+        """Kill all processes and stop the members."""
         for process in self._processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGKILL)
@@ -147,9 +147,9 @@
         await self.group.stop()
 
     async def wait_until(self, condition, seconds: float, what: str) -> None:
-        """Wait until a coroutine function gives True.
+        """Poll a coroutine function until it returns True.
 
-        :raises AssertionError: when it doesn't in time
+        :raises AssertionError: when it does not return True in time
         """
         end = time.monotonic() + seconds
         while time.monotonic() < end:
@@ -159,19 +159,19 @@
         raise AssertionError(f"not in {seconds} s: {what}; logs in {self._folder}")
 
     async def is_ready(self, ip: str) -> bool:
-        """Tell whether a proxy says that it is ready."""
+        """Return True if a proxy's readiness endpoint reports ready."""
         call = HttpCall("GET", "/ready", b"")
         return await call_http(f"{ip}:{READY_PORT}", call, CALL_TIMEOUT_S) == 200
 
     async def declare(self, databases: tuple[str, ...], ip: str = CONTROLLERS[0]) -> int | None:
-        """Send the next version of the configuration; return the status."""
+        """Send the next version of the configuration; return the HTTP status."""
         self.version += 1
         return await self.send_configuration(self.version, databases, ip)
 
     async def send_configuration(
         self, version: int, databases: tuple[str, ...], ip: str = CONTROLLERS[0]
     ) -> int | None:
-        """Send a configuration under a version; return the status."""
+        """Send a configuration with the given version; return the HTTP status."""
         routes = [
             {
                 "name": f"r-{name}",
@@ -195,12 +195,12 @@
         return await call_http(f"{ip}:{CONTROL_PORT}", call, CALL_TIMEOUT_S)
 
     async def read_status(self, ip: str) -> int | None:
-        """Return the status of a read of the configuration at a controller."""
+        """Read the configuration from a controller; return the HTTP status."""
         call = HttpCall("GET", "/config", b"")
         return await call_http(f"{ip}:{CONTROL_PORT}", call, CALL_TIMEOUT_S)
 
     async def _promote(self, request: HttpRequest) -> HttpAnswer:
-        """Promote a member a little later, as the authority does."""
+        """Accept a promotion request and promote the member after a short delay."""
         if self.authority_is_down:
             return HttpAnswer(503)
         identity = json.loads(request.body)["id"]
@@ -208,15 +208,15 @@
         if member.task.terminated:
             return HttpAnswer(409)
         self.promotions.append((identity, len(self.promotions)))
-        await curio.spawn(self._carry_out, identity, daemon=True)
+        await curio.spawn(self._promote_later, identity, daemon=True)
         return HttpAnswer(200)
 
-    async def _carry_out(self, identity: str) -> None:
+    async def _promote_later(self, identity: str) -> None:
         await curio.sleep(PROMOTE_S)
         self.group.promote(identity)
         await self._announce(self.group.members[identity])
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             for member in self.group.members.values():
                 if not member.task.terminated:
@@ -224,11 +224,11 @@
             await curio.sleep(HEARTBEAT_S)
 
     def address_of(self, member: StandInMember) -> str:
-        """Return where a member says that it is reached."""
+        """Return the address that a member announces."""
         return member.address
 
     async def _announce(self, member: StandInMember) -> None:
-        """Announce a member at the first controller that acknowledges it."""
+        """Announce a member; try the controllers in order until one acknowledges."""
         body = {
             "service": GROUP,
             "address": self.address_of(member),
