--- a/features/support/line_platform/group.py
+++ b/features/support/line_platform/group.py
@@ -1,4 +1,4 @@
-"""A stand-in group: a primary, replicas that lag, promotion, and switches for its faults."""
+"""A fake group: a primary, lagging replicas, promotion and fault injection."""
 
 from __future__ import annotations
 
@@ -15,7 +15,19 @@
 
 @dataclass(slots=True)
 class MemberFaults:
-    """What goes wrong at a member."""
+    """Faults injected at a member.
+
+    :ivar busy: number of statements still to be refused as busy
+    :ivar fail_reads: number of reads still to fail
+    :ivar lose_answers: number of answers still to be lost with a connection reset
+    :ivar busy_after_loss: refuse all statements as busy after a lost answer
+    :ivar silent: answer no statement
+    :ivar resets_when_full: reset connections beyond the limit instead of refusing them
+    :ivar lag_s: replication delay; 0 for the group's default
+    :ivar deaf: receive no commits from the primary
+    :ivar work_s: execution time of a read
+    :ivar answers_travel_s: delay of each answer
+    """
 
     busy: int = 0
     fail_reads: int = 0
@@ -31,7 +43,7 @@
 
 @dataclass(slots=True)
 class StandInMember:
-    """One member of a stand-in group."""
+    """One member of a fake group."""
 
     identity: str
     group: StandInGroup
@@ -50,12 +62,12 @@
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The listen address."""
         return f"127.0.0.1:{self.port}"
 
 
 class StandInGroup:
-    """All members, and the record of what they ran and of what commits were acknowledged."""
+    """All members of a group, with a record of the statements run and commits acknowledged."""
 
     def __init__(self, name: str, identities: tuple[str, ...], lag_s: float = 0.0) -> None:
         self.name = name
@@ -71,16 +83,16 @@
 
     @property
     def primary(self) -> StandInMember | None:
-        """The member that leads."""
+        """The primary, or None."""
         return next((m for m in self.members.values() if m.is_primary), None)
 
     async def start(self) -> None:
-        """Have all members listen on loopback."""
+        """Start all members on loopback."""
         for member in self.members.values():
             await self.start_member(member)
 
     async def start_member(self, member: StandInMember) -> None:
-        """Have one member listen, at its old port if it had one."""
+        """Start one member, on its previous port if it had one."""
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind(("127.0.0.1", member.port))
@@ -90,11 +102,11 @@
         member.task = await curio.spawn(self._accept, member, listener, daemon=True)
 
     async def start_again(self, identity: str, leads: bool) -> None:
-        """Have a member crash and start again under its identity and at its address, empty.
+        """Crash a member and restart it empty, under the same identity and address.
 
-        It receives nothing until it catches up.
+        As a replica it receives no commits until ``catch_up``.
 
-        :param leads: it says that it is the primary
+        :param leads: whether it claims to be the primary
         """
         member = self.members[identity]
         if not member.task.terminated:
@@ -106,7 +118,7 @@
         member.is_primary = leads
 
     def catch_up(self, identity: str) -> bool:
-        """Have a member copy the primary's log; False when no other member leads."""
+        """Copy the primary's log to a member; return False if no other member is primary."""
         member = self.members[identity]
         lead = self.primary
         if lead is None or lead is member:
@@ -117,7 +129,7 @@
         return True
 
     async def crash(self, identity: str) -> None:
-        """End a member: its connections are reset, its port refuses."""
+        """Crash a member: reset its connections and close its port."""
         member = self.members[identity]
         member.is_primary = False
         await member.task.cancel()
@@ -126,7 +138,7 @@
             await session.abort()
 
     async def restart(self, identity: str) -> None:
-        """Start a crashed member with its log: as primary, if no other was promoted meanwhile."""
+        """Restart a crashed member with its log; it is the primary if no other was promoted."""
         member = self.members[identity]
         member.is_primary = self.primary is None
         lead = self.primary
@@ -136,13 +148,13 @@
         await self.start_member(member)
 
     async def stop(self) -> None:
-        """End all members that still listen."""
+        """Stop all members that are running."""
         for name, member in self.members.items():
             if member.task is not None and not member.task.terminated:
                 await self.crash(name)
 
     def promote(self, identity: str) -> None:
-        """Make a member the primary of the next term; replicas ahead of it are rolled back."""
+        """Make a member the primary of the next term; roll back replicas that are ahead of it."""
         for member in self.members.values():
             member.is_primary = member.identity == identity
         self.term += 1
@@ -157,13 +169,13 @@
                 log.applied = min(log.applied, keep)
 
     def signature(self) -> str:
-        """Return the next signature."""
+        """Return a new unique statement signature."""
         return f"sig{next(self._signatures)}"
 
     async def commit(
         self, member: StandInMember, request_id: str, writes: tuple[tuple[str, str], ...]
     ) -> Commit:
-        """Add a commit to the primary's log, and pass it on to the replicas."""
+        """Append a commit to the primary's log and replicate it."""
         commit = Commit(self.term, next(self._numbers), request_id, writes)
         member.log.commits.append(commit)
         member.log.applied = len(member.log.commits)
@@ -180,11 +192,11 @@
         member.log.applied = max(member.log.applied, min(count, len(member.log.commits)))
 
     def note_run(self, run: Run) -> None:
-        """Keep what a member ran."""
+        """Record a statement that a member ran."""
         self.runs.append(run)
 
     def note_acknowledged(self, commit: Commit) -> None:
-        """Keep when a commit was acknowledged."""
+        """Record an acknowledged commit and its time."""
         self.acknowledged.append((time.monotonic(), commit))
 
     async def _accept(self, member: StandInMember, listener: socket.socket) -> None:
--- a/features/support/line_platform/member_log.py
+++ b/features/support/line_platform/member_log.py
@@ -1,4 +1,4 @@
-"""The log of a stand-in group: commits, what each replica has received and applied."""
+"""The log of a fake group's members: received and applied commits."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    """One commit that writes: its place, who asked for it and what it wrote."""
+    """One commit with writes: its log position, request id and written values."""
 
     term: int
     number: int
@@ -17,27 +17,27 @@
 
 @dataclass(slots=True)
 class MemberLog:
-    """What one member holds; ``applied`` counts the commits that its reads see."""
+    """The log of one member; ``applied`` is the number of commits visible to reads."""
 
     commits: list[Commit] = field(default_factory=list)
     applied: int = 0
 
     def position(self, term: int) -> str:
-        """Return the position of what is applied, under the member's term."""
+        """Return the position of the last applied commit, or position 0 of ``term``."""
         if self.applied == 0:
             return f"{term}.0"
         last = self.commits[self.applied - 1]
         return f"{last.term}.{last.number}"
 
     def holds(self, position: str) -> bool:
-        """Tell whether reads see everything up to a position."""
+        """Return True if all commits up to a position are applied."""
         term, _, number = position.partition(".")
         last = self.commits[self.applied - 1] if self.applied else None
         own = (last.term, last.number) if last is not None else (0, 0)
         return own >= (int(term), int(number))
 
     def value_of(self, thing: str) -> str:
-        """Return what reads see of a thing; a dash when nothing was written."""
+        """Return the applied value of a key, or a dash if it was never written."""
         for commit in reversed(self.commits[: self.applied]):
             for name, data in reversed(commit.writes):
                 if name == thing:
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Run:
-    """A statement that a member ran for a client; ``tenant`` as its connection told it."""
+    """A statement that a member ran for a client; ``tenant`` was named by its connection."""
 
     member: str
     request_id: str
