--- a/features/support/line_platform/member_session.py
+++ b/features/support/line_platform/member_session.py
@@ -1,4 +1,4 @@
-"""One connection to a stand-in member, by the words of the platform's pages."""
+"""The server side of a connection to a fake member, as specified by the platform's protocol."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 RESET = struct.pack("ii", 1, 0)
 OWN_ID = "-"
 ALWAYS = 10**6
-"""A fault that should not end by itself comes so often."""
+"""Number of repetitions of a fault that should not end by itself."""
 
 
 class MemberSession:
@@ -36,7 +36,7 @@
         self.is_silent = False
 
     async def run(self) -> None:
-        """Serve until the connection ends."""
+        """Serve until the connection closes."""
         member = self._member
         member.sessions.add(self)
         try:
@@ -49,7 +49,7 @@
             await self._socket.close()
 
     async def abort(self) -> None:
-        """Reset the connection, unless its other end has closed it already."""
+        """Reset the connection unless the peer has already closed it."""
         try:
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             await self._socket.shutdown(socket.SHUT_RDWR)
@@ -234,7 +234,10 @@
             group.note_acknowledged(commit)
 
     async def _answer(self, *rows: str) -> bool:
-        """Answer a statement that ran, or lose the answer; tell whether it was sent."""
+        """Answer an executed statement, or drop the answer if so configured.
+
+        :returns: whether the answer was sent
+        """
         if self._member.faults.lose_answers:
             self._member.faults.lose_answers -= 1
             if self._member.faults.busy_after_loss:
