--- a/features/platform_processes.feature
+++ b/features/platform_processes.feature
@@ -8,11 +8,11 @@
     And platform: a configuration with the database "db1" is acknowledged within 8 s
     And platform: every proxy is ready within 5 s
     When platform: a client at the first proxy opens "db1"
-    Then platform: it asks "WRITE x 1" and is told "done I" within 5 s
-    And platform: it asks "READ x" and is told "1 done I" within 1 s
+    Then platform: it sends "WRITE x 1" and receives "done I" within 5 s
+    And platform: it sends "READ x" and receives "1 done I" within 1 s
     And platform: a client at the second proxy reads "1" from x within 3 s
     When platform: the primary crashes
-    Then platform: it asks "WRITE x 2" and is told "done I" within 8 s
+    Then platform: it sends "WRITE x 2" and receives "done I" within 8 s
     And platform: one member was promoted
     When platform: the first controller is killed
     Then platform: a configuration with the database "db2" is acknowledged within 8 s
@@ -53,11 +53,11 @@
     Then platform: a configuration with the database "db1" is acknowledged within 8 s
     And platform: every proxy is ready within 5 s
     When platform: a client at the first proxy opens "db1"
-    Then platform: it asks "WRITE x 1" and is told "done I" within 5 s
+    Then platform: it sends "WRITE x 1" and receives "done I" within 5 s
     When platform: the primary restarts empty, and <says>
-    Then platform: a client that reads x for 4 s is told "1 done I" or refused, and "1 done I" at the end
+    Then platform: a client that reads x for 4 s receives "1 done I" or a refusal, and "1 done I" at the end
     And platform: one member was promoted
-    And platform: it asks "WRITE x 2" and is told "done I" within 2 s
+    And platform: it sends "WRITE x 2" and receives "done I" within 2 s
 
     Examples:
       | says                 |
@@ -72,4 +72,4 @@
     Then platform: all of them were refused with 400
     And platform: no process has ended
     When platform: a client at the first proxy opens "db1"
-    Then platform: it asks "WRITE x 1" and is told "done I" within 2 s
+    Then platform: it sends "WRITE x 1" and receives "done I" within 2 s
--- a/features/steps/failure_explanation_steps.py
+++ b/features/steps/failure_explanation_steps.py
@@ -40,23 +40,25 @@
     context.deployment.group.primary.faults.silent = True
 
 
-@when('explained: the client asks "{asked}" and is told "{told}"')
-def step_asks(context, asked, told):
-    answer = run(context, context.client.ask, asked)
-    assert answer == told, answer
+@when('explained: the client sends "{statement}" and receives "{expected}"')
+def step_asks(context, statement, expected):
+    answer = run(context, context.client.ask, statement)
+    assert answer == expected, answer
 
 
-@when('explained: {seconds:d} s later the client asks "{asked}" and is told "{told}"')
-def step_asks_later(context, seconds, asked, told):
+@when('explained: {seconds:d} s later the client sends "{statement}" and receives "{expected}"')
+def step_asks_later(context, seconds, statement, expected):
     run(context, curio.sleep, seconds)
-    step_asks(context, asked, told)
+    step_asks(context, statement, expected)
 
 
-@when('explained: the first proxy is killed, the client asks "{asked}" and is told "{told}"')
-def step_killed(context, asked, told):
+@when(
+    'explained: the first proxy is killed, the client sends "{statement}" and receives "{expected}"'
+)
+def step_killed(context, statement, expected):
     context.deployment.kill(PROXIES[0])
     context.asked_at = datetime.now(UTC).replace(tzinfo=None)
-    step_asks(context, asked, told)
+    step_asks(context, statement, expected)
     context.deployment.start_process(PROXIES[0], "run_proxy.py")
 
 
@@ -71,8 +73,8 @@
     assert _holds(explanation.request_lines, words), explanation.request_lines
 
 
-@then("explained: the logs say that it was told to come back in {least:d} to {most:d} ms")
-def step_come_back(context, least, most):
+@then("explained: the logs contain a retry delay of {least:d} to {most:d} ms for it")
+def step_retry_delay(context, least, most):
     refused = [
         line for line in _explanation(context).request_lines if line.fields["event"] == "not-served"
     ]
--- a/features/steps/platform_members_steps.py
+++ b/features/steps/platform_members_steps.py
@@ -57,11 +57,13 @@
 
 @then(
     "platform: a client that reads x for {seconds:d} s "
-    'is told "{told}" or refused, and "{last}" at the end'
+    'receives "{expected}" or a refusal, and "{last}" at the end'
 )
-def step_reads_on(context, seconds, told, last):
+def step_reads_on(context, seconds, expected, last):
     answers = run(context, _read_on, seconds)
-    others = [answer for answer in answers if answer != told and not answer.startswith(REFUSALS)]
+    others = [
+        answer for answer in answers if answer != expected and not answer.startswith(REFUSALS)
+    ]
     assert not others, others[:3]
     assert answers[-1] == last, answers[-5:]
 
--- a/features/steps/platform_processes_steps.py
+++ b/features/steps/platform_processes_steps.py
@@ -87,15 +87,15 @@
     assert told == "I", told
 
 
-@then('platform: it asks "{asked}" and is told "{told}" within {limit:d} s')
-def step_asks(context, asked, told, limit):
+@then('platform: it sends "{statement}" and receives "{expected}" within {limit:d} s')
+def step_asks(context, statement, expected, limit):
     answers = []
 
-    async def asked_with_success() -> bool:
-        answers.append(await context.client.ask(asked))
-        return answers[-1] == told
+    async def is_answered() -> bool:
+        answers.append(await context.client.ask(statement))
+        return answers[-1] == expected
 
-    run(context, context.deployment.wait_until, asked_with_success, limit, f"{told}: {answers}")
+    run(context, context.deployment.wait_until, is_answered, limit, f"{expected}: {answers}")
 
 
 @then('platform: a client at the second proxy reads "{value}" from x within {limit:d} s')
