--- a/limedyke_lab/demo.py
+++ b/limedyke_lab/demo.py
@@ -8,11 +8,11 @@
 from limedyke_lab.checkers import consistency, measures, transactions, writes
 from limedyke_lab.checkers.fault_windows import KILL, UNDO
 from limedyke_lab.checkers.report import (
-    ALWAYS_WITH_MATERIAL,
+    CHECKERS_REQUIRING_CASES,
     check_all,
+    checkers_without_cases,
     count_by_checker,
     describe,
-    without_material,
 )
 from limedyke_lab.checkers.revisions import CONFIRMED, IN_FORCE, REVISIONS
 from limedyke_lab.fleet.fleet import Fleet, FleetOptions
@@ -64,7 +64,7 @@
     """
     violations = check_all(history)
     print("\n".join(describe(history, violations)))
-    nothing = without_material(history, (*ALWAYS_WITH_MATERIAL, REVISIONS, IN_FORCE))
+    nothing = checkers_without_cases(history, (*CHECKERS_REQUIRING_CASES, REVISIONS, IN_FORCE))
     if nothing:
         _say(f"too little to judge: {', '.join(nothing)}")
     print(summary(history), flush=True)
@@ -119,7 +119,7 @@
     gaps = [gap.gap_ms for gap in measures.failover_gaps(history)]
     mixed = counts[consistency.ANSWERS] + counts[transactions.TRANSACTIONS]
     values = {
-        "statements": measures.statements_done(history),
+        "statements": measures.count_done_operations(history),
         "replica_read_share": f"{measures.read_share(history).share:.3f}",
         "failover_gap_ms": f"{max(gaps, default=float('nan')):.0f}",
         "stale_reads": counts[consistency.READ_YOUR_WRITES],
