--- a/features/steps/failure_explanation_steps.py
+++ b/features/steps/failure_explanation_steps.py
@@ -40,23 +40,25 @@
     context.deployment.group.primary.faults.silent = True
 
 
-@when('explained: the client asks "{asked}" and is told "{told}"')
-def step_asks(context, asked, told):
-    answer = run(context, context.client.ask, asked)
-    assert answer == told, answer
+@when('explained: the client sends "{statement}" and receives "{expected}"')
+def step_asks(context, statement, expected):
+    answer = run(context, context.client.ask, statement)
+    assert answer == expected, answer
 
 
-@when('explained: {seconds:d} s later the client asks "{asked}" and is told "{told}"')
-def step_asks_later(context, seconds, asked, told):
+@when('explained: {seconds:d} s later the client sends "{statement}" and receives "{expected}"')
+def step_asks_later(context, seconds, statement, expected):
     run(context, curio.sleep, seconds)
-    step_asks(context, asked, told)
+    step_asks(context, statement, expected)
 
 
-@when('explained: the first proxy is killed, the client asks "{asked}" and is told "{told}"')
-def step_killed(context, asked, told):
+@when(
+    'explained: the first proxy is killed, the client sends "{statement}" and receives "{expected}"'
+)
+def step_killed(context, statement, expected):
     context.deployment.kill(PROXIES[0])
     context.asked_at = datetime.now(UTC).replace(tzinfo=None)
-    step_asks(context, asked, told)
+    step_asks(context, statement, expected)
     context.deployment.start_process(PROXIES[0], "run_proxy.py")
 
 
@@ -65,19 +67,21 @@
     step_ready(context, limit)
 
 
-@then("explained: the logs say of it {words}")
+@then("explained: the logs say about it {words}")
 def step_own(context, words):
     explanation = _explanation(context)
-    assert _holds(explanation.own, words), explanation.own
+    assert _holds(explanation.request_lines, words), explanation.request_lines
 
 
-@then("explained: the logs say that it was told to come back in {least:d} to {most:d} ms")
-def step_come_back(context, least, most):
-    refused = [line for line in _explanation(context).own if line.fields["event"] == "not-served"]
+@then("explained: the logs contain a retry delay of {least:d} to {most:d} ms for it")
+def step_retry_delay(context, least, most):
+    refused = [
+        line for line in _explanation(context).request_lines if line.fields["event"] == "not-served"
+    ]
     assert least <= int(refused[-1].fields["retry_after_ms"]) <= most, refused
 
 
-@then("explained: decisions before it hold {words}")
+@then("explained: decisions before it include {words}")
 def step_decisions(context, words):
     explanation = _explanation(context)
     assert _holds(explanation.context, words), explanation.context
@@ -92,9 +96,9 @@
     assert re.search(pattern, text), [line for line in text.splitlines() if "answers_total" in line]
 
 
-@then("explained: no line carries it")
+@then("explained: no log line contains it")
 def step_no_line(context):
-    assert not _explanation(context).own, _explanation(context).own
+    assert not _explanation(context).request_lines, _explanation(context).request_lines
 
 
 @then("explained: the first proxy's log shows a start after it was asked")
--- a/features/steps/platform_processes_steps.py
+++ b/features/steps/platform_processes_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the programs of the platform as real processes."""
+"""Steps for the platform's programs as real processes."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 async def open_session(ip: str, database: str) -> tuple[LineClient, str]:
-    """Open a session at a proxy; return the client and what it was told."""
+    """Open a session at a proxy; return the client and the summarized answer."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     await sock.connect((ip, FRONT_PORT))
     client = LineClient(sock)
@@ -87,15 +87,15 @@
     assert told == "I", told
 
 
-@then('platform: it asks "{asked}" and is told "{told}" within {limit:d} s')
-def step_asks(context, asked, told, limit):
+@then('platform: it sends "{statement}" and receives "{expected}" within {limit:d} s')
+def step_asks(context, statement, expected, limit):
     answers = []
 
-    async def asked_with_success() -> bool:
-        answers.append(await context.client.ask(asked))
-        return answers[-1] == told
+    async def is_answered() -> bool:
+        answers.append(await context.client.ask(statement))
+        return answers[-1] == expected
 
-    run(context, context.deployment.wait_until, asked_with_success, limit, f"{told}: {answers}")
+    run(context, context.deployment.wait_until, is_answered, limit, f"{expected}: {answers}")
 
 
 @then('platform: a client at the second proxy reads "{value}" from x within {limit:d} s')
@@ -222,7 +222,7 @@
     assert status is None, (status, context.deployment.log(MACHINES[machine])[-600:])
 
 
-@then('platform: the {machine} ends with {status:d} within {limit:d} s, and tells "{told}"')
+@then('platform: the {machine} exits with status {status:d} within {limit:d} s and logs "{told}"')
 def step_ends(context, machine, status, limit, told):
     deployment = context.deployment
     ip = MACHINES[machine]
