--- a/features/support/agreement_member_scripts.py
+++ b/features/support/agreement_member_scripts.py
@@ -1,8 +1,8 @@
-"""Scripts of faults around membership changes: old incarnations, learners, replacements."""
+"""Fault scripts for membership changes: old incarnations, learners, replacements."""
 
 from __future__ import annotations
 
-from features.support.agreement_script_tools import accept, require
+from features.support.agreement_script_tools import propose_accepted, require
 from features.support.agreement_world import ScriptedCluster, is_leading
 from limedyke.core.agreement.commands import (
     ProposalAccepted,
@@ -20,18 +20,18 @@
 )
 
 
-def stranger(cluster: ScriptedCluster) -> None:
-    """An old incarnation comes back after its repair and asks for votes in a high term."""
-    cluster.lead("a")
+def old_incarnation_votes(cluster: ScriptedCluster) -> None:
+    """An old incarnation returns after its machine was repaired, and asks for votes."""
+    cluster.make_leader("a")
     old = cluster.machines["c"].identity
     cluster.machines["c"].lose_disk()
     cluster.machines["c"].start()
     require(cluster.repair("c"), "c was not repaired")
-    from_old_disk(cluster, old)
+    deliver_old_incarnation_messages(cluster, old)
 
 
-def from_old_disk(cluster: ScriptedCluster, old) -> None:
-    """Send what an old incarnation may send; the term must stay."""
+def deliver_old_incarnation_messages(cluster: ScriptedCluster, old) -> None:
+    """Deliver messages of an old incarnation; the term must not change."""
     machine = cluster.machines["b"]
     term = machine.agreement.term
     cluster.machines["a"].power_loss()
@@ -42,14 +42,14 @@
 
 
 def old_incarnation_messages(term: int) -> list:
-    """Return what an old incarnation may send in a high term."""
+    """Return messages that an old incarnation may send in a high term."""
     from_candidate = [VoteRequest(term, 10**6, term, False), PreVoteResponse(term, term, True)]
     return [*from_candidate, VoteResponse(term, True)]
 
 
 def two_changes(cluster: ScriptedCluster) -> None:
     """A cut-off leader is asked to remove one voter after the other."""
-    leader = cluster.lead("a")
+    leader = cluster.make_leader("a")
     first, second = cluster.others(leader)
     cluster.cut(leader)
     cluster.change_members(leader, RemoveMember(first.identity))
@@ -61,12 +61,12 @@
 
 
 def early_promotion(cluster: ScriptedCluster) -> None:
-    """A learner that hears nothing is to be promoted: it is refused, and the others go on."""
-    leader = cluster.lead("a")
+    """The promotion of an unreachable learner is refused, and the others continue."""
+    leader = cluster.make_leader("a")
     lost = cluster.machines["c"]
     old = lost.identity
     for _ in range(10):
-        accept(cluster, leader)
+        propose_accepted(cluster, leader)
     lost.lose_disk()
     number = cluster.change_members(leader, AddLearner(lost.identity))
     require(cluster.run_until(lambda: number in leader.answers, 3.0), "no learner")
@@ -74,13 +74,13 @@
     number = cluster.change_members(leader, PromoteLearner(lost.identity, replaces=old))
     cluster.run_until(lambda: number in leader.answers, 2.0)
     answer = leader.answers.get(number)
-    require(isinstance(answer, ProposalRefused), f"a deaf learner became a voter: {answer}")
-    accept(cluster, leader)
+    require(isinstance(answer, ProposalRefused), f"an unreachable learner became a voter: {answer}")
+    propose_accepted(cluster, leader)
 
 
 def learner_counts(cluster: ScriptedCluster) -> None:
-    """A leader is left with a learner only."""
-    leader = cluster.lead("a")
+    """A leader keeps contact only with a learner."""
+    leader = cluster.make_leader("a")
     lost = cluster.machines["c"]
     lost.lose_disk()
     lost.start()
@@ -95,10 +95,10 @@
 
 
 def snapshot_to_learner(cluster: ScriptedCluster) -> None:
-    """A replaced machine is so far behind that it gets a snapshot, in parts."""
-    leader = cluster.lead("a")
+    """A replaced machine is so far behind that it gets a snapshot in several chunks."""
+    leader = cluster.make_leader("a")
     for _ in range(40):
-        accept(cluster, leader)
+        propose_accepted(cluster, leader)
     lost = cluster.machines["b"]
     lost.lose_disk()
     lost.start()
--- a/features/support/agreement_storage_scripts.py
+++ b/features/support/agreement_storage_scripts.py
@@ -1,10 +1,10 @@
-"""Scripts of faults on disks: power lost, disks lost, full or failing."""
+"""Fault scripts for disks: lost power, lost disks, full or failing disks."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from features.support.agreement_script_tools import accept, require
+from features.support.agreement_script_tools import propose_accepted, require
 from features.support.agreement_world import ScriptedCluster, is_leading
 from limedyke.core.agreement.commands import (
     ProposalRefused,
@@ -15,20 +15,20 @@
 
 
 def unsynced_entries(cluster: ScriptedCluster) -> None:
-    """All lose power right after a proposal is accepted, on slow disks."""
-    leader = cluster.lead("a")
+    """All machines lose power right after a proposal is accepted, on slow disks."""
+    leader = cluster.make_leader("a")
     for machine in cluster.machines.values():
         machine._disk_busy_until = cluster.world.now + 0.1
-    accept(cluster, leader)
+    propose_accepted(cluster, leader)
     for machine in cluster.machines.values():
         machine.power_loss()
 
 
 def unsynced_disk(cluster: ScriptedCluster) -> None:
-    """All lose power some time after proposals are accepted."""
-    leader = cluster.lead("a")
+    """All machines lose power some time after proposals are accepted."""
+    leader = cluster.make_leader("a")
     for _ in range(5):
-        accept(cluster, leader)
+        propose_accepted(cluster, leader)
     for machine in cluster.machines.values():
         machine.power_loss()
     for machine in cluster.machines.values():
@@ -36,11 +36,11 @@
 
 
 def lost_disk(cluster: ScriptedCluster) -> None:
-    """One holder of an accepted proposal loses its disk, and meets one that has not got it."""
-    leader = cluster.lead("a")
+    """A holder of an accepted proposal loses its disk, and meets one without the proposal."""
+    leader = cluster.make_leader("a")
     behind, lost = cluster.machines["b"], cluster.machines["c"]
     cluster.cut(behind)
-    accept(cluster, leader)
+    propose_accepted(cluster, leader)
     lost.lose_disk()
     cluster.heal()
     leader.power_loss()
@@ -50,18 +50,18 @@
 
 
 def second_machine(cluster: ScriptedCluster) -> None:
-    """A machine loses its disk, is repaired, and at once a second one is lost."""
-    leader = cluster.lead("a")
+    """A machine loses its disk and is repaired, and right after that a second one is lost."""
+    leader = cluster.make_leader("a")
     behind, first = cluster.machines["b"], cluster.machines["c"]
     cluster.cut(behind)
-    accept(cluster, leader)
+    propose_accepted(cluster, leader)
     cluster.heal()
     first.lose_disk()
     first.start()
     require(cluster.repair("c"), "c was not repaired")
     behind_since = behind.applied.index
     cluster.cut(behind)
-    accept(cluster, leader)
+    propose_accepted(cluster, leader)
     leader.lose_disk()
     cluster.heal()
     require(behind.applied.index == behind_since, "b must be behind")
@@ -71,13 +71,13 @@
 
 
 def power_and_disk_lost_after_repair(cluster: ScriptedCluster) -> None:
-    """Long after one machine's repair all lose power at once, and the leader its disk."""
-    leader = cluster.lead("a")
+    """Long after a repair, all machines lose power at once, and the leader also its disk."""
+    leader = cluster.make_leader("a")
     repaired = cluster.machines["c"]
     repaired.lose_disk()
     repaired.start()
     cluster.repair("c")
-    accept(cluster, leader)
+    propose_accepted(cluster, leader)
     cluster.run(1.0)
     for machine in cluster.machines.values():
         machine.power_loss()
@@ -90,9 +90,9 @@
 
 
 def two_lost_disks(cluster: ScriptedCluster) -> None:
-    """Two of three disks are lost at once: the last holder must not go on alone."""
-    leader = cluster.lead("a")
-    accept(cluster, leader)
+    """Two of three disks are lost at once: the last holder must not continue alone."""
+    leader = cluster.make_leader("a")
+    propose_accepted(cluster, leader)
     for machine in cluster.others(leader):
         machine.lose_disk()
         machine.start()
@@ -102,18 +102,18 @@
 
 
 def full_disk(cluster: ScriptedCluster) -> None:
-    """The leader's disk is full: it accepts nothing, says so and the others go on."""
+    """The leader's disk is full: it refuses proposals and steps down, and the others continue."""
     _failing_disk(cluster, lambda disk: setattr(disk, "capacity_bytes", disk._used_bytes() + 10))
 
 
 def failing_sync(cluster: ScriptedCluster) -> None:
-    """A sync of the leader's disk fails once."""
+    """One sync of the leader's disk fails."""
     _failing_disk(cluster, lambda disk: disk.fail_syncs(1))
 
 
 def _failing_disk(cluster: ScriptedCluster, fail: Callable[[SimulatedDisk], None]) -> None:
-    leader = cluster.lead("a")
-    accept(cluster, leader)
+    leader = cluster.make_leader("a")
+    propose_accepted(cluster, leader)
     fail(leader.disk)
     answer = cluster.propose(leader, 3.0)
     require(isinstance(answer, ProposalRefused), f"answered {answer}")
@@ -122,7 +122,7 @@
     require(leader.agreement.role is Role.STOPPED, f"a is a {leader.agreement.role}")
     require(cluster.run_until(lambda: cluster.leader() not in (None, leader), 4.0), "no leader")
     cluster.run(0.2)
-    accept(cluster, cluster.leader())
+    propose_accepted(cluster, cluster.leader())
     leader.disk.capacity_bytes = None
     leader.kill_process()
     leader.start()
--- a/features/support/agreement_world.py
+++ b/features/support/agreement_world.py
@@ -1,4 +1,4 @@
-"""Simulated controllers under a script: no random faults, chosen leaders, held messages."""
+"""Scripted simulation of controllers: no random faults, chosen leaders, held messages."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
 NAMES = ("a", "b", "c")
 STEP_S = 0.001
 DELAY_S = 0.001
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 
 Answer = ProposalAccepted | ProposalRefused | ReadReady | ReadRefused
 Held = tuple[ControllerIdentity, ControllerIdentity, AgreementMessage]
 
 
-def answering(machine_class: type[Machine]) -> type[Machine]:
-    """Return the machine class with its answers and step-downs kept."""
+def recording_answers(machine_class: type[Machine]) -> type[Machine]:
+    """Return the machine class with its answers and step-downs recorded."""
 
-    class AnsweringMachine(machine_class):
+    class RecordingMachine(machine_class):
         def __init__(self, world: World, name: str) -> None:
             self.answers: dict[str, Answer] = {}
             self.step_downs: list[SteppedDown] = []
@@ -53,15 +53,15 @@
                 self.step_downs.append(command)
             super()._observe(command)
 
-    return AnsweringMachine
+    return RecordingMachine
 
 
 class ScriptedCluster:
     """Three controllers on virtual time; messages take 0.5 to 2 ms unless held or cut.
 
-    :param options: changes of the simulation's options
-    :param clock_rates: rates of the machines' clocks by name, 1.0 for those not named
-    :param seed: of the machines' random timeouts
+    :param timing_changes: changes of the simulation's timing
+    :param clock_rates: rates of the machines' clocks by name; 1.0 for those not named
+    :param seed: seed of the machines' random timeouts
     """
 
     def __init__(
@@ -76,11 +76,11 @@
         self.world = World(seed, replace(options, timing=timing))
         self.world._base_delay_s = DELAY_S
         self.world.deliver = self._deliver
-        self.holds: Callable[[Machine, Machine, AgreementMessage], bool] = lambda *_: False
+        self.should_hold: Callable[[Machine, Machine, AgreementMessage], bool] = lambda *_: False
         self.held: list[Held] = []
         self._numbers = itertools.count()
         self._clock_rates = clock_rates or {}
-        machines = {name: answering(machine_class)(self.world, name) for name in NAMES}
+        machines = {name: recording_answers(machine_class)(self.world, name) for name in NAMES}
         self.machines: dict[str, Machine] = machines
         self._found()
 
@@ -95,30 +95,30 @@
         self, sender: ControllerIdentity, to: ControllerIdentity, message: AgreementMessage
     ) -> None:
         machine = self.machines[to.name]
-        if self.holds(self.machines[sender.name], machine, message):
+        if self.should_hold(self.machines[sender.name], machine, message):
             self.held.append((sender, to, message))
         elif machine.identity == to:
             machine.receive(sender, message)
 
     def release_held(self) -> None:
-        """Deliver what was held back."""
-        self.holds = lambda *_: False
+        """Deliver the held messages, and hold no more."""
+        self.should_hold = lambda *_: False
         held, self.held = self.held, []
         for sender, to, message in held:
             self._deliver(sender, to, message)
 
     @property
     def violations(self) -> list[str]:
-        """The rules broken so far."""
+        """The invariants violated so far."""
         return [violation.rule for violation in self.world.checkers.violations]
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the virtual time."""
         self.world.run_until(self.world.now + seconds)
 
-    def run_until(self, condition: Callable[[], object], patience_s: float = PATIENCE_S) -> bool:
-        """Let time pass until a condition holds; tell whether it came true."""
-        end = self.world.now + patience_s
+    def run_until(self, condition: Callable[[], object], timeout_s: float = TIMEOUT_S) -> bool:
+        """Advance the time until a condition holds; tell whether it did in time."""
+        end = self.world.now + timeout_s
         while not condition():
             if self.world.now >= end:
                 return False
@@ -130,7 +130,7 @@
         return current_leader(self.machines)
 
     def first_leader(self) -> Machine:
-        """Return the first machine that leads, once it serves."""
+        """Return the first leader, once it serves reads."""
         assert self.run_until(lambda: self.leader() and self.serves(self.leader()))
         return self.leader()
 
@@ -138,8 +138,8 @@
         """Tell whether a machine leads and serves reads."""
         return machine.is_up and isinstance(self.read(machine), ReadReady)
 
-    def lead(self, name: str) -> Machine:
-        """Hand the leadership over until a machine has it, and serves."""
+    def make_leader(self, name: str) -> Machine:
+        """Transfer the leadership until the named machine leads and serves reads."""
         machine = self.machines[name]
         for _ in range(30):
             assert self.run_until(lambda: self.leader() and self.serves(self.leader()))
@@ -151,20 +151,20 @@
         raise AssertionError(f"{name} never leads")
 
     def others(self, machine: Machine) -> list[Machine]:
-        """Return the machines beside one."""
+        """Return the other machines."""
         return [other for other in self.machines.values() if other is not machine]
 
     def cut(self, first: Machine, *others: Machine) -> None:
-        """Cut the links of a machine with others, both ways."""
+        """Cut the links between a machine and others, or all others, in both directions."""
         for other in others or self.others(first):
             self.world.cuts |= {(first.name, other.name), (other.name, first.name)}
 
     def cut_one_way(self, sender: Machine, *recipients: Machine) -> None:
-        """Let what a machine sends to others no longer arrive."""
+        """Drop what a machine sends to others."""
         self.world.cuts |= {(sender.name, recipient.name) for recipient in recipients}
 
     def heal(self) -> None:
-        """End all cuts."""
+        """Restore all links."""
         self.world.cuts.clear()
 
     def start_proposal(self, machine: Machine) -> str:
@@ -174,14 +174,14 @@
         machine.handle(Proposed(number, number.encode()))
         return number
 
-    def propose(self, machine: Machine, patience_s: float = PATIENCE_S) -> Answer | None:
-        """Propose and return the answer, or None when there is none in time."""
+    def propose(self, machine: Machine, timeout_s: float = TIMEOUT_S) -> Answer | None:
+        """Propose and return the answer, or None if there is none in time."""
         number = self.start_proposal(machine)
-        self.run_until(lambda: number in machine.answers, patience_s)
+        self.run_until(lambda: number in machine.answers, timeout_s)
         return machine.answers.get(number)
 
     def read(self, machine: Machine) -> Answer:
-        """Read at a machine; the answer comes at once."""
+        """Read at a machine and return its immediate answer."""
         number = f"read{next(self._numbers)}"
         machine.handle(ReadRequested(number))
         return machine.answers[number]
@@ -193,7 +193,7 @@
         return number
 
     def repair(self, name: str) -> bool:
-        """Make a machine's present incarnation a voter, learner first; tell whether it did."""
+        """Make a machine's current incarnation a voter, learner first; tell whether it is one."""
         machine = self.machines[name]
 
         def is_repaired() -> bool:
@@ -210,7 +210,7 @@
         return self.run_until(is_repaired)
 
     def finish(self) -> list[str]:
-        """End all faults, let the controllers recover, and return the rules broken."""
+        """End all faults, let the controllers recover, and return the violated invariants."""
         self.heal()
         self.release_held()
         for machine in self.machines.values():
@@ -227,5 +227,5 @@
 
 
 def is_leading(machine: Machine) -> bool:
-    """Tell whether a machine believes that it leads."""
+    """Tell whether a machine considers itself the leader."""
     return machine.is_up and machine.agreement.role is Role.LEADER
--- a/limedyke/core/units/unit_builder.py
+++ b/limedyke/core/units/unit_builder.py
@@ -1,4 +1,4 @@
-"""Makes a unit of work of a planned batch and the session's state."""
+"""Builds a unit of work from a planned batch and the session's state."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         staleness_ms=staleness_ms,
         deadline_ms=context.request_deadline_ms,
         prepared=plan.prepared,
-        settings=state.settings.to_replay(),
+        settings=state.settings.settings_to_replay(),
         data=plan.data,
         leaves_state=plan.leaves_state,
     )
--- a/limedyke/postgres/frontend.py
+++ b/limedyke/postgres/client_login.py
@@ -8,7 +8,7 @@
 from result import Err
 
 from limedyke.core.sessions.client_exchange import (
-    CancelOther,
+    CancelRunningUnit,
     CloseClient,
     LoginCommand,
     LoginSucceeded,
@@ -64,7 +64,7 @@
     tls_required: bool = False
 
 
-class Frontend:
+class ClientLogin:
     """Takes one client from its first byte to a proved login.
 
     :param nonce: unguessable printable text for the SCRAM exchange
@@ -120,7 +120,7 @@
                 self._gss_declined = True
                 return [SendToClient(DECLINE)]
             case CancelRequest(process_id, secret):
-                return [CancelOther(process_id, secret), CloseClient("cancel request")]
+                return [CancelRunningUnit(process_id, secret), CloseClient("cancel request")]
             case StartupRequest():
                 return self._begin_authentication(packet)
         return refuse(Failure(ResultCode.PROTOCOL_VIOLATION, "encryption was asked for before"))
--- a/limedyke/proxy/statements/members/member_exchange.py
+++ b/limedyke/proxy/statements/members/member_exchange.py
@@ -1,4 +1,4 @@
-"""One statement on one member connection: connects, sends, and learns from the answer."""
+"""Runs single statements on member connections and records what their answers show."""
 
 from __future__ import annotations
 
@@ -18,23 +18,25 @@
     MemberPool,
     PoolClosedError,
     PoolTimeoutError,
-    TurnedAwayError,
+    QueueRefusalError,
 )
 from limedyke.proxy.statements.members.pinned_connection import PinnedConnection
-from limedyke.proxy.statements.statement_log import NotSent
+from limedyke.proxy.statements.statement_log import NotSentReason
 from limedyke.proxy.statements.statement_metrics import StatementMetrics
 
-LEAST_MUTE_S = 0.1
-"""What wasn't answered for so long, and for longer than answers explain, counts as failed."""
+MINIMUM_UNANSWERED_S = 0.1
+"""A statement without an answer counts as failed after this time, in seconds, or after the member's
+longest usual answer time if that is longer."""
 SILENCE_S = 0.35
-"""A member that answers nothing at all for so long while a statement waits, and for longer than its
-answers explain, is silent: short pauses of a busy machine are no silence."""
+"""A member that sends nothing at all while a statement waits counts as silent after this time, in
+seconds, or after its longest usual silence if that is longer. Short pauses of a busy machine don't
+count."""
 
 
 class MemberExchange:
-    """Runs single statements on connections of pools.
+    """Runs single statements on pooled connections.
 
-    :param metrics: counts what members answered
+    :param metrics: counts the answers of members
     """
 
     def __init__(self, metrics: StatementMetrics) -> None:
@@ -43,7 +45,7 @@
     async def connect(
         self, pool: MemberPool, attempt: Attempt, wait_s: float
     ) -> PinnedConnection | None:
-        """Return a connection, or None when the member gives none within ``wait_s``."""
+        """Return a connection, or None when none was obtained within ``wait_s`` seconds."""
         session = attempt.session
         priority = session.database.priority
         identity = pool.observed.record.identity
@@ -61,26 +63,26 @@
             )
         except ConnectionRefusedByMemberError as error:
             pool.observed.is_busy(time.monotonic())
-            attempt.failed(error.answer.kind, identity)
+            attempt.record_failure(error.answer.kind, identity)
             return None
         except ConnectionLostError:
-            attempt.failed(NotSent.NOT_CONNECTED, identity)
+            attempt.record_failure(NotSentReason.NOT_CONNECTED, identity)
             return None
-        except TurnedAwayError as error:
-            attempt.turned_away(error.refused, identity)
+        except QueueRefusalError as error:
+            attempt.record_queue_refusal(error.refused, identity)
             return None
         except PoolTimeoutError:
-            attempt.failed(NotSent.NO_CONNECTION_FREE, identity)
+            attempt.record_failure(NotSentReason.NO_CONNECTION_FREE, identity)
             return None
         except PoolClosedError:
-            attempt.failed(NotSent.NO_LEASE, identity)
+            attempt.record_failure(NotSentReason.NO_LEASE, identity)
             return None
         finally:
             self._metrics.waited_for_connection(priority, time.monotonic() - began_at)
         return PinnedConnection(pool, connection)
 
-    def second_begun(self) -> None:
-        """Count a slow read that is tried at a second member too."""
+    def count_hedged_read(self) -> None:
+        """Count a read that is also sent to a second member."""
         self._metrics.hedged_reads.inc()
 
     async def run(
@@ -90,15 +92,15 @@
         after: LogPosition | None,
         limit_s: float,
     ) -> MemberAnswer:
-        """Run a statement on a connection for a limited time.
+        """Run a statement on a connection, with a timeout of ``limit_s`` seconds.
 
-        :param after: position that the member's log must hold
+        :param after: log position that the member must hold
         """
         observed = pinned.pool.observed
         run = attempt.run
         started_at = time.monotonic()
         observed.sent(started_at)
-        pinned.pool.sent_on(pinned.connection)
+        pinned.pool.release_reservation(pinned.connection)
         attempt.session.tries_under_way += 1
         is_answered = True
         was_primary = attempt.group.is_surely_primary(pinned.identity)
@@ -110,26 +112,26 @@
                     run.statement, attempt.session.settings, run.begin, run.prepared, after
                 )
         except curio.TaskTimeout:
-            is_answered = _gave_up(observed, started_at)
+            is_answered = _record_timeout(observed, started_at)
             self._metrics.member_answered(AnswerKind.TIMED_OUT, False, limit_s)
             detail = f"no answer of {pinned.identity} in {limit_s:.3f} s"
             return MemberAnswer(AnswerKind.TIMED_OUT, detail=detail)
         except curio.CancelledError:
-            is_answered = _gave_up(observed, started_at)
+            is_answered = _record_timeout(observed, started_at)
             await pinned.abandon()
             raise
         finally:
             observed.ended(is_answered, started_at)
         if answer.kind in NOT_RUN:
             attempt.session.tries_under_way -= 1
-        self._learn(pinned, attempt, answer, started_at, was_primary)
+        self._record_answer(pinned, attempt, answer, started_at, was_primary)
         if not was_primary:
-            _learn_lag(observed, attempt, answer, after)
+            _record_lag(observed, attempt, answer, after)
         if pinned.connection.status is not TransactionStatus.IDLE:
-            await pinned.pool.room_came()
+            await pinned.pool.serve_waiting()
         return answer
 
-    def _learn(
+    def _record_answer(
         self,
         pinned: PinnedConnection,
         attempt: Attempt,
@@ -137,10 +139,11 @@
         started_at: float,
         was_primary: bool,
     ) -> None:
-        """Take what an answer says of the member, and of the primary's position.
+        """Update the member's observed state and the primary's position from an answer.
 
-        :param was_primary: it was surely the primary when it was asked; what it told while it
-            was a replica may come after it was promoted, and is no position of the primary
+        :param was_primary: the member was certainly the primary when the statement was sent. An
+            answer from its time as a replica may arrive after its promotion; the position in it
+            must not be taken for the primary's.
         """
         now = time.monotonic()
         observed = pinned.pool.observed
@@ -154,7 +157,7 @@
             seconds = observed.awaited_s(started_at, now)
             observed.served(seconds, now)
             under_way = observed.under_way(now) + 1
-            observed.concurrency.answered(_kind_of(attempt), seconds, under_way, now)
+            observed.concurrency.answered(_work_kind(attempt), seconds, under_way, now)
             if not is_replica:
                 attempt.group.outage.ended()
             is_commit = attempt.run.writes and answer.status is TransactionStatus.IDLE
@@ -168,10 +171,10 @@
             observed.concurrency.turned_away(now - started_at, now)
 
 
-def _learn_lag(
+def _record_lag(
     observed: ObservedMember, attempt: Attempt, answer: MemberAnswer, after: LogPosition | None
 ) -> None:
-    """Take what an answer of a replica says of its lag."""
+    """Update a replica's lag estimate from its answer."""
     now = time.monotonic()
     positions = attempt.group.positions
     if answer.position is not None:
@@ -181,12 +184,12 @@
         observed.lag.lacked(after, positions.held_since(after), now)
 
 
-def _gave_up(observed: ObservedMember, started_at: float) -> bool:
-    """Take that an answer is awaited no more; tell whether the member answered anything since."""
+def _record_timeout(observed: ObservedMember, started_at: float) -> bool:
+    """Record an abandoned wait; tell whether the member sent any answer since it began."""
     now = time.monotonic()
     waited_s = now - started_at
     is_answered = observed.contact_at >= started_at
-    if waited_s >= max(LEAST_MUTE_S, observed.answer.longest_s):
+    if waited_s >= max(MINIMUM_UNANSWERED_S, observed.answer.longest_s):
         observed.quality.bad(now, "mute")
     if is_answered:
         observed.answer_took_at_least(waited_s)
@@ -195,8 +198,8 @@
     return is_answered
 
 
-def _kind_of(attempt: Attempt) -> str:
-    """Return the kind of work: one that begins a transaction takes two round trips."""
+def _work_kind(attempt: Attempt) -> str:
+    """Return the kind of work; statements that also begin a transaction take two round trips."""
     run = attempt.run
     kind = run.statement.kind.value
     return kind if run.begin is None else f"{run.begin.kind.value}-{kind}"
--- a/limedyke/proxy/statements/runner.py
+++ b/limedyke/proxy/statements/runner.py
@@ -1,4 +1,4 @@
-"""Runs statements on members: chooses, retries what did not run, tells what is known."""
+"""Runs statements on members: applies limits, chooses members and retries what did not run."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from limedyke.proxy.statements.attempt import MS_PER_S, RETRY_PAUSE_S, Attempt
 from limedyke.proxy.statements.group import StatementGroup
 from limedyke.proxy.statements.members.member_exchange import MemberExchange
-from limedyke.proxy.statements.members.member_queries import MemberQuestions
+from limedyke.proxy.statements.members.member_queries import MemberQueries
 from limedyke.proxy.statements.members.pinned_connection import PinnedConnection
 from limedyke.proxy.statements.read_runner import ReadRunner
 from limedyke.proxy.statements.settlement import settle_first, settle_in_transaction
-from limedyke.proxy.statements.statement_log import NotSent, StatementLog
+from limedyke.proxy.statements.statement_log import NotSentReason, StatementLog
 from limedyke.proxy.statements.statement_metrics import StatementMetrics
-from limedyke.proxy.statements.statement_outcome import PlacedAnswer
+from limedyke.proxy.statements.statement_outcome import StatementOutcome
 from limedyke.result_codes import ResultCode, did_not_run
 
 
@@ -28,9 +28,9 @@
     """Runs the statements of all sessions of this proxy.
 
     :param zone: of this proxy
-    :param metrics: counts what members answered
-    :param log: gets a line for each try that failed
-    :param limits: gives what admits operations of tenants with a limit; None to admit all
+    :param metrics: counts the answers of members
+    :param log: receives each failed try
+    :param limits: returns the limiter of tenants' operations, or None to admit all
     """
 
     def __init__(
@@ -43,8 +43,8 @@
         self._limits = limits
         self._log = log
         self._exchange = MemberExchange(metrics)
-        self.questions = MemberQuestions()
-        self._reads = ReadRunner(zone, self._exchange, self.questions)
+        self.queries = MemberQueries()
+        self._reads = ReadRunner(zone, self._exchange, self.queries)
 
     async def run(
         self,
@@ -52,7 +52,7 @@
         run: RunOnMember,
         group: StatementGroup,
         pinned: PinnedConnection | None,
-    ) -> PlacedAnswer:
+    ) -> StatementOutcome:
         """Run a statement.
 
         :param pinned: the connection on which the client's transaction is open; None when none is
@@ -65,11 +65,11 @@
             return await self._run_first(attempt)
         return await self._run_within(limits, attempt)
 
-    async def _run_within(self, limits: OperationLimiter, attempt: Attempt) -> PlacedAnswer:
-        """Run the first statement of an operation, if its tenant's limit admits one.
+    async def _run_within(self, limits: OperationLimiter, attempt: Attempt) -> StatementOutcome:
+        """Run the first statement of an operation if its tenant's limit admits it.
 
-        It is counted where it runs, not where the client is: fewer proxies share a limit then.
-        It may wait for its token until its answer would come after its target latency.
+        The operation is counted on the proxy that runs it, not on the client's proxy, so that fewer
+        proxies share a limit. It may wait for a token as long as it can meet its target latency.
         """
         tenant, priority = attempt.session.tenant, attempt.session.database.priority
         request = attempt.run.statement.request_id
@@ -78,72 +78,72 @@
             attempt.session.fail_transaction()
             retry_after_ms = int(over.retry_after_s * MS_PER_S)
             answer = refusal(ResultCode.OVER_OPERATION_LIMIT, over.detail, retry_after_ms)
-            return PlacedAnswer(answer)
-        placed = await self._run_first(attempt)
-        if did_not_run(placed.answer.code):
+            return StatementOutcome(answer)
+        outcome = await self._run_first(attempt)
+        if did_not_run(outcome.answer.code):
             await limits.give_back(tenant, priority)
-        return placed
+        return outcome
 
-    async def _run_first(self, attempt: Attempt) -> PlacedAnswer:
-        """Run a statement that is in no open transaction yet."""
+    async def _run_first(self, attempt: Attempt) -> StatementOutcome:
+        """Run a statement outside an open transaction."""
         session, run = attempt.session, attempt.run
         if session.needs_primary(run) and not _reads_only(run):
             return await self._run_on_primary(attempt)
         return await self._reads.run(attempt)
 
-    async def _run_pinned(self, pinned: PinnedConnection, attempt: Attempt) -> PlacedAnswer:
-        """Run a further statement of a transaction on its connection."""
+    async def _run_pinned(self, pinned: PinnedConnection, attempt: Attempt) -> StatementOutcome:
+        """Run a further statement of a transaction on its connection; retry while it is busy."""
         while True:
             answer = await self._exchange.run(pinned, attempt, None, attempt.time_left())
             if answer.kind is not AnswerKind.BUSY:
                 break
-            attempt.failed(answer.kind, pinned.identity)
+            attempt.record_failure(answer.kind, pinned.identity)
             await curio.sleep(RETRY_PAUSE_S)
             if attempt.is_too_late(pinned.pool.observed.answer.usual_s):
                 break
         return await settle_in_transaction(attempt.session, attempt.run, pinned, answer)
 
-    async def _run_on_primary(self, attempt: Attempt) -> PlacedAnswer:
-        """Run a write, or the first statement of a transaction that may write."""
+    async def _run_on_primary(self, attempt: Attempt) -> StatementOutcome:
+        """Run a write, or the first statement of a transaction that may write, on the primary."""
         group = attempt.group
         while True:
             pool = group.primary_pool()
             if pool is None or not _takes_writes(pool.observed, time.monotonic()):
-                attempt.failed(NotSent.NO_PRIMARY)
-                await self.questions.look_for_primary(group)
+                attempt.record_failure(NotSentReason.NO_PRIMARY)
+                await self.queries.search_primary(group)
                 if not await attempt.wait_for_primary():
-                    return PlacedAnswer(attempt.give_up(ResultCode.NO_PRIMARY))
+                    return StatementOutcome(attempt.final_refusal(ResultCode.NO_PRIMARY))
                 continue
             wait_s = attempt.connection_wait_s(pool)
             pinned = await self._exchange.connect(pool, attempt, wait_s)
             if attempt.is_too_late(pool.observed.answer.usual_s):
                 if pinned is not None:
                     await pinned.release()
-                return PlacedAnswer(attempt.give_up(ResultCode.NO_PRIMARY))
+                return StatementOutcome(attempt.final_refusal(ResultCode.NO_PRIMARY))
             if pinned is None:
                 if not await attempt.pause():
-                    return PlacedAnswer(attempt.give_up(ResultCode.NO_PRIMARY))
+                    return StatementOutcome(attempt.final_refusal(ResultCode.NO_PRIMARY))
                 continue
             if not attempt.may_be_sent():
                 await pinned.release()
-                return PlacedAnswer(attempt.give_up(ResultCode.NO_PRIMARY))
+                return StatementOutcome(attempt.final_refusal(ResultCode.NO_PRIMARY))
             answer = await self._exchange.run(pinned, attempt, None, attempt.time_left())
             if answer.kind not in NOT_RUN:
                 return await settle_first(attempt.session, attempt.run, pinned, answer)
-            attempt.failed(answer.kind, pinned.identity)
+            attempt.record_failure(answer.kind, pinned.identity)
             await pinned.release()
             if answer.kind is AnswerKind.NOT_PRIMARY:
-                await group.says_role(pinned.identity, is_primary=False)
-                await self.questions.look_for_primary(group)
+                await group.record_reported_role(pinned.identity, is_primary=False)
+                await self.queries.search_primary(group)
             until = attempt.deadline if answer.kind is AnswerKind.BUSY else attempt.held_until()
             if not await attempt.pause(until):
-                return PlacedAnswer(attempt.give_up(ResultCode.NO_PRIMARY))
+                return StatementOutcome(attempt.final_refusal(ResultCode.NO_PRIMARY))
 
 
 def _takes_writes(observed: ObservedMember, now: float) -> bool:
     """Tell whether a write should be sent to a primary.
 
-    At one that seems to hang its outcome would likely stay unknown.
+    If the primary seems to hang, the outcome would probably stay unknown.
     """
     return observed.takes_work(now) and not observed.seems_silent(now)
 
--- a/limedyke/proxy/statements/server.py
+++ b/limedyke/proxy/statements/server.py
@@ -1,4 +1,4 @@
-"""The process: a proxy without a disk for sessions of statements."""
+"""The process of the diskless statement proxy."""
 
 from __future__ import annotations
 
@@ -54,10 +54,10 @@
 class StatementProxy:
     """One proxy process.
 
-    :param make_client_codec: makes the codec of a client connection
-    :param make_member_codec: makes the codec of a member connection
+    :param make_client_codec: creates the codec of a client connection
+    :param make_member_codec: creates the codec of a member connection
     :param settings_file: watched for changes
-    :param reread: gives the settings anew; it raises ValueError when the file is not valid
+    :param reread: reads the settings again; raises ValueError when the file is invalid
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         )
         self._control.limits.metrics = LimitMetrics(self._registry)
         self._groups.reporter = self._control
-        self._groups.on_view = self._take_view
+        self._groups.on_view = self._apply_view
         self._links = HomeLinks(settings, secrets, self._traffic)
         forwarding = StatementForwarding(self._links, metrics)
         self._executor = StatementExecutor(self._groups, runner, forwarding)
@@ -140,7 +140,7 @@
             await tasks.spawn(
                 serve_links, links.ok_value, identity, self._link_key, self._serve_link
             )
-            stopping = await tasks.spawn(self._serve_until_asked, listeners[0].ok_value, stop)
+            stopping = await tasks.spawn(self._serve_until_stopped, listeners[0].ok_value, stop)
         finished = tasks.completed
         if finished is stopping and finished.exception is None:
             return 0
@@ -148,7 +148,7 @@
         return EXIT_FAILED
 
     async def _reload(self) -> None:
-        """Take what can change in a running process: the controllers."""
+        """Apply the only setting that can change in a running process: the controllers."""
         self._control.settings_changed(self._reread().controllers)
 
     def _link_key(self, role: PeerRole, name: str) -> bytes | None:
@@ -158,7 +158,7 @@
         """Run the statements that another proxy forwards over a link."""
         await self._home_server.serve(link)
 
-    async def _take_view(self, view: ControlView) -> None:
+    async def _apply_view(self, view: ControlView) -> None:
         self._links.control_changed(view)
 
     async def _admit(self, sock: socket.socket) -> None:
@@ -180,9 +180,9 @@
         if self._stop.is_stopping:
             return ReadyState(False, "stopping")
         if not self._control.view_confirmed:
-            return ReadyState(False, "no leader has confirmed the state yet")
+            return ReadyState(False, "no leader has confirmed the control view yet")
         if not self._groups.groups:
-            return ReadyState(False, "nothing is declared yet")
+            return ReadyState(False, "no group is declared yet")
         if not all(self._executor.can_serve(group) for group in self._groups.groups):
             return ReadyState(False, "a group has neither a lease here nor a home proxy yet")
         return ReadyState(True, "serving")
@@ -192,8 +192,8 @@
         status = STATUS_OK if state.ready else STATUS_UNAVAILABLE
         return HttpAnswer(status, f"{state.reason}\n".encode(), "text/plain")
 
-    async def _serve_until_asked(self, listener: socket.socket, stop: StopSignal) -> None:
-        """Let clients in until the process is asked to stop; then leave service."""
+    async def _serve_until_stopped(self, listener: socket.socket, stop: StopSignal) -> None:
+        """Accept clients until the process is asked to stop; then run the planned stop."""
         acceptor = Acceptor(listener, self._admit, EVENTS)
         await curio.spawn(acceptor.run, daemon=True)
         await stop.wait()
--- a/limedyke/proxy/statements/statement_log.py
+++ b/limedyke/proxy/statements/statement_log.py
@@ -1,4 +1,4 @@
-"""Lines on statements: every refusal, failure and failed try; those served are summed up."""
+"""Logs statements: each refusal, failure and failed try, and periodic counts of those served."""
 
 from __future__ import annotations
 
@@ -20,12 +20,13 @@
 from limedyke.result_codes import CODE_BY_NUMBER, ResultCode
 
 DEFAULT_LINES_PER_SECOND = 50
-TRIES_SHARE = 0.5
-"""Lines on tries are so many of those on outcomes at most, which say more; as many again tell why
-statements were turned away, so that this is not lost among the tries of a bad second."""
+TRY_LINES_SHARE = 0.5
+"""Rate limit for lines on failed tries, as a share of the limit for outcomes, which say more. Lines
+on queue refusals have a separate limit of the same size, so that they are not crowded out by failed
+tries."""
 SUMMARY_INTERVAL_S = 10.0
 MS_PER_S = 1_000
-TRIED_ELSEWHERE = frozenset(
+RETRIED_ELSEWHERE_CODES = frozenset(
     {
         ResultCode.DRAINING,
         ResultCode.HOME_CROWDED,
@@ -36,8 +37,8 @@
 EVENTS = EventLog("statements")
 
 
-class NotSent(enum.StrEnum):
-    """Why a statement was sent to no member."""
+class NotSentReason(enum.StrEnum):
+    """Why a statement was not sent to any member."""
 
     NO_PRIMARY = "no-primary-that-answers"
     POSITION_UNPROVEN = "no-position-of-the-primary-is-proved"
@@ -48,30 +49,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Try:
-    """A try to run a statement that failed, and what this proxy knew then.
-
-    :param reason: the member's answer, or why none was asked
-    :param member: that was tried; empty when none was
-    :param primary: the recorded primary, empty when there is none
-    :param term: of that record
-    :param lease_left_s: for how long it was surely the only one; negative when it was not
-    :param is_news: the statement's try before failed otherwise
+class FailedTry:
+    """A failed try to run a statement, and the group state this proxy knew then.
+
+    :param reason: the member's answer, or why nothing was sent
+    :param member: the member that was tried; empty for none
+    :param primary: the recorded primary; empty for none
+    :param term: of the recorded primary
+    :param lease_left_s: seconds left of the primary lease; negative once it has ended
+    :param is_new_reason: the reason differs from that of the statement's previous try
     """
 
-    reason: AnswerKind | NotSent
+    reason: AnswerKind | NotSentReason
     member: str
     primary: str
     term: int
     lease_left_s: float
-    is_news: bool
+    is_new_reason: bool
 
 
 @dataclass(frozen=True, slots=True)
 class StatementUnderWay:
     """A statement that was received and is not answered yet.
 
-    :param started_at: when it was received, seconds of the monotonic clock
+    :param started_at: when it was received, in seconds of the monotonic clock
     """
 
     database: Database
@@ -80,9 +81,9 @@
 
 
 class StatementLog:
-    """Writes a limited number of lines a second; what is left out is counted.
+    """Writes a limited number of lines per second; omitted lines are counted.
 
-    :param metrics: counts all answers and tries
+    :param metrics: counts all answers and tries, logged or not
     :param lines_per_second: the limit
     """
 
@@ -91,26 +92,26 @@
     ) -> None:
         self._metrics = metrics
         now = time.monotonic()
-        self._outcomes = LogRateLimiter(lines_per_second, now)
-        self._tries = LogRateLimiter(int(lines_per_second * TRIES_SHARE), now)
-        self._turned_away = LogRateLimiter(int(lines_per_second * TRIES_SHARE), now)
-        self._left_out = 0
-        self._summed_at = now
-        self._served = 0
+        self._outcome_lines = LogRateLimiter(lines_per_second, now)
+        self._try_lines = LogRateLimiter(int(lines_per_second * TRY_LINES_SHARE), now)
+        self._refusal_lines = LogRateLimiter(int(lines_per_second * TRY_LINES_SHARE), now)
+        self._omitted = 0
+        self._last_summary_at = now
+        self._served_count = 0
 
     def answered(
         self, database: Database, statement: Statement, answer: StatementAnswer, started_at: float
     ) -> None:
-        """Take the answer to a statement."""
+        """Record the answer to a statement."""
         code = CODE_BY_NUMBER.get(answer.code)
         label = code.label if code is not None else "done"
         held_s = time.monotonic() - started_at
         self._metrics.answered(statement.kind, label, held_s)
         if code is None:
-            self._served += 1
-            self._sum_up()
+            self._served_count += 1
+            self._log_summary()
             return
-        if not self._may_write(self._outcomes):
+        if not self._admit_line(self._outcome_lines):
             return
         EVENTS.warning(
             "not-served",
@@ -126,13 +127,13 @@
         )
 
     def unanswered(self, under_way: StatementUnderWay, ended_by: str, was_sent: bool) -> None:
-        """Take a statement whose client's connection ended before its answer was sent.
+        """Record a statement whose client connection ended before its answer was sent.
 
-        :param ended_by: what ended the connection
-        :param was_sent: it went to a member or a home proxy, and may have run
+        :param ended_by: why the connection ended
+        :param was_sent: the statement was sent to a member or home proxy and may have run
         """
         self._metrics.unanswered.inc()
-        if not self._may_write(self._outcomes):
+        if not self._admit_line(self._outcome_lines):
             return
         EVENTS.warning(
             "unanswered",
@@ -145,10 +146,10 @@
             held_ms=int((time.monotonic() - under_way.started_at) * MS_PER_S),
         )
 
-    def tried(self, statement: Statement, group: str, seen: Try) -> None:
-        """Take a try that failed; the statement may be served by a later one."""
+    def tried(self, statement: Statement, group: str, seen: FailedTry) -> None:
+        """Record a failed try; a later one may still serve the statement."""
         self._metrics.try_failed(seen.reason)
-        if not seen.is_news or not self._may_write(self._tries):
+        if not seen.is_new_reason or not self._admit_line(self._try_lines):
             return
         EVENTS.info(
             "try-failed",
@@ -165,12 +166,12 @@
     def turned_away(
         self, database: Database, statement: Statement, member: str, refused: Refused
     ) -> None:
-        """Take that a statement may not wait for a connection to a member, or wait on.
+        """Record that a member's queue refused or dropped a statement.
 
         Another member may still serve it.
         """
         self._metrics.turned_away(refused.reason, database.priority)
-        if not self._may_write(self._turned_away):
+        if not self._admit_line(self._refusal_lines):
             return
         EVENTS.info(
             "turned-away",
@@ -185,14 +186,19 @@
         )
 
     def forwarded(self, unit: StatementUnit, answer: StatementAnswer, origin: str) -> None:
-        """Take the answer to a statement that another proxy forwarded.
+        """Record the answer to a statement that another proxy forwarded.
 
-        That this proxy takes no new work is told by the line of the one that forwarded it.
+        Refusals after which the forwarding proxy tries elsewhere are not logged here; that proxy
+        logs the final outcome.
 
         :param origin: the link that it came over
         """
         code = CODE_BY_NUMBER.get(answer.code)
-        if code is None or code in TRIED_ELSEWHERE or not self._may_write(self._outcomes):
+        if (
+            code is None
+            or code in RETRIED_ELSEWHERE_CODES
+            or not self._admit_line(self._outcome_lines)
+        ):
             return
         EVENTS.warning(
             "forwarded-not-served",
@@ -206,24 +212,24 @@
         )
 
     def session_refused(self, database: str, answer: StatementAnswer) -> None:
-        """Take a session that was not opened."""
+        """Record a refused session."""
         label = CODE_BY_NUMBER[answer.code].label
         self._metrics.session_refused(label)
-        if self._may_write(self._outcomes):
+        if self._admit_line(self._outcome_lines):
             EVENTS.info("session-refused", database=database, code=label)
 
-    def _may_write(self, budget: LogRateLimiter) -> bool:
-        if budget.take(time.monotonic()):
+    def _admit_line(self, limiter: LogRateLimiter) -> bool:
+        if limiter.take(time.monotonic()):
             return True
-        self._left_out += 1
+        self._omitted += 1
         self._metrics.lines_left_out.inc()
         return False
 
-    def _sum_up(self) -> None:
+    def _log_summary(self) -> None:
         now = time.monotonic()
-        if now - self._summed_at < SUMMARY_INTERVAL_S:
+        if now - self._last_summary_at < SUMMARY_INTERVAL_S:
             return
-        EVENTS.info("served", statements=self._served, lines_left_out=self._left_out)
-        self._summed_at = now
-        self._served = 0
-        self._left_out = 0
+        EVENTS.info("served", statements=self._served_count, lines_left_out=self._omitted)
+        self._last_summary_at = now
+        self._served_count = 0
+        self._omitted = 0
--- a/limedyke_lab/checkers/report.py
+++ b/limedyke_lab/checkers/report.py
@@ -13,7 +13,7 @@
     transactions,
     writes,
 )
-from limedyke_lab.checkers.material import MATERIAL
+from limedyke_lab.checkers.case_counts import CASE_COUNTS
 from limedyke_lab.checkers.violation import Checker, Violation
 from limedyke_lab.history import History, read_records
 
@@ -32,7 +32,7 @@
     revisions.REVISIONS: revisions.check_revisions,
     revisions.IN_FORCE: revisions.check_in_force,
 }
-ALWAYS_WITH_MATERIAL = (
+CHECKERS_REQUIRING_CASES = (
     consistency.READ_YOUR_WRITES,
     consistency.ANSWERS,
     consistency.ANSWERED,
@@ -68,14 +68,14 @@
     for gap in measures.failover_gaps(history):
         lines.append(f"{gap.event.name} of {gap.event.target}: gap {gap.gap_ms:.0f} ms")
     for name, count in count_by_checker(violations).items():
-        lines.append(f"checker {name}: {count} violations in {MATERIAL[name](history)} cases")
+        lines.append(f"checker {name}: {count} violations in {CASE_COUNTS[name](history)} cases")
     lines.extend(str(violation) for violation in violations[:SHOWN_VIOLATIONS])
     return lines
 
 
-def without_material(history: History, checkers: Iterable[str]) -> list[str]:
+def checkers_without_cases(history: History, checkers: Iterable[str]) -> list[str]:
     """Return those of some checkers that found nothing to judge, whose zeros mean nothing."""
-    return [name for name in checkers if not MATERIAL[name](history)]
+    return [name for name in checkers if not CASE_COUNTS[name](history)]
 
 
 def run_check(history_file: Path, member_folder: Path | None) -> int:
@@ -86,7 +86,7 @@
     history = read_records(files)
     violations = check_all(history)
     print("\n".join(describe(history, violations)))
-    nothing = without_material(history, ALWAYS_WITH_MATERIAL)
+    nothing = checkers_without_cases(history, CHECKERS_REQUIRING_CASES)
     if nothing:
         print(f"too little to judge: {', '.join(nothing)}")
     return EXIT_VIOLATION if violations or nothing else EXIT_OK
