--- a/features/mutants/stop_safeguards.py
+++ b/features/mutants/stop_safeguards.py
@@ -122,7 +122,7 @@
     server = HttpServer(_answer_call, HttpLimits(CALL_BYTES))
     serving = await curio.spawn(server.run, listener)
     await curio.sleep(ASKED_S)
-    await server._acceptor._accepting.cancel()
+    await server._acceptor._accept_task.cancel()
     callers = [HttpTestClient() for _ in range(CLIENTS)]
     for caller in callers:
         caller.send_blocking(f"{host}:{port}", CALL)
--- a/features/support/unsafe_back_end.py
+++ b/features/support/unsafe_back_end.py
@@ -20,13 +20,13 @@
     if frame[0] != frames.READY:
         return
     if not self.checked_before:
-        self._next_piece_is_callers()
+        self._start_caller_stage()
         return
     self.done = True
 
 
-def _start_callers_piece(self) -> None:
-    self._piece = type(self._piece).CALLER
+def _start_caller_stage(self) -> None:
+    self._stage = type(self._stage).CALLER
 
 
 async def _feed(self, reader) -> None:
@@ -62,8 +62,8 @@
 
 
 _ANSWERS = (
-    (AnswerReader, "_check_frame", _accept_any_frame),
-    (AnswerReader, "_next_piece_is_callers", _start_callers_piece),
+    (AnswerReader, "_process_check_frame", _accept_any_frame),
+    (AnswerReader, "_start_caller_stage", _start_caller_stage),
     (BackendConnection, "_feed", _feed),
     (BackendConnection, "check_idle", lambda self: not self.broken),
     (BackendConnection, "_reject_unexpected", lambda self, received: None),
