--- a/features/soak/checks.py
+++ b/features/soak/checks.py
@@ -16,7 +16,7 @@
     Asked,
     ClientRecord,
 )
-from features.soak.process_history import GRACE_S, Lives
+from features.soak.process_history import GRACE_S, ProcessHistory
 from features.support.line_platform.group import StandInGroup
 
 SHOWN = 5
@@ -48,15 +48,15 @@
 
 
 def check_stops(
-    records: Iterable[ClientRecord], group: StandInGroup, lives: Lives
+    records: Iterable[ClientRecord], group: StandInGroup, history: ProcessHistory
 ) -> list[Violation]:
     """Return what processes broke that were told to stop, or were left alone."""
     ran = {run.request_id for run in group.runs}
-    return [*_answered_whole(records, ran, lives), *_ended_in_time(lives)]
+    return [*_answered_whole(records, ran, history), *_ended_in_time(history)]
 
 
 def _answered_whole(
-    records: Iterable[ClientRecord], ran: set[str], lives: Lives
+    records: Iterable[ClientRecord], ran: set[str], history: ProcessHistory
 ) -> list[Violation]:
     """Check that what a proxy took was answered, unless its process was struck.
 
@@ -65,25 +65,25 @@
     """
     found = []
     for asked in (asked for record in records for asked in record.asks if not asked.is_answered):
-        life = lives.at(asked.ip, asked.sent_at)
-        if life is None or life.was_struck(asked.sent_at - GRACE_S, asked.ended_at):
+        process = history.find(asked.ip, asked.sent_at)
+        if process is None or process.was_disturbed(asked.sent_at - GRACE_S, asked.ended_at):
             continue
         held_s = asked.ended_at - asked.sent_at
         if asked.request_id in ran or held_s > UNANSWERED_SLACK_S:
-            since_stop_s = asked.sent_at - life.stopped_at
+            since_stop_s = asked.sent_at - process.stopped_at
             found.append(f"{asked.request_id} at {asked.ip}, {since_stop_s:.3f} s after the stop")
     return [Violation("a statement that is taken is answered whole", text) for text in found]
 
 
-def _ended_in_time(lives: Lives) -> list[Violation]:
+def _ended_in_time(history: ProcessHistory) -> list[Violation]:
     found = []
-    for life in lives.all:
-        if life.status is None or life.was_struck(life.started_at, life.ended_at):
+    for process in history.processes:
+        if process.status is None or process.was_disturbed(process.started_at, process.ended_at):
             continue
-        if -life.status in life.unready_for:
+        if -process.status in process.unhandled_signals:
             continue
-        took_s = life.ended_at - life.stopped_at
-        if took_s > GRACE_S + LIFE_LOOK_S or life.status != 0:
+        took_s = process.ended_at - process.stopped_at
+        if took_s > GRACE_S + LIFE_LOOK_S or process.status != 0:
             found.append(f"{life.ip} ended with {life.status}, {took_s:.2f} s after the stop")
     return [Violation("a process that is told to stop ends with 0 in its time", t) for t in found]
 
--- a/features/soak/fault_injection.py
+++ b/features/soak/fault_injection.py
@@ -12,7 +12,7 @@
 import curio
 
 from features.soak.plan import Fault, FaultKind
-from features.soak.process_history import Lives
+from features.soak.process_history import ProcessHistory
 from features.soak.relay import MemberRelay
 from features.soak.stops import Series, StopKind
 from features.support.line_platform.deployment import CONTROLLERS, PROXIES, Deployment
@@ -35,7 +35,7 @@
 
     def __init__(self, folder: Path, proxies: tuple[str, ...] = PROXIES) -> None:
         super().__init__(folder, proxies)
-        self.lives = Lives()
+        self.history = ProcessHistory()
         self.relays: dict[str, MemberRelay] = {}
         self._is_over = False
 
@@ -59,7 +59,7 @@
     def start_process(self, ip: str, program: str, bootstrap: bool = False) -> None:
         """Start one process, and keep note of it."""
         super().start_process(ip, program, bootstrap)
-        self.lives.started(ip)
+        self.history.record_start(ip)
 
     def let_members_work(self, answer_s: float) -> None:
         """Have members take so long to answer."""
@@ -72,11 +72,11 @@
         if process.poll() is not None:
             return
         if number == signal.SIGTERM:
-            self.lives.stopped(ip)
+            self.history.record_stop(ip)
         if number in (signal.SIGTERM, signal.SIGHUP):
-            self.lives.signalled(ip, process.pid, number)
+            self.history.record_signal(ip, process.pid, number)
         else:
-            self.lives.struck(ip)
+            self.history.record_disturbance(ip)
         process.send_signal(number)
 
     async def _supervise(self) -> None:
@@ -84,7 +84,7 @@
             for ip in (*CONTROLLERS, *self.proxies):
                 status = self.process(ip).poll()
                 if status is not None:
-                    self.lives.ended(ip, status)
+                    self.history.record_exit(ip, status)
                     await curio.spawn(self._restart, ip, daemon=True)
             await curio.sleep(RESTART_S)
 
@@ -212,7 +212,7 @@
         process = self._deployment.process(ip)
         if process.poll() is not None:
             return
-        self._deployment.lives.struck(ip)
+        self._deployment.history.record_disturbance(ip)
         try:
             resource.prlimit(process.pid, resource.RLIMIT_FSIZE, (0, resource.RLIM_INFINITY))
             await curio.sleep(seconds)
--- a/features/soak/process_history.py
+++ b/features/soak/process_history.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class Life:
+class ProcessRecord:
     """One process, from its start to its end; times are seconds of the monotonic clock.
 
     :ivar struck_at: when it was killed, paused or let go on: it owes nothing then
@@ -28,56 +28,56 @@
     stopped_at: float = NEVER
     ended_at: float = NEVER
     status: int | None = None
-    struck_at: list[float] = field(default_factory=list)
-    unready_for: set[signal.Signals] = field(default_factory=set)
+    disturbed_at: list[float] = field(default_factory=list)
+    unhandled_signals: set[signal.Signals] = field(default_factory=set)
 
-    def was_struck(self, since: float, until: float) -> bool:
+    def was_disturbed(self, since: float, until: float) -> bool:
         """Tell whether it was struck between two moments."""
-        return any(since <= moment <= until for moment in self.struck_at)
+        return any(since <= moment <= until for moment in self.disturbed_at)
 
 
-class Lives:
+class ProcessHistory:
     """The lives of all processes, in order."""
 
     def __init__(self) -> None:
-        self.all: list[Life] = []
-        self._present: dict[str, Life] = {}
+        self.processes: list[ProcessRecord] = []
+        self._current: dict[str, ProcessRecord] = {}
 
-    def started(self, ip: str) -> None:
+    def record_start(self, ip: str) -> None:
         """Note a new process on a machine."""
-        life = self._present[ip] = Life(ip, time.monotonic())
-        self.all.append(life)
+        process = self._current[ip] = ProcessRecord(ip, time.monotonic())
+        self.processes.append(process)
 
-    def struck(self, ip: str) -> None:
+    def record_disturbance(self, ip: str) -> None:
         """Note that its process was killed, paused or let go on."""
-        self._present[ip].struck_at.append(time.monotonic())
+        self._current[ip].disturbed_at.append(time.monotonic())
 
-    def stopped(self, ip: str) -> None:
+    def record_stop(self, ip: str) -> None:
         """Note that its process was told to stop; only the first time counts."""
-        life = self._present[ip]
-        life.stopped_at = min(life.stopped_at, time.monotonic())
+        process = self._current[ip]
+        process.stopped_at = min(process.stopped_at, time.monotonic())
 
-    def signalled(self, ip: str, process_id: int, number: signal.Signals) -> None:
+    def record_signal(self, ip: str, process_id: int, number: signal.Signals) -> None:
         """Note that its process is to be sent a signal now."""
-        if not handles(process_id, number):
-            self._present[ip].unready_for.add(number)
+        if not handles_signal(process_id, number):
+            self._current[ip].unhandled_signals.add(number)
 
-    def ended(self, ip: str, status: int) -> None:
+    def record_exit(self, ip: str, status: int) -> None:
         """Note that its process has ended."""
-        life = self._present[ip]
-        if life.status is None:
-            life.ended_at = time.monotonic()
-            life.status = status
+        process = self._current[ip]
+        if process.status is None:
+            process.ended_at = time.monotonic()
+            process.status = status
 
-    def at(self, ip: str, moment: float) -> Life | None:
+    def find(self, ip: str, moment: float) -> ProcessRecord | None:
         """Return the process of a machine at a moment; None when none was there."""
-        for life in reversed(self.all):
-            if life.ip == ip and life.started_at <= moment:
-                return life
+        for process in reversed(self.processes):
+            if process.ip == ip and process.started_at <= moment:
+                return process
         return None
 
 
-def handles(process_id: int, number: signal.Signals) -> bool:
+def handles_signal(process_id: int, number: signal.Signals) -> bool:
     """Tell whether a process catches or ignores a signal, by what the kernel says of it."""
     status = Path(f"/proc/{process_id}/status").read_text()
     masks = re.findall(r"^Sig(?:Ign|Cgt):\s*([0-9a-f]+)$", status, re.MULTILINE)
--- a/features/soak/versions.py
+++ b/features/soak/versions.py
@@ -159,7 +159,7 @@
         await deployment.stop()
     records = [client.record for client in clients]
     violations = check(records, deployment.group, healed_at)
-    violations += check_stops(records, deployment.group, deployment.lives)
+    violations += check_stops(records, deployment.group, deployment.history)
     violations += [
         Violation("a change is acknowledged", f"version {version}")
         for version in operator.unacknowledged
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -20,7 +20,7 @@
     WriteTold,
 )
 from features.soak.plan import draw_plan
-from features.soak.process_history import Life, Lives, handles
+from features.soak.process_history import ProcessRecord, ProcessHistory, handles_signal
 from features.soak.run import SoakShape, report, run_soak
 from features.soak.stops import draw_series
 from features.soak.waves import draw_waves
@@ -52,7 +52,7 @@
     ]
     record.reads = [ReadTold("r1", "v2", record.allowed_values("w", 3.5), 4.0)]
     record.served = [LAST_SERVED_AT]
-    context.lives = Lives()
+    context.history = ProcessHistory()
     context.further = []
 
 
@@ -148,11 +148,11 @@
 PROXY = "127.31.1.2"
 
 
-def _stopped_proxy(context, took_s: float = 3.0, status: int = 0) -> Life:
+def _stopped_proxy(context, took_s: float = 3.0, status: int = 0) -> ProcessRecord:
     """Have a proxy be told to stop and end; return its life."""
-    life = Life(PROXY, 0.0, STOPPED_AT, STOPPED_AT + took_s, status)
-    context.lives.all.append(life)
-    return life
+    process = ProcessRecord(PROXY, 0.0, STOPPED_AT, STOPPED_AT + took_s, status)
+    context.history.processes.append(process)
+    return process
 
 
 def _unanswered(context, held_s: float, member: str = "") -> None:
@@ -194,10 +194,10 @@
 @when("soak: {name:w} ended a proxy that {state} handle it")
 def step_signalled(context, name, state):
     number = signal.Signals[name]
-    life = Life(PROXY, 0.0, ended_at=0.05, status=-number)
+    process = ProcessRecord(PROXY, 0.0, ended_at=0.05, status=-number)
     if state == "could not yet":
-        life.unready_for.add(number)
-    context.lives.all.append(life)
+        process.unhandled_signals.add(number)
+    context.history.processes.append(process)
 
 
 LEAVES_ALONE = "signal.signal(1, signal.SIG_DFL)"
@@ -211,7 +211,7 @@
     process = subprocess.Popen([sys.executable, "-c", program], stdout=subprocess.PIPE)
     try:
         assert process.stdout.readline() == b"ready\n"
-        assert handles(process.pid, signal.SIGHUP) == (known == "yes")
+        assert handles_signal(process.pid, signal.SIGHUP) == (known == "yes")
     finally:
         process.kill()
         process.communicate()
@@ -219,7 +219,7 @@
 
 @when("soak: a killed proxy ran a statement and did not answer")
 def step_killed(context):
-    _stopped_proxy(context, status=-9).struck_at.append(STOPPED_AT + 2.04)
+    _stopped_proxy(context, status=-9).disturbed_at.append(STOPPED_AT + 2.04)
     _unanswered(context, 0.05, "a")
 
 
@@ -234,7 +234,7 @@
     further = context.further
     return [
         *check([*records, *further], context.group, HEALED_AT, may_end_early=further),
-        *check_stops([*records, *further], context.group, context.lives),
+        *check_stops([*records, *further], context.group, context.history),
         *check_load([*records, *further]),
     ]
 
