--- a/features/soak/checks.py
+++ b/features/soak/checks.py
@@ -12,8 +12,8 @@
     BURST,
     DATABASE,
     MODEST,
-    NOTHING_KEPT,
-    Asked,
+    NOT_APPLIED_WORDS,
+    StatementResult,
     ClientRecord,
 )
 from features.soak.process_history import GRACE_S, ProcessHistory
@@ -64,13 +64,20 @@
     learned at once.
     """
     found = []
-    for asked in (asked for record in records for asked in record.asks if not asked.is_answered):
-        process = history.find(asked.ip, asked.sent_at)
-        if process is None or process.was_disturbed(asked.sent_at - GRACE_S, asked.ended_at):
+    for statement in (
+        statement
+        for record in records
+        for statement in record.statements
+        if not statement.is_answered
+    ):
+        process = history.find(statement.ip, statement.sent_at)
+        if process is None or process.was_disturbed(
+            statement.sent_at - GRACE_S, statement.ended_at
+        ):
             continue
-        held_s = asked.ended_at - asked.sent_at
-        if asked.request_id in ran or held_s > UNANSWERED_SLACK_S:
-            since_stop_s = asked.sent_at - process.stopped_at
+        held_s = statement.ended_at - statement.sent_at
+        if statement.request_id in ran or held_s > UNANSWERED_SLACK_S:
+            since_stop_s = statement.sent_at - process.stopped_at
             found.append(f"{asked.request_id} at {asked.ip}, {since_stop_s:.3f} s after the stop")
     return [Violation("a statement that is taken is answered whole", text) for text in found]
 
@@ -123,13 +130,18 @@
 
 def _modest_is_served(records: list[ClientRecord]) -> list[Violation]:
     """Check that no tenant that asks for little is told that its limit is used up."""
-    asks = [asked for record in records if record.tenant == MODEST for asked in record.asks]
-    moments = sorted(asked.sent_at for asked in asks)
+    statements = [
+        statement
+        for record in records
+        if record.tenant == MODEST
+        for statement in record.statements
+    ]
+    moments = sorted(statement.sent_at for statement in statements)
     little = MODEST_SHARE * (MODEST.rate * WINDOW_S + BURST)
     found = []
-    for asked in (asked for asked in asks if asked.code == OVER_LIMIT):
-        first = bisect.bisect_left(moments, asked.sent_at - WINDOW_S)
-        count = bisect.bisect_right(moments, asked.sent_at) - first
+    for statement in (statement for statement in statements if statement.code == OVER_LIMIT):
+        first = bisect.bisect_left(moments, statement.sent_at - WINDOW_S)
+        count = bisect.bisect_right(moments, statement.sent_at) - first
         if count <= little:
             found.append(f"{asked.request_id} was the {count}th in {WINDOW_S} s")
     return [Violation("a tenant within its limit is not refused for it", t) for t in found[:SHOWN]]
@@ -144,8 +156,8 @@
     urgent = _by_span(records, DATABASE)
     batch = _by_span(records, BATCH_DATABASE)
     common = [span for span in urgent if span in batch]
-    urgent_share = _turned_away_share([asked for span in common for asked in urgent[span]])
-    batch_share = _turned_away_share([asked for span in common for asked in batch[span]])
+    urgent_share = _turned_away_share([statement for span in common for statement in urgent[span]])
+    batch_share = _turned_away_share([statement for span in common for statement in batch[span]])
     if urgent_share is None or batch_share is None:
         return []
     if urgent_share <= batch_share + TURNED_AWAY_SLACK:
@@ -154,30 +166,38 @@
     return [Violation("urgent statements are turned away no more than others", detail)]
 
 
-def _by_span(records: list[ClientRecord], database: str) -> dict[int, list[Asked]]:
+def _by_span(records: list[ClientRecord], database: str) -> dict[int, list[StatementResult]]:
     """Return what was asked of a database by span, but for what was over a limit."""
-    asks: dict[int, list[Asked]] = {}
-    for asked in (a for record in records if record.database == database for a in record.asks):
-        if asked.code != OVER_LIMIT:
-            asks.setdefault(int(asked.sent_at / COMPARED_SPAN_S), []).append(asked)
-    return {span: asked for span, asked in asks.items() if len(asked) >= FEWEST_IN_SPAN}
-
-
-def _turned_away_share(asks: list[Asked]) -> float | None:
+    statements: dict[int, list[StatementResult]] = {}
+    for statement in (
+        a for record in records if record.database == database for a in record.statements
+    ):
+        if statement.code != OVER_LIMIT:
+            statements.setdefault(int(statement.sent_at / COMPARED_SPAN_S), []).append(statement)
+    return {
+        span: statement
+        for span, statement in statements.items()
+        if len(statement) >= FEWEST_IN_SPAN
+    }
+
+
+def _turned_away_share(statements: list[StatementResult]) -> float | None:
     """Return the share that was told that it did not run; None of too few."""
-    if len(asks) < FEWEST_COMPARED:
+    if len(statements) < FEWEST_COMPARED:
         return None
-    return sum(asked.words[0] in NOTHING_KEPT for asked in asks) / len(asks)
+    return sum(statement.words[0] in NOT_APPLIED_WORDS for statement in statements) / len(
+        statements
+    )
 
 
 def _asked_only(records: list[ClientRecord], group: StandInGroup) -> list[Violation]:
-    asked = set().union(*(record.asked for record in records))
-    foreign = {run.request_id for run in group.runs} - asked
+    requested = set().union(*(record.request_ids for record in records))
+    foreign = {run.request_id for run in group.runs} - requested
     return [Violation("members run only what was asked", name) for name in sorted(foreign)[:SHOWN]]
 
 
 def _for_its_tenant(records: list[ClientRecord], group: StandInGroup) -> list[Violation]:
-    tenants = {name: record.tenant.name for record in records for name in record.asked}
+    tenants = {name: record.tenant.name for record in records for name in record.request_ids}
     found = [
         f"{run.request_id} ran for {run.tenant}"
         for run in group.runs
@@ -216,7 +236,7 @@
         f"{write.request_id} {write.word}"
         for record in records
         for write in record.writes
-        if write.word in NOTHING_KEPT and write.request_id in kept
+        if write.word in NOT_APPLIED_WORDS and write.request_id in kept
     ]
     return [Violation("what was refused is not kept", text) for text in found[:SHOWN]]
 
--- a/features/soak/load.py
+++ b/features/soak/load.py
@@ -31,7 +31,7 @@
     key: str
     rate: int
 
-    def document(self) -> dict:
+    def to_document(self) -> dict:
         """Return the tenant as a configuration declares it."""
         burst = BURST if self.rate else 0
         return {"name": self.name, "apiKeys": [self.key], "ratePerS": self.rate, "burst": burst}
@@ -41,20 +41,20 @@
 MODEST = SoakTenant("modest", "key-modest", OPERATIONS_PER_S)
 """Asks far less than its limit."""
 MODEST_PAUSE_S = 0.25
-NOTHING_KEPT = frozenset({"BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGNODE", "MAXCONN"})
+NOT_APPLIED_WORDS = frozenset({"BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGNODE", "MAXCONN"})
 """Words by which a client is promised that nothing of its attempt is kept."""
 PAUSE_S = 0.03
-HEEDING_SHARE = 0.5
+RECONNECTING_SHARE = 0.5
 """So many clients end a session when they are told that its proxy leaves; the others use their
 connections until these end."""
-CONNECT_LIMIT_S = 2.0
+CONNECT_TIMEOUT_S = 2.0
 STALENESS_S = MAX_STALENESS_MS / 1_000
 UNANSWERED = "closed"
-LEAVES_SERVICE = "LD3006"
+LEAVING_SERVICE_CODE = "LD3006"
 
 
 @dataclass(frozen=True, slots=True)
-class WriteTold:
+class WriteResult:
     """What a client was told of a write, or of the commit of a transaction.
 
     :param request_id: under which a member commits it
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReadTold:
+class ReadResult:
     """What a client read of its own thing, and what it may have read."""
 
     request_id: str
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class StatementResult:
     """A statement that was sent whole, and what became of it.
 
     :param ip: of the proxy's machine
@@ -104,10 +104,10 @@
 
     name: str
     tenant: SoakTenant
-    asked: set[str] = field(default_factory=set)
-    asks: list[Asked] = field(default_factory=list)
-    writes: list[WriteTold] = field(default_factory=list)
-    reads: list[ReadTold] = field(default_factory=list)
+    request_ids: set[str] = field(default_factory=set)
+    statements: list[StatementResult] = field(default_factory=list)
+    writes: list[WriteResult] = field(default_factory=list)
+    reads: list[ReadResult] = field(default_factory=list)
     served: list[float] = field(default_factory=list)
     database: str = DATABASE
 
@@ -125,7 +125,7 @@
             is_seen = write.request_id.startswith(session) or now - write.at > STALENESS_S
             if write.word == "done" and is_seen:
                 allowed = {write.value}
-            elif write.word not in NOTHING_KEPT:
+            elif write.word not in NOT_APPLIED_WORDS:
                 allowed.add(write.value)
         return frozenset(allowed)
 
@@ -155,23 +155,23 @@
         self._pause_s = pause_s
         self._proxies = proxies
         self._generator = random.Random(f"{seed}/{name}")
-        self._thing = name
-        self._number = 0
-        self._sessions = 0
+        self._key = name
+        self._value_count = 0
+        self._session_count = 0
         self._client: LineClient | None = None
         self._ip = ""
-        self._heeds = self._generator.random() < HEEDING_SHARE
+        self._reconnects_on_notice = self._generator.random() < RECONNECTING_SHARE
 
     async def run(self) -> None:
         """Ask one thing after the other until cancelled."""
         while True:
             await curio.sleep(self._generator.uniform(0.0, 2 * self._pause_s))
             try:
-                await self._operate()
+                await self._run_operation()
             except (OSError, curio.TaskTimeout, SessionOverError):
                 await self._drop()
 
-    async def _operate(self) -> None:
+    async def _run_operation(self) -> None:
         if self._client is None:
             await self._connect()
             return
@@ -183,9 +183,9 @@
     async def _connect(self) -> None:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._ip = self._generator.choice(self._proxies)
-        async with curio.timeout_after(CONNECT_LIMIT_S):
+        async with curio.timeout_after(CONNECT_TIMEOUT_S):
             await sock.connect((self._ip, FRONT_PORT))
-        self._sessions += 1
+        self._session_count += 1
         client = LineClient(sock, f"{self.record.name}-{self._sessions}-")
         await client.send(f"START {self.record.database} {self.record.tenant.key}\r\n")
         if summary([await client.receive()]) == "I":
@@ -210,41 +210,45 @@
         except (OSError, curio.TaskTimeout):
             words = [UNANSWERED]
         finally:
-            self.record.asked.add(client.request_id)
+            self.record.request_ids.add(client.request_id)
         lines = client.last_answer
         if not lines or not lines[-1].startswith("READY"):
             words = [UNANSWERED]
         ended_at = time.monotonic()
         code = _code_in(lines)
-        asked = Asked(client.request_id, self._ip, sent_at, ended_at, tuple(words), code)
-        self.record.asks.append(asked)
-        is_sent_elsewhere = self._heeds and any(LEAVES_SERVICE in line for line in lines)
-        if words[0] == UNANSWERED or (is_sent_elsewhere and words[-1] == "I"):
+        statement = StatementResult(
+            client.request_id, self._ip, sent_at, ended_at, tuple(words), code
+        )
+        self.record.statements.append(statement)
+        should_reconnect = self._reconnects_on_notice and any(
+            LEAVING_SERVICE_CODE in line for line in lines
+        )
+        if words[0] == UNANSWERED or (should_reconnect and words[-1] == "I"):
             await self._drop()
         elif "done" in words:
             self.record.served.append(time.monotonic())
         return words
 
     def _next_value(self) -> str:
-        self._number += 1
+        self._value_count += 1
         return f"{self.record.name}v{self._number}"
 
     async def _write(self) -> None:
-        await self._note_write(self._next_value(), f"WRITE {self._thing} ", "")
+        await self._record_write(self._next_value(), f"WRITE {self._thing} ", "")
 
-    async def _note_write(self, value: str, before: str, commit: str) -> None:
+    async def _record_write(self, value: str, before: str, commit: str) -> None:
         """Ask what commits a value; keep what was told of it."""
         client = self._client
         words = await self._ask(commit or f"{before}{value}")
         word = "done" if "done" in words else words[0]
-        self.record.writes.append(WriteTold(client.request_id, value, word, time.monotonic()))
+        self.record.writes.append(WriteResult(client.request_id, value, word, time.monotonic()))
 
     async def _read(self) -> None:
         client = self._client
         allowed = self.record.allowed_values(client.session, time.monotonic())
         words = await self._ask(f"READ {self._thing}")
         if "done" in words:
-            told = ReadTold(client.request_id, words[0], allowed, time.monotonic())
+            told = ReadResult(client.request_id, words[0], allowed, time.monotonic())
             self.record.reads.append(told)
 
     async def _begin_and_write(self) -> str | None:
@@ -260,7 +264,7 @@
     async def _transact(self) -> None:
         value = await self._begin_and_write()
         if value is not None:
-            await self._note_write(value, "", "COMMIT")
+            await self._record_write(value, "", "COMMIT")
 
     async def _roll_back(self) -> None:
         if await self._begin_and_write() is not None:
--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -121,7 +121,7 @@
 async def _play(seed: int, seconds: float, shape: SoakShape, folder: Path) -> SoakResult:
     deployment = SoakDeployment(folder, shape.machines())
     tenants = (*TENANTS, MODEST) if shape.has_waves else TENANTS
-    deployment.tenants = [tenant.document() for tenant in tenants]
+    deployment.tenants = [tenant.to_document() for tenant in tenants]
     deployment.priorities = {BATCH_DATABASE: BATCH_PRIORITY}
     clients = [
         SoakClient(f"c{number}", deployment.proxies, seed, TENANTS[number % len(TENANTS)])
--- a/features/soak/versions.py
+++ b/features/soak/versions.py
@@ -132,7 +132,7 @@
 
 async def _play(folder: Path, other: Path) -> tuple[list[Violation], list[str]]:
     deployment = MixedDeployment(folder, other, SoakShape(proxies=PROXY_COUNT).machines())
-    deployment.tenants = [tenant.document() for tenant in TENANTS]
+    deployment.tenants = [tenant.to_document() for tenant in TENANTS]
     clients = [
         SoakClient(f"c{number}", deployment.proxies, SEED, TENANTS[number % len(TENANTS)])
         for number in range(CLIENTS)
@@ -165,7 +165,7 @@
         for version in operator.unacknowledged
     ]
     served = sum(len(record.served) for record in records)
-    unanswered = sum(not ask.is_answered for record in records for ask in record.asks)
+    unanswered = sum(not ask.is_answered for record in records for ask in record.statements)
     summary = (
         f"served={served} unanswered={unanswered} changes={deployment.version} "
         f"violations={len(violations)}"
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -14,10 +14,10 @@
     MODEST,
     TENANTS,
     UNANSWERED,
-    Asked,
+    StatementResult,
     ClientRecord,
-    ReadTold,
-    WriteTold,
+    ReadResult,
+    WriteResult,
 )
 from features.soak.plan import draw_plan
 from features.soak.process_history import ProcessRecord, ProcessHistory, handles_signal
@@ -46,11 +46,11 @@
     group.runs = [Run("a", "w1", "WRITE c0 v1", {}, False, 1.0, LIMITED.name)]
     record = context.record = ClientRecord("c0", LIMITED, {"w1", "w2", "w3", "r1"})
     record.writes = [
-        WriteTold("w1", "v1", "done", 1.0),
-        WriteTold("w2", "v2", "closed", 2.0),
-        WriteTold("w3", "v3", "BUSY", 3.0),
+        WriteResult("w1", "v1", "done", 1.0),
+        WriteResult("w2", "v2", "closed", 2.0),
+        WriteResult("w3", "v3", "BUSY", 3.0),
     ]
-    record.reads = [ReadTold("r1", "v2", record.allowed_values("w", 3.5), 4.0)]
+    record.reads = [ReadResult("r1", "v2", record.allowed_values("w", 3.5), 4.0)]
     record.served = [LAST_SERVED_AT]
     context.history = ProcessHistory()
     context.further = []
@@ -69,7 +69,7 @@
 @when("soak: a tenant ran more than its limit within a window")
 def step_over_limit(context):
     for number in range(LIMITED.rate * 10):
-        context.record.asked.add(f"o{number}")
+        context.record.request_ids.add(f"o{number}")
         run = Run("b", f"o{number}", "READ c0", {}, False, 2.0 + number / 100, LIMITED.name)
         context.group.runs.append(run)
 
@@ -97,16 +97,16 @@
 
 def _read(context, value: str, session: str, sent_at: float) -> None:
     allowed = context.record.allowed_values(session, sent_at)
-    context.record.asked.add("r2")
-    context.record.reads.append(ReadTold("r2", value, allowed, sent_at + 0.5))
+    context.record.request_ids.add("r2")
+    context.record.reads.append(ReadResult("r2", value, allowed, sent_at + 0.5))
 
 
 @when("soak: a new session missed what another one of its client had written {age:d} s before")
 def step_new_session(context, age):
-    context.record.writes.append(WriteTold("w4", "v4", "done", 4.0))
+    context.record.writes.append(WriteResult("w4", "v4", "done", 4.0))
     for member in context.group.members.values():
         member.log.commits.append(_commit(4, "w4"))
-    context.record.asked.add("w4")
+    context.record.request_ids.add("w4")
     _read(context, "v2", "x", 4.0 + age)
 
 
@@ -120,11 +120,11 @@
     for number in range(count):
         is_refused = number < refused
         name = f"{record.name}-{number}"
-        record.asked.add(name)
+        record.request_ids.add(name)
         sent_at = 5.0 + number / count
         words = (word if is_refused else "done", "I")
         told = code if is_refused else ""
-        record.asks.append(Asked(name, PROXY, sent_at, sent_at + 0.01, words, told))
+        record.statements.append(StatementResult(name, PROXY, sent_at, sent_at + 0.01, words, told))
 
 
 @when("soak: a tenant that asked for {count:d} in a second was told that its limit is used up")
@@ -132,8 +132,8 @@
     record = ClientRecord("modest", MODEST)
     context.further.append(record)
     _ask_in_turn(record, count, 0, "", "")
-    record.asks.append(Asked("last", PROXY, 6.0, 6.01, ("BUSY", "I"), "LD3017"))
-    record.asked.add("last")
+    record.statements.append(StatementResult("last", PROXY, 6.0, 6.01, ("BUSY", "I"), "LD3017"))
+    record.request_ids.add("last")
 
 
 @when("soak: {urgent:d} of 100 urgent statements and {batch:d} of 100 others were turned away")
@@ -161,11 +161,11 @@
     :param member: that ran it; empty for none
     """
     sent_at = STOPPED_AT + 2.0
-    asked = Asked("u1", PROXY, sent_at, sent_at + held_s, (UNANSWERED,))
-    context.record.asked.add(asked.request_id)
-    context.record.asks.append(asked)
+    statement = StatementResult("u1", PROXY, sent_at, sent_at + held_s, (UNANSWERED,))
+    context.record.request_ids.add(statement.request_id)
+    context.record.statements.append(statement)
     if member:
-        run = Run(member, asked.request_id, "READ c0", {}, False, sent_at, LIMITED.name)
+        run = Run(member, statement.request_id, "READ c0", {}, False, sent_at, LIMITED.name)
         context.group.runs.append(run)
 
 
