--- a/features/soak/checks.py
+++ b/features/soak/checks.py
@@ -19,21 +19,21 @@
 from features.soak.process_history import GRACE_S, ProcessHistory
 from features.support.line_platform.group import StandInGroup
 
-SHOWN = 5
+MAX_REPORTED = 5
 UNANSWERED_SLACK_S = 0.2
-LIFE_LOOK_S = 0.5
+EXIT_POLL_S = 0.5
 """The end of a process is noticed so much later at most."""
-WINDOW_S, OVERSHOOT, SLACK = 5.0, 0.1, 20
+WINDOW_S, LIMIT_TOLERANCE, LIMIT_SLACK_OPERATIONS = 5.0, 0.1, 20
 """Within any window so long, a limit may be exceeded by this share and so many operations."""
 
-OVER_LIMIT = "LD3017"
+OVER_LIMIT_CODE = "LD3017"
 MODEST_SHARE = 0.5
 """A tenant that asked for so much of its limit in a window is well within it."""
-TURNED_AWAY_SLACK = 0.05
-FEWEST_COMPARED = 50
+REFUSED_SHARE_TOLERANCE = 0.05
+MIN_COMPARED_STATEMENTS = 50
 """Shares of fewer statements than that say little."""
-COMPARED_SPAN_S = 0.5
-FEWEST_IN_SPAN = 3
+SPAN_S = 0.5
+MIN_STATEMENTS_IN_SPAN = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,10 +52,10 @@
 ) -> list[Violation]:
     """Return what processes broke that were told to stop, or were left alone."""
     ran = {run.request_id for run in group.runs}
-    return [*_answered_whole(records, ran, history), *_ended_in_time(history)]
+    return [*_check_answered(records, ran, history), *_check_exits(history)]
 
 
-def _answered_whole(
+def _check_answered(
     records: Iterable[ClientRecord], ran: set[str], history: ProcessHistory
 ) -> list[Violation]:
     """Check that what a proxy took was answered, unless its process was struck.
@@ -82,7 +82,7 @@
     return [Violation("a statement that is taken is answered whole", text) for text in found]
 
 
-def _ended_in_time(history: ProcessHistory) -> list[Violation]:
+def _check_exits(history: ProcessHistory) -> list[Violation]:
     found = []
     for process in history.processes:
         if process.status is None or process.was_disturbed(process.started_at, process.ended_at):
@@ -90,7 +90,7 @@
         if -process.status in process.unhandled_signals:
             continue
         took_s = process.ended_at - process.stopped_at
-        if took_s > GRACE_S + LIFE_LOOK_S or process.status != 0:
+        if took_s > GRACE_S + EXIT_POLL_S or process.status != 0:
             found.append(f"{life.ip} ended with {life.status}, {took_s:.2f} s after the stop")
     return [Violation("a process that is told to stop ends with 0 in its time", t) for t in found]
 
@@ -99,7 +99,7 @@
     records: Iterable[ClientRecord],
     group: StandInGroup,
     healed_at: float,
-    may_end_early: Iterable[ClientRecord] = (),
+    short_lived: Iterable[ClientRecord] = (),
 ) -> list[Violation]:
     """Return all broken promises.
 
@@ -107,28 +107,28 @@
     :param may_end_early: clients that leave before that, among the records
     """
     records = list(records)
-    early = {record.name for record in may_end_early}
+    early = {record.name for record in short_lived}
     commits = [commit for member in group.members.values() for commit in member.log.commits]
     kept = {commit.request_id for commit in commits} - group.rolled_back
     return [
-        *_asked_only(records, group),
-        *_for_its_tenant(records, group),
-        *_within_limits(records, group),
-        *_once(group),
-        *_refused_is_not_kept(records, kept),
-        *_acknowledged_is_kept(records, group, kept),
-        *_own_work_is_seen(records, group),
-        *_recovered([record for record in records if record.name not in early], healed_at),
+        *_check_requested_only(records, group),
+        *_check_tenants(records, group),
+        *_check_limits(records, group),
+        *_check_committed_once(group),
+        *_check_refused_writes(records, kept),
+        *_check_acknowledged_writes(records, group, kept),
+        *_check_reads(records, group),
+        *_check_recovery([record for record in records if record.name not in early], healed_at),
     ]
 
 
 def check_load(records: Iterable[ClientRecord]) -> list[Violation]:
     """Return what was broken for those who were not the cause of a wave of load."""
     records = list(records)
-    return [*_modest_is_served(records), *_urgent_goes_first(records)]
+    return [*_check_modest_tenant(records), *_check_priorities(records)]
 
 
-def _modest_is_served(records: list[ClientRecord]) -> list[Violation]:
+def _check_modest_tenant(records: list[ClientRecord]) -> list[Violation]:
     """Check that no tenant that asks for little is told that its limit is used up."""
     statements = [
         statement
@@ -136,112 +136,122 @@
         if record.tenant == MODEST
         for statement in record.statements
     ]
-    moments = sorted(statement.sent_at for statement in statements)
+    times = sorted(statement.sent_at for statement in statements)
     little = MODEST_SHARE * (MODEST.rate * WINDOW_S + BURST)
     found = []
-    for statement in (statement for statement in statements if statement.code == OVER_LIMIT):
-        first = bisect.bisect_left(moments, statement.sent_at - WINDOW_S)
-        count = bisect.bisect_right(moments, statement.sent_at) - first
+    for statement in (statement for statement in statements if statement.code == OVER_LIMIT_CODE):
+        first = bisect.bisect_left(times, statement.sent_at - WINDOW_S)
+        count = bisect.bisect_right(times, statement.sent_at) - first
         if count <= little:
             found.append(f"{asked.request_id} was the {count}th in {WINDOW_S} s")
-    return [Violation("a tenant within its limit is not refused for it", t) for t in found[:SHOWN]]
+    return [
+        Violation("a tenant within its limit is not refused for it", t)
+        for t in found[:MAX_REPORTED]
+    ]
 
 
-def _urgent_goes_first(records: list[ClientRecord]) -> list[Violation]:
+def _check_priorities(records: list[ClientRecord]) -> list[Violation]:
     """Check that waiting statements of the urgent database are turned away no more often.
 
     Only spans in which both were asked for are compared: faults strike at other times too. Refusals
     over a tenant's limit say nothing of the order.
     """
-    urgent = _by_span(records, DATABASE)
-    batch = _by_span(records, BATCH_DATABASE)
+    urgent = _group_by_span(records, DATABASE)
+    batch = _group_by_span(records, BATCH_DATABASE)
     common = [span for span in urgent if span in batch]
-    urgent_share = _turned_away_share([statement for span in common for statement in urgent[span]])
-    batch_share = _turned_away_share([statement for span in common for statement in batch[span]])
+    urgent_share = _refused_share([statement for span in common for statement in urgent[span]])
+    batch_share = _refused_share([statement for span in common for statement in batch[span]])
     if urgent_share is None or batch_share is None:
         return []
-    if urgent_share <= batch_share + TURNED_AWAY_SLACK:
+    if urgent_share <= batch_share + REFUSED_SHARE_TOLERANCE:
         return []
     detail = f"{urgent_share:.3f} of the urgent ones, {batch_share:.3f} of the others"
     return [Violation("urgent statements are turned away no more than others", detail)]
 
 
-def _by_span(records: list[ClientRecord], database: str) -> dict[int, list[StatementResult]]:
+def _group_by_span(records: list[ClientRecord], database: str) -> dict[int, list[StatementResult]]:
     """Return what was asked of a database by span, but for what was over a limit."""
     statements: dict[int, list[StatementResult]] = {}
     for statement in (
         a for record in records if record.database == database for a in record.statements
     ):
-        if statement.code != OVER_LIMIT:
-            statements.setdefault(int(statement.sent_at / COMPARED_SPAN_S), []).append(statement)
+        if statement.code != OVER_LIMIT_CODE:
+            statements.setdefault(int(statement.sent_at / SPAN_S), []).append(statement)
     return {
         span: statement
         for span, statement in statements.items()
-        if len(statement) >= FEWEST_IN_SPAN
+        if len(statement) >= MIN_STATEMENTS_IN_SPAN
     }
 
 
-def _turned_away_share(statements: list[StatementResult]) -> float | None:
+def _refused_share(statements: list[StatementResult]) -> float | None:
     """Return the share that was told that it did not run; None of too few."""
-    if len(statements) < FEWEST_COMPARED:
+    if len(statements) < MIN_COMPARED_STATEMENTS:
         return None
     return sum(statement.words[0] in NOT_APPLIED_WORDS for statement in statements) / len(
         statements
     )
 
 
-def _asked_only(records: list[ClientRecord], group: StandInGroup) -> list[Violation]:
+def _check_requested_only(records: list[ClientRecord], group: StandInGroup) -> list[Violation]:
     requested = set().union(*(record.request_ids for record in records))
     foreign = {run.request_id for run in group.runs} - requested
-    return [Violation("members run only what was asked", name) for name in sorted(foreign)[:SHOWN]]
+    return [
+        Violation("members run only what was asked", name)
+        for name in sorted(foreign)[:MAX_REPORTED]
+    ]
 
 
-def _for_its_tenant(records: list[ClientRecord], group: StandInGroup) -> list[Violation]:
+def _check_tenants(records: list[ClientRecord], group: StandInGroup) -> list[Violation]:
     tenants = {name: record.tenant.name for record in records for name in record.request_ids}
     found = [
         f"{run.request_id} ran for {run.tenant}"
         for run in group.runs
         if run.tenant != tenants.get(run.request_id, run.tenant)
     ]
-    return [Violation("members run a statement for its tenant", text) for text in found[:SHOWN]]
+    return [
+        Violation("members run a statement for its tenant", text) for text in found[:MAX_REPORTED]
+    ]
 
 
-def _within_limits(records: list[ClientRecord], group: StandInGroup) -> list[Violation]:
+def _check_limits(records: list[ClientRecord], group: StandInGroup) -> list[Violation]:
     """Count operations by the request that began them, in each window that begins with one."""
     found = []
     for tenant in {record.tenant for record in records if record.tenant.rate}:
-        began = {}
+        start_times = {}
         for run in group.runs:
             if run.tenant == tenant.name and run.text != "COMMIT":
-                began.setdefault(run.request_id, run.at)
-        moments = sorted(began.values())
-        allowed = (tenant.rate * WINDOW_S + BURST) * (1 + OVERSHOOT) + SLACK
-        for first, moment in enumerate(moments):
-            count = bisect.bisect_right(moments, moment + WINDOW_S) - first
+                start_times.setdefault(run.request_id, run.at)
+        times = sorted(start_times.values())
+        allowed = (tenant.rate * WINDOW_S + BURST) * (1 + LIMIT_TOLERANCE) + LIMIT_SLACK_OPERATIONS
+        for first, moment in enumerate(times):
+            count = bisect.bisect_right(times, moment + WINDOW_S) - first
             if count > allowed:
                 found.append(f"{count} of {tenant.name} in {WINDOW_S} s, {allowed:.0f} allowed")
-    return [Violation("a tenant keeps within its limit", text) for text in found[:SHOWN]]
+    return [Violation("a tenant keeps within its limit", text) for text in found[:MAX_REPORTED]]
 
 
-def _once(group: StandInGroup) -> list[Violation]:
+def _check_committed_once(group: StandInGroup) -> list[Violation]:
     found = []
     for member in group.members.values():
         times = Counter(commit.request_id for commit in member.log.commits)
         found += [name for name, count in times.items() if count > 1]
-    return [Violation("a write takes effect once", name) for name in sorted(set(found))[:SHOWN]]
+    return [
+        Violation("a write takes effect once", name) for name in sorted(set(found))[:MAX_REPORTED]
+    ]
 
 
-def _refused_is_not_kept(records: list[ClientRecord], kept: set[str]) -> list[Violation]:
+def _check_refused_writes(records: list[ClientRecord], kept: set[str]) -> list[Violation]:
     found = [
         f"{write.request_id} {write.word}"
         for record in records
         for write in record.writes
         if write.word in NOT_APPLIED_WORDS and write.request_id in kept
     ]
-    return [Violation("what was refused is not kept", text) for text in found[:SHOWN]]
+    return [Violation("what was refused is not kept", text) for text in found[:MAX_REPORTED]]
 
 
-def _acknowledged_is_kept(
+def _check_acknowledged_writes(
     records: list[ClientRecord], group: StandInGroup, kept: set[str]
 ) -> list[Violation]:
     found = [
@@ -250,10 +260,10 @@
         for write in record.writes
         if write.word == "done" and write.request_id not in kept | group.rolled_back
     ]
-    return [Violation("what was acknowledged was committed", name) for name in found[:SHOWN]]
+    return [Violation("what was acknowledged was committed", name) for name in found[:MAX_REPORTED]]
 
 
-def _own_work_is_seen(records: list[ClientRecord], group: StandInGroup) -> list[Violation]:
+def _check_reads(records: list[ClientRecord], group: StandInGroup) -> list[Violation]:
     """Check reads of clients none of whose commits a promotion rolled back."""
     found = []
     for record in records:
@@ -264,10 +274,10 @@
             for read in record.reads
             if read.value not in read.allowed
         ]
-    return [Violation("a session sees its own work", text) for text in found[:SHOWN]]
+    return [Violation("a session sees its own work", text) for text in found[:MAX_REPORTED]]
 
 
-def _recovered(records: list[ClientRecord], healed_at: float) -> list[Violation]:
+def _check_recovery(records: list[ClientRecord], healed_at: float) -> list[Violation]:
     return [
         Violation("service comes back", f"{record.name} was not served after the faults")
         for record in records
--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -165,7 +165,7 @@
         await deployment.stop()
     records = [client.record for client in clients]
     all_records = [*records, *wave_load.records]
-    violations = check(all_records, deployment.group, healed_at, may_end_early=wave_load.records)
+    violations = check(all_records, deployment.group, healed_at, short_lived=wave_load.records)
     violations += check_stops(all_records, deployment.group, deployment.history)
     violations += check_load(all_records)
     violations += [
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -233,7 +233,7 @@
     records = [context.record]
     further = context.further
     return [
-        *check([*records, *further], context.group, HEALED_AT, may_end_early=further),
+        *check([*records, *further], context.group, HEALED_AT, short_lived=further),
         *check_stops([*records, *further], context.group, context.history),
         *check_load([*records, *further]),
     ]
