--- a/features/soak/fault_injection.py
+++ b/features/soak/fault_injection.py
@@ -18,15 +18,15 @@
 from features.support.line_platform.deployment import CONTROLLERS, PROXIES, Deployment
 from features.support.line_platform.group import StandInMember
 
-RESTART_S = 0.3
+RESTART_INTERVAL_S = 0.3
 SECOND_SIGNAL_S = 0.2
-LOOK_S = 0.05
+POLL_INTERVAL_S = 0.05
 BUSY_ANSWERS, LOST_ANSWERS = 40, 3
 LAG_S, DELAY_S = 0.6, 0.15
 EMPTY_SHARE, LEADING_SHARE = 0.7, 0.5
 """So many of the members that crash come back empty, and so many of the primaries among them say
 that they lead."""
-CATCH_UP_S, CATCH_UP_LOOK_S = 1.0, 0.2
+CATCH_UP_S, CATCH_UP_POLL_S = 1.0, 0.2
 CONTROLLER_PROGRAM, PROXY_PROGRAM = "run_controller.py", "run_proxy.py"
 
 
@@ -37,7 +37,7 @@
         super().__init__(folder, proxies)
         self.history = ProcessHistory()
         self.relays: dict[str, MemberRelay] = {}
-        self._is_over = False
+        self._is_stopping = False
 
     async def start(self) -> None:
         """Start everything."""
@@ -53,7 +53,7 @@
 
     async def stop(self) -> None:
         """End everything that was started."""
-        self._is_over = True
+        self._is_stopping = True
         await super().stop()
 
     def start_process(self, ip: str, program: str, bootstrap: bool = False) -> None:
@@ -61,7 +61,7 @@
         super().start_process(ip, program, bootstrap)
         self.history.record_start(ip)
 
-    def let_members_work(self, answer_s: float) -> None:
+    def set_answer_time(self, answer_s: float) -> None:
         """Have members take so long to answer."""
         for member in self.group.members.values():
             member.faults.answers_travel_s = answer_s
@@ -80,21 +80,21 @@
         process.send_signal(number)
 
     async def _supervise(self) -> None:
-        while not self._is_over:
+        while not self._is_stopping:
             for ip in (*CONTROLLERS, *self.proxies):
                 status = self.process(ip).poll()
                 if status is not None:
                     self.history.record_exit(ip, status)
                     await curio.spawn(self._restart, ip, daemon=True)
-            await curio.sleep(RESTART_S)
+            await curio.sleep(RESTART_INTERVAL_S)
 
     async def _restart(self, ip: str) -> None:
-        if self.process(ip).poll() is not None and not self._is_over:
+        if self.process(ip).poll() is not None and not self._is_stopping:
             program = CONTROLLER_PROGRAM if ip in CONTROLLERS else PROXY_PROGRAM
             self.start_process(ip, program)
 
 
-class Worker:
+class MaintenanceRunner:
     """Does planned work, in series that may overlap."""
 
     def __init__(self, deployment: SoakDeployment) -> None:
@@ -106,11 +106,11 @@
         async with curio.TaskGroup() as tasks:
             for series in plan:
                 await curio.sleep(max(0.0, began_at + series.at_s - time.monotonic()))
-                await tasks.spawn(self._do, series)
+                await tasks.spawn(self._run_series, series)
 
-    async def _do(self, series: Series) -> None:
+    async def _run_series(self, series: Series) -> None:
         for ip in self._machines(series):
-            await self._do_to(ip, series.kind)
+            await self._apply(ip, series.kind)
             await curio.sleep(series.gap_s)
 
     def _machines(self, series: Series) -> list[str]:
@@ -125,7 +125,7 @@
         count = max(1, round(series.share * len(machines)))
         return [machines[(series.first + number) % len(machines)] for number in range(count)]
 
-    async def _do_to(self, ip: str, kind: StopKind) -> None:
+    async def _apply(self, ip: str, kind: StopKind) -> None:
         match kind:
             case StopKind.STOP_PROXIES | StopKind.STOP_CONTROLLERS:
                 self._deployment.signal(ip, signal.SIGTERM)
@@ -141,17 +141,17 @@
                 self._deployment.signal(ip, signal.SIGHUP)
 
 
-class Striker:
+class FaultInjector:
     """Brings faults about, and ends them.
 
     :param seed: draws what a plan leaves open
-    :param empties: members that crash come back under their identities without their logs, most of
+    :param empty_restarts: members that crash come back under their identities without their logs, most of
         them, while another member holds all
     """
 
-    def __init__(self, deployment: SoakDeployment, seed: int, empties: bool = False) -> None:
+    def __init__(self, deployment: SoakDeployment, seed: int, empty_restarts: bool = False) -> None:
         self._deployment = deployment
-        self._empties = empties
+        self._empty_restarts = empty_restarts
         self._generator = random.Random(seed)
 
     async def run(self, plan: tuple[Fault, ...]) -> None:
@@ -160,9 +160,9 @@
         async with curio.TaskGroup() as tasks:
             for fault in plan:
                 await curio.sleep(max(0.0, began_at + fault.at_s - time.monotonic()))
-                await tasks.spawn(self._strike, fault)
+                await tasks.spawn(self._inject, fault)
 
-    async def _strike(self, fault: Fault) -> None:
+    async def _inject(self, fault: Fault) -> None:
         controller = CONTROLLERS[fault.target % len(CONTROLLERS)]
         proxies = self._deployment.proxies
         proxy = proxies[fault.target % len(proxies)]
@@ -187,7 +187,7 @@
             case FaultKind.PAUSE_PROXY:
                 await self._pause(proxy, fault.for_s)
             case _:
-                await self._strike_members(fault)
+                await self._inject_member_fault(fault)
 
     def _signal(self, ip: str, number: signal.Signals) -> None:
         self._deployment.signal(ip, number)
@@ -203,7 +203,7 @@
         process = self._deployment.process(ip)
         self._signal(ip, signal.SIGKILL)
         while process.poll() is None:
-            await curio.sleep(LOOK_S)
+            await curio.sleep(POLL_INTERVAL_S)
         if process is self._deployment.process(ip):
             shutil.rmtree(self._deployment.data_folder(ip), ignore_errors=True)
 
@@ -222,7 +222,7 @@
         except ProcessLookupError:
             return
 
-    async def _strike_members(self, fault: Fault) -> None:
+    async def _inject_member_fault(self, fault: Fault) -> None:
         group = self._deployment.group
         names = sorted(group.members)
         member = group.members[names[fault.target % len(names)]]
@@ -242,18 +242,24 @@
                 await curio.sleep(fault.for_s)
                 member.faults.lag_s = 0.0
             case _:
-                await self._strike_link(fault, self._deployment.relays[member.identity])
+                await self._inject_link_fault(fault, self._deployment.relays[member.identity])
 
     async def _crash(self, member: StandInMember | None, seconds: float) -> None:
         if member is None or member.task.terminated:
             return
-        led = member.is_primary
+        was_primary = member.is_primary
         await self._deployment.group.crash(member.identity)
         await curio.sleep(seconds)
         if not member.task.terminated:
             return
-        if self._empties and self._generator.random() < EMPTY_SHARE and self._has_others(member):
-            await self._start_empty(member, led and self._generator.random() < LEADING_SHARE)
+        if (
+            self._empty_restarts
+            and self._generator.random() < EMPTY_SHARE
+            and self._has_others(member)
+        ):
+            await self._start_empty(
+                member, was_primary and self._generator.random() < LEADING_SHARE
+            )
         else:
             await self._deployment.group.restart(member.identity)
 
@@ -262,16 +268,16 @@
         others = [m for m in self._deployment.group.members.values() if m is not member]
         return all(not m.task.terminated and not m.faults.deaf for m in others)
 
-    async def _start_empty(self, member: StandInMember, leads: bool) -> None:
+    async def _start_empty(self, member: StandInMember, as_primary: bool) -> None:
         """Start a member without its log; it catches up once another one leads."""
         group = self._deployment.group
-        await group.start_again(member.identity, leads and group.primary is None)
+        await group.start_again(member.identity, as_primary and group.primary is None)
         await curio.sleep(CATCH_UP_S)
         while not member.task.terminated and not group.catch_up(member.identity):
-            await curio.sleep(CATCH_UP_LOOK_S)
+            await curio.sleep(CATCH_UP_POLL_S)
 
-    async def _strike_link(self, fault: Fault, relay: MemberRelay) -> None:
-        trouble = relay.trouble
+    async def _inject_link_fault(self, fault: Fault, relay: MemberRelay) -> None:
+        faults = relay.faults
         match fault.kind:
             case FaultKind.RESET_LINK:
                 await relay.reset_all()
@@ -280,13 +286,13 @@
                 relay.silence_open()
                 return
             case FaultKind.DELAY_LINK:
-                trouble.delay_s = DELAY_S
+                faults.delay_s = DELAY_S
             case FaultKind.CUT_TO_MEMBER:
-                trouble.cut_to_member = True
+                faults.cut_to_member = True
             case FaultKind.CUT_FROM_MEMBER:
-                trouble.cut_from_member = True
+                faults.cut_from_member = True
             case FaultKind.SILENCE_LINK:
-                trouble.cut_to_member = trouble.cut_from_member = True
+                faults.cut_to_member = faults.cut_from_member = True
         await curio.sleep(fault.for_s)
-        trouble.delay_s = 0.0
-        trouble.cut_to_member = trouble.cut_from_member = False
+        faults.delay_s = 0.0
+        faults.cut_to_member = faults.cut_from_member = False
--- a/features/soak/relay.py
+++ b/features/soak/relay.py
@@ -12,12 +12,12 @@
 from limedyke.addresses import split_address
 
 RECEIVE_BYTES = 64 * 1024
-LOOK_S = 0.02
-RESET = struct.pack("ii", 1, 0)
+POLL_INTERVAL_S = 0.02
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 @dataclass(slots=True)
-class LinkTrouble:
+class LinkFaults:
     """What a relay does to its connections; cut bytes are held until the cut ends."""
 
     delay_s: float = 0.0
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Passage:
+class _Connection:
     """One connection through a relay; once silent it passes nothing on, and stays open."""
 
     is_silent: bool = False
@@ -39,11 +39,11 @@
     """
 
     def __init__(self, member: StandInMember) -> None:
-        self.trouble = LinkTrouble()
+        self.faults = LinkFaults()
         self.address = ""
         self._member = member
         self._sockets: set[socket.socket] = set()
-        self._passages: set[_Passage] = set()
+        self._connections: set[_Connection] = set()
 
     async def start(self) -> None:
         """Listen on loopback."""
@@ -61,8 +61,8 @@
 
     def silence_open(self) -> None:
         """Let the connections that are open now go silent for good; new ones work."""
-        for passage in self._passages:
-            passage.is_silent = True
+        for connection in self._connections:
+            connection.is_silent = True
 
     async def _accept(self, listener: socket.socket) -> None:
         while True:
@@ -72,43 +72,43 @@
     async def _relay(self, client: socket.socket) -> None:
         member = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._sockets |= {client, member}
-        passage = _Passage()
-        self._passages.add(passage)
+        connection = _Connection()
+        self._connections.add(connection)
         try:
             await member.connect(split_address(self._member.address))
             async with curio.TaskGroup(wait=any) as tasks:
-                await tasks.spawn(self._pass_on, client, member, passage, True)
-                await tasks.spawn(self._pass_on, member, client, passage, False)
+                await tasks.spawn(self._forward, client, member, connection, True)
+                await tasks.spawn(self._forward, member, client, connection, False)
         except OSError:
             pass
         finally:
-            self._passages.discard(passage)
+            self._connections.discard(connection)
             for sock in (client, member):
                 self._sockets.discard(sock)
                 await self._reset(sock)
                 await sock.close()
 
-    async def _pass_on(
-        self, source: socket.socket, target: socket.socket, passage: _Passage, to_member: bool
+    async def _forward(
+        self, source: socket.socket, target: socket.socket, connection: _Connection, to_member: bool
     ) -> None:
         try:
             while data := await source.recv(RECEIVE_BYTES):
-                if passage.is_silent:
+                if connection.is_silent:
                     continue
-                if self.trouble.delay_s:
-                    await curio.sleep(self.trouble.delay_s)
+                if self.faults.delay_s:
+                    await curio.sleep(self.faults.delay_s)
                 while self._is_cut(to_member):
-                    await curio.sleep(LOOK_S)
+                    await curio.sleep(POLL_INTERVAL_S)
                 await target.sendall(data)
         except OSError:
             return
 
     def _is_cut(self, to_member: bool) -> bool:
-        return self.trouble.cut_to_member if to_member else self.trouble.cut_from_member
+        return self.faults.cut_to_member if to_member else self.faults.cut_from_member
 
     async def _reset(self, sock: socket.socket) -> None:
         try:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             await sock.shutdown(socket.SHUT_RDWR)
         except OSError:
             return
--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -19,7 +19,7 @@
 import fire
 
 from features.soak.checks import Violation, check, check_load, check_stops
-from features.soak.fault_injection import SoakDeployment, Striker, Worker
+from features.soak.fault_injection import SoakDeployment, FaultInjector, MaintenanceRunner
 from features.soak.load import (
     BATCH_DATABASE,
     BATCH_PRIORITY,
@@ -136,9 +136,9 @@
     faults = draw_plan(seed, seconds) if shape.has_faults else ()
     series = draw_series(seed, seconds) if shape.has_stops else ()
     if shape.has_stops:
-        deployment.let_members_work(draw_answer_time_s(seed))
+        deployment.set_answer_time(draw_answer_time_s(seed))
     elif shape.has_waves:
-        deployment.let_members_work(ANSWER_S)
+        deployment.set_answer_time(ANSWER_S)
     operator = Operator(deployment)
     try:
         await deployment.start()
@@ -151,9 +151,9 @@
         tasks = [await curio.spawn(client.run) for client in clients]
         tasks.append(await curio.spawn(operator.run))
         async with curio.TaskGroup() as work:
-            striker = Striker(deployment, seed, shape.has_empties)
-            await work.spawn(striker.run, faults)
-            await work.spawn(Worker(deployment).run, series)
+            injector = FaultInjector(deployment, seed, shape.has_empties)
+            await work.spawn(injector.run, faults)
+            await work.spawn(MaintenanceRunner(deployment).run, series)
             await work.spawn(wave_load.run, waves)
         await curio.sleep(RECOVERY_S)
         healed_at = time.monotonic()
