--- a/features/soak/fault_injection.py
+++ b/features/soak/fault_injection.py
@@ -102,10 +102,10 @@
 
     async def run(self, plan: tuple[Series, ...]) -> None:
         """Do all that a plan holds; return when the last series is over."""
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         async with curio.TaskGroup() as tasks:
             for series in plan:
-                await curio.sleep(max(0.0, began_at + series.at_s - time.monotonic()))
+                await curio.sleep(max(0.0, started_at + series.at_s - time.monotonic()))
                 await tasks.spawn(self._run_series, series)
 
     async def _run_series(self, series: Series) -> None:
@@ -156,10 +156,10 @@
 
     async def run(self, plan: tuple[Fault, ...]) -> None:
         """Strike by a plan; return when the last fault has ended."""
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         async with curio.TaskGroup() as tasks:
             for fault in plan:
-                await curio.sleep(max(0.0, began_at + fault.at_s - time.monotonic()))
+                await curio.sleep(max(0.0, started_at + fault.at_s - time.monotonic()))
                 await tasks.spawn(self._inject, fault)
 
     async def _inject(self, fault: Fault) -> None:
--- a/features/soak/plan.py
+++ b/features/soak/plan.py
@@ -6,7 +6,7 @@
 import random
 from dataclasses import dataclass
 
-SHORTEST_GAP_S, LONGEST_GAP_S = 0.4, 1.8
+MIN_GAP_S, MAX_GAP_S = 0.4, 1.8
 WIPE_SPACING_S = 8.0
 """One lost disk is borne at a time; its controller has to be repaired before the next."""
 
@@ -59,7 +59,7 @@
     """Return the faults of a seed within so many seconds."""
     generator = random.Random(seed)
     faults: list[Fault] = []
-    at_s = generator.uniform(SHORTEST_GAP_S, LONGEST_GAP_S)
+    at_s = generator.uniform(MIN_GAP_S, MAX_GAP_S)
     last_wipe_s = -WIPE_SPACING_S
     while at_s < seconds:
         kind = generator.choice(list(FaultKind))
@@ -70,5 +70,5 @@
                 last_wipe_s = at_s
         for_s = generator.uniform(0.3, 3.0)
         faults.append(Fault(kind, at_s, for_s, generator.randrange(6)))
-        at_s += generator.uniform(SHORTEST_GAP_S, LONGEST_GAP_S)
+        at_s += generator.uniform(MIN_GAP_S, MAX_GAP_S)
     return tuple(faults)
--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -31,19 +31,19 @@
 )
 from features.soak.plan import Fault, draw_plan
 from features.soak.stops import Series, draw_answer_time_s, draw_series
-from features.soak.waves import ANSWER_S, Wave, WaveLoad, draw_waves
+from features.soak.waves import ANSWER_TIME_S, Wave, WaveLoad, draw_waves
 from features.support.line_platform.deployment import CONTROLLERS, PROXIES, ZONES
 
 DEFAULT_SECONDS = 15.0
 CLIENTS = 8
-START_LIMIT_S = 15.0
-START_EACH_S = 0.3
+START_TIMEOUT_S = 15.0
+START_PER_PROXY_S = 0.3
 """Processes that start together share the machine's processors: 0.3 s of one for each."""
-FIRST_FURTHER = 10
+FIRST_EXTRA_HOST = 10
 RECOVERY_S = 10.0
 SETTLE_S = 3.0
 CHANGE_INTERVAL_S = 2.5
-CHANGE_LIMIT_S = 12.0
+CHANGE_TIMEOUT_S = 12.0
 HTTP_OK = 200
 
 
@@ -53,7 +53,7 @@
 
     :param has_faults: faults strike
     :param has_stops: processes are stopped, and told of changed settings, in series that overlap
-    :param has_empties: most members that crash start again without their logs
+    :param has_empty_restarts: most members that crash start again without their logs
     :param has_waves: further clients come at once, beside a tenant that asks for little
     """
 
@@ -61,20 +61,20 @@
     has_stops: bool = False
     proxies: int = len(PROXIES)
     clients: int = CLIENTS
-    has_empties: bool = False
+    has_empty_restarts: bool = False
     has_waves: bool = False
 
     def machines(self) -> tuple[str, ...]:
         """Return the addresses of the proxies' machines, spread over the zones."""
         zones = list(ZONES)
-        further = [
+        extra = [
             f"{zones[number % len(zones)]}.{FIRST_FURTHER + number // len(zones)}"
             for number in range(max(0, self.proxies - len(PROXIES)))
         ]
-        return (*PROXIES[: self.proxies], *further)
+        return (*PROXIES[: self.proxies], *extra)
 
 
-FAULTS = SoakShape()
+FAULTS_ONLY = SoakShape()
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +103,7 @@
         deployment.version += 1
         version = deployment.version
         databases = (DATABASE, BATCH_DATABASE, f"extra{version}")
-        end = time.monotonic() + CHANGE_LIMIT_S
+        end = time.monotonic() + CHANGE_TIMEOUT_S
         while time.monotonic() < end:
             for ip in CONTROLLERS:
                 if await deployment.send_configuration(version, databases, ip) == HTTP_OK:
@@ -118,7 +118,7 @@
             await self.change()
 
 
-async def _play(seed: int, seconds: float, shape: SoakShape, folder: Path) -> SoakResult:
+async def _run_seed(seed: int, seconds: float, shape: SoakShape, folder: Path) -> SoakResult:
     deployment = SoakDeployment(folder, shape.machines())
     tenants = (*TENANTS, MODEST) if shape.has_waves else TENANTS
     deployment.tenants = [tenant.to_document() for tenant in tenants]
@@ -138,20 +138,20 @@
     if shape.has_stops:
         deployment.set_answer_time(draw_answer_time_s(seed))
     elif shape.has_waves:
-        deployment.set_answer_time(ANSWER_S)
+        deployment.set_answer_time(ANSWER_TIME_S)
     operator = Operator(deployment)
     try:
         await deployment.start()
         await operator.change()
         await deployment.wait_until(
             lambda: _all_ready(deployment),
-            START_LIMIT_S + shape.proxies * START_EACH_S,
+            START_TIMEOUT_S + shape.proxies * START_PER_PROXY_S,
             "all proxies ready",
         )
         tasks = [await curio.spawn(client.run) for client in clients]
         tasks.append(await curio.spawn(operator.run))
         async with curio.TaskGroup() as work:
-            injector = FaultInjector(deployment, seed, shape.has_empties)
+            injector = FaultInjector(deployment, seed, shape.has_empty_restarts)
             await work.spawn(injector.run, faults)
             await work.spawn(MaintenanceRunner(deployment).run, series)
             await work.spawn(wave_load.run, waves)
@@ -187,10 +187,10 @@
     return all([await deployment.is_ready(ip) for ip in deployment.proxies])
 
 
-def run_soak(seed: int, seconds: float, shape: SoakShape = FAULTS) -> SoakResult:
+def run_soak(seed: int, seconds: float, shape: SoakShape = FAULTS_ONLY) -> SoakResult:
     """Play one seed; its folder of logs stays only when a promise was broken."""
     folder = Path(tempfile.mkdtemp(prefix=f"limedyke-soak-{seed}-"))
-    result = curio.run(_play, seed, seconds, shape, folder)
+    result = curio.run(_run_seed, seed, seconds, shape, folder)
     if not result.violations:
         shutil.rmtree(folder, ignore_errors=True)
     return result
@@ -220,13 +220,13 @@
 ) -> None:
     """Play seeds; exit with 1 when a promise was broken."""
     first, _, last = str(seeds).partition("-")
-    played = SoakShape(shape != "stops", shape != "faults", proxies, clients, empties, waves)
-    is_broken = False
+    soak_shape = SoakShape(shape != "stops", shape != "faults", proxies, clients, empties, waves)
+    has_violations = False
     for seed in range(int(first), int(last or first) + 1):
-        result = run_soak(seed, seconds, played)
+        result = run_soak(seed, seconds, soak_shape)
         print(report(result), flush=True)
-        is_broken = is_broken or bool(result.violations)
-    sys.exit(int(is_broken))
+        has_violations = has_violations or bool(result.violations)
+    sys.exit(int(has_violations))
 
 
 if __name__ == "__main__":
--- a/features/soak/stops.py
+++ b/features/soak/stops.py
@@ -6,10 +6,10 @@
 import random
 from dataclasses import dataclass
 
-SHORTEST_PAUSE_S, LONGEST_PAUSE_S = 0.3, 2.5
-SHORTEST_GAP_S, LONGEST_GAP_S = 0.05, 1.2
-LARGEST_SHARE = 0.7
-SHORTEST_ANSWER_S, LONGEST_ANSWER_S = 0.01, 0.3
+MIN_PAUSE_S, MAX_PAUSE_S = 0.3, 2.5
+MIN_GAP_S, MAX_GAP_S = 0.05, 1.2
+MAX_SHARE = 0.7
+MIN_ANSWER_TIME_S, MAX_ANSWER_TIME_S = 0.01, 0.3
 """What stops in the middle of a statement needs statements that take a while."""
 
 
@@ -47,16 +47,16 @@
     """Return the planned work of a seed within so many seconds; half of it stops proxies."""
     generator = random.Random(f"stops/{seed}")
     series: list[Series] = []
-    at_s = generator.uniform(SHORTEST_PAUSE_S, LONGEST_PAUSE_S)
+    at_s = generator.uniform(MIN_PAUSE_S, MAX_PAUSE_S)
     while at_s < seconds:
         kind = generator.choice([StopKind.STOP_PROXIES] * 4 + list(StopKind))
-        gap_s = generator.uniform(SHORTEST_GAP_S, LONGEST_GAP_S)
-        share = generator.uniform(0.0, LARGEST_SHARE)
+        gap_s = generator.uniform(MIN_GAP_S, MAX_GAP_S)
+        share = generator.uniform(0.0, MAX_SHARE)
         series.append(Series(kind, at_s, gap_s, share, generator.randrange(1_000)))
-        at_s += generator.uniform(SHORTEST_PAUSE_S, LONGEST_PAUSE_S)
+        at_s += generator.uniform(MIN_PAUSE_S, MAX_PAUSE_S)
     return tuple(series)
 
 
 def draw_answer_time_s(seed: int) -> float:
     """Return how long members take to answer while a seed plays."""
-    return random.Random(f"answers/{seed}").uniform(SHORTEST_ANSWER_S, LONGEST_ANSWER_S)
+    return random.Random(f"answers/{seed}").uniform(MIN_ANSWER_TIME_S, MAX_ANSWER_TIME_S)
--- a/features/soak/versions.py
+++ b/features/soak/versions.py
@@ -26,7 +26,7 @@
 from features.soak.checks import Violation, check, check_stops
 from features.soak.fault_injection import SoakDeployment
 from features.soak.load import TENANTS, SoakClient
-from features.soak.run import RECOVERY_S, SETTLE_S, START_LIMIT_S, Operator, SoakShape
+from features.soak.run import RECOVERY_S, SETTLE_S, START_TIMEOUT_S, Operator, SoakShape
 from features.support.line_platform.deployment import CONTROLLERS
 from features.support.platform_path import PLATFORM_FOLDER
 from features.support.run_features import fleet_turn
@@ -36,11 +36,11 @@
 PROXY_COUNT = 6
 """Three of them are home proxies; the others forward what clients ask of them."""
 SEED = 1
-CHANGES_AT_FIRST = 100
+INITIAL_CHANGES = 100
 """Changes of the configuration that the processes that found the system record."""
 KILL_PAUSE_S = 3.0
 """Between two kills: a new leader serves, and the killed process has started again."""
-STOP_LIMIT_S = 8.0
+STOP_TIMEOUT_S = 8.0
 
 
 class MixedDeployment(SoakDeployment):
@@ -80,7 +80,7 @@
     async def run(self) -> None:
         """Move all machines to the new version and back."""
         for to_other in (False, True):
-            for ip in _in_turn(self._deployment.proxies):
+            for ip in _replacement_order(self._deployment.proxies):
                 await self._move(ip, to_other)
                 if ip in CONTROLLERS:
                     await self._kill_each_controller()
@@ -93,7 +93,7 @@
         change(ip)
         deployment.signal(ip, signal.SIGTERM)
         await _wait_for_successor(deployment, ip, process)
-        self._note(f"{ip} moved")
+        self._add_step(f"{ip} moved")
         await curio.sleep(KILL_PAUSE_S)
 
     async def _kill_each_controller(self) -> None:
@@ -103,16 +103,16 @@
             deployment.signal(ip, signal.SIGKILL)
             await _wait_for_successor(deployment, ip, process)
             await curio.sleep(KILL_PAUSE_S)
-        self._note("each controller killed once")
+        self._add_step("each controller killed once")
 
-    def _note(self, what: str) -> None:
+    def _add_step(self, what: str) -> None:
         on_other = self._deployment.on_other
         controllers = sum(ip in on_other for ip in CONTROLLERS)
         proxies = len(on_other) - controllers
         self.steps.append(f"{what}; other version: {controllers} controllers, {proxies} proxies")
 
 
-def _in_turn(proxies: tuple[str, ...]) -> Iterator[str]:
+def _replacement_order(proxies: tuple[str, ...]) -> Iterator[str]:
     """Return the machines in the order in which they are moved: each mix has both kinds mixed."""
     each = len(proxies) // len(CONTROLLERS)
     for number, controller in enumerate(CONTROLLERS):
@@ -123,14 +123,14 @@
 async def _wait_for_successor(
     deployment: SoakDeployment, ip: str, process: subprocess.Popen
 ) -> None:
-    end = time.monotonic() + STOP_LIMIT_S
+    end = time.monotonic() + STOP_TIMEOUT_S
     while deployment.process(ip) is process:
         if time.monotonic() > end:
             raise AssertionError(f"{ip} was not started again in {STOP_LIMIT_S} s")
         await curio.sleep(0.05)
 
 
-async def _play(folder: Path, other: Path) -> tuple[list[Violation], list[str]]:
+async def _run_replacement(folder: Path, other: Path) -> tuple[list[Violation], list[str]]:
     deployment = MixedDeployment(folder, other, SoakShape(proxies=PROXY_COUNT).machines())
     deployment.tenants = [tenant.to_document() for tenant in TENANTS]
     clients = [
@@ -141,10 +141,10 @@
     replacement = Replacement(deployment)
     try:
         await deployment.start()
-        for _ in range(CHANGES_AT_FIRST):
+        for _ in range(INITIAL_CHANGES):
             await operator.change()
         await deployment.wait_until(
-            lambda: _all_ready(deployment), START_LIMIT_S, "all proxies ready"
+            lambda: _all_ready(deployment), START_TIMEOUT_S, "all proxies ready"
         )
         tasks = [await curio.spawn(client.run) for client in clients]
         tasks.append(await curio.spawn(operator.run))
@@ -193,7 +193,7 @@
     other.mkdir()
     extract(str(reference), other)
     with fleet_turn():
-        violations, lines = curio.run(_play, folder, other)
+        violations, lines = curio.run(_run_replacement, folder, other)
     print("\n".join([*lines, *map(str, violations)]), flush=True)
     if violations:
         print(f"logs: {folder}")
--- a/features/soak/waves.py
+++ b/features/soak/waves.py
@@ -11,11 +11,11 @@
 
 from features.soak.load import BATCH_DATABASE, TENANTS, ClientRecord, SoakClient, SoakTenant
 
-SHORTEST_PAUSE_S, LONGEST_PAUSE_S = 0.5, 2.0
-SHORTEST_WAVE_S, LONGEST_WAVE_S = 0.5, 2.5
-FEWEST_CLIENTS, MOST_CLIENTS = 20, 60
+MIN_PAUSE_S, MAX_PAUSE_S = 0.5, 2.0
+MIN_WAVE_S, MAX_WAVE_S = 0.5, 2.5
+MIN_CLIENTS, MAX_CLIENTS = 20, 60
 WAVE_PAUSE_S = 0.002
-ANSWER_S = 0.03
+ANSWER_TIME_S = 0.03
 """Members take so long for an answer, so that connections are scarce in a wave."""
 
 
@@ -51,13 +51,13 @@
     """Return the waves of a seed within so many seconds; they may overlap."""
     generator = random.Random(f"waves/{seed}")
     waves: list[Wave] = []
-    at_s = generator.uniform(SHORTEST_PAUSE_S, LONGEST_PAUSE_S)
+    at_s = generator.uniform(MIN_PAUSE_S, MAX_PAUSE_S)
     while at_s < seconds:
         kind = generator.choice(list(WaveKind))
-        for_s = generator.uniform(SHORTEST_WAVE_S, LONGEST_WAVE_S)
-        clients = generator.randint(FEWEST_CLIENTS, MOST_CLIENTS)
+        for_s = generator.uniform(MIN_WAVE_S, MAX_WAVE_S)
+        clients = generator.randint(MIN_CLIENTS, MAX_CLIENTS)
         waves.append(Wave(kind, at_s, for_s, clients))
-        at_s += generator.uniform(SHORTEST_PAUSE_S, LONGEST_PAUSE_S)
+        at_s += generator.uniform(MIN_PAUSE_S, MAX_PAUSE_S)
     return tuple(waves)
 
 
@@ -74,21 +74,21 @@
 
     async def run(self, waves: tuple[Wave, ...]) -> None:
         """Bring all waves about; return when the last one is over."""
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         async with curio.TaskGroup() as tasks:
             for number, wave in enumerate(waves):
-                await curio.sleep(max(0.0, began_at + wave.at_s - time.monotonic()))
-                await tasks.spawn(self._bring, wave, f"wave{number}")
+                await curio.sleep(max(0.0, started_at + wave.at_s - time.monotonic()))
+                await tasks.spawn(self._run_wave, wave, f"wave{number}")
 
-    async def _bring(self, wave: Wave, name: str) -> None:
-        clients = [self._client(wave, f"{name}c{number}") for number in range(wave.clients)]
+    async def _run_wave(self, wave: Wave, name: str) -> None:
+        clients = [self._make_client(wave, f"{name}c{number}") for number in range(wave.clients)]
         self.records += [client.record for client in clients]
         tasks = [await curio.spawn(client.run) for client in clients]
         await curio.sleep(wave.for_s)
         for task in tasks:
             await task.cancel()
 
-    def _client(self, wave: Wave, name: str) -> SoakClient:
+    def _make_client(self, wave: Wave, name: str) -> SoakClient:
         return SoakClient(
             name,
             self._proxies,
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -53,7 +53,7 @@
     record.reads = [ReadResult("r1", "v2", record.allowed_values("w", 3.5), 4.0)]
     record.served = [LAST_SERVED_AT]
     context.history = ProcessHistory()
-    context.further = []
+    context.extra = []
 
 
 @when("soak: a member ran what nobody asked")
@@ -130,7 +130,7 @@
 @when("soak: a tenant that asked for {count:d} in a second was told that its limit is used up")
 def step_modest_refused(context, count):
     record = ClientRecord("modest", MODEST)
-    context.further.append(record)
+    context.extra.append(record)
     _ask_in_turn(record, count, 0, "", "")
     record.statements.append(StatementResult("last", PROXY, 6.0, 6.01, ("BUSY", "I"), "LD3017"))
     record.request_ids.add("last")
@@ -139,7 +139,7 @@
 @when("soak: {urgent:d} of 100 urgent statements and {batch:d} of 100 others were turned away")
 def step_turned_away(context, urgent, batch):
     others = ClientRecord("others", TENANTS[0], database=BATCH_DATABASE)
-    context.further.append(others)
+    context.extra.append(others)
     _ask_in_turn(context.record, 100, urgent, "BUSY", "LD2004")
     _ask_in_turn(others, 100, batch, "BUSY", "LD2004")
 
@@ -231,11 +231,11 @@
 
 def _violations(context):
     records = [context.record]
-    further = context.further
+    extra = context.extra
     return [
-        *check([*records, *further], context.group, HEALED_AT, short_lived=further),
-        *check_stops([*records, *further], context.group, context.history),
-        *check_load([*records, *further]),
+        *check([*records, *extra], context.group, HEALED_AT, short_lived=extra),
+        *check_stops([*records, *extra], context.group, context.history),
+        *check_load([*records, *extra]),
     ]
 
 
@@ -277,7 +277,7 @@
 
 @when("soak: seed {seed:d}, whose members come back empty, is played for {seconds:d} s")
 def step_empties_played(context, seed, seconds):
-    context.result = run_soak(seed, seconds, SoakShape(has_empties=True))
+    context.result = run_soak(seed, seconds, SoakShape(has_empty_restarts=True))
 
 
 @when("soak: seed {seed:d} is played for {seconds:d} s")
