--- a/features/soak/checks.py
+++ b/features/soak/checks.py
@@ -13,8 +13,8 @@
     DATABASE,
     MODEST,
     NOT_APPLIED_WORDS,
-    StatementResult,
     ClientRecord,
+    StatementResult,
 )
 from features.soak.process_history import GRACE_S, ProcessHistory
 from features.support.line_platform.group import StandInGroup
@@ -78,7 +78,9 @@
         held_s = statement.ended_at - statement.sent_at
         if statement.request_id in ran or held_s > UNANSWERED_SLACK_S:
             since_stop_s = statement.sent_at - process.stopped_at
-            found.append(f"{asked.request_id} at {asked.ip}, {since_stop_s:.3f} s after the stop")
+            found.append(
+                f"{statement.request_id} at {statement.ip}, {since_stop_s:.3f} s after the stop"
+            )
     return [Violation("a statement that is taken is answered whole", text) for text in found]
 
 
@@ -91,7 +93,7 @@
             continue
         took_s = process.ended_at - process.stopped_at
         if took_s > GRACE_S + EXIT_POLL_S or process.status != 0:
-            found.append(f"{life.ip} ended with {life.status}, {took_s:.2f} s after the stop")
+            found.append(f"{process.ip} ended with {process.status}, {took_s:.2f} s after the stop")
     return [Violation("a process that is told to stop ends with 0 in its time", t) for t in found]
 
 
@@ -143,7 +145,7 @@
         first = bisect.bisect_left(times, statement.sent_at - WINDOW_S)
         count = bisect.bisect_right(times, statement.sent_at) - first
         if count <= little:
-            found.append(f"{asked.request_id} was the {count}th in {WINDOW_S} s")
+            found.append(f"{statement.request_id} was the {count}th in {WINDOW_S} s")
     return [
         Violation("a tenant within its limit is not refused for it", t)
         for t in found[:MAX_REPORTED]
--- a/features/soak/fault_injection.py
+++ b/features/soak/fault_injection.py
@@ -145,7 +145,7 @@
     """Brings faults about, and ends them.
 
     :param seed: draws what a plan leaves open
-    :param empty_restarts: members that crash come back under their identities without their logs, most of
+    :param empty_restarts: members
         them, while another member holds all
     """
 
--- a/features/soak/load.py
+++ b/features/soak/load.py
@@ -186,7 +186,7 @@
         async with curio.timeout_after(CONNECT_TIMEOUT_S):
             await sock.connect((self._ip, FRONT_PORT))
         self._session_count += 1
-        client = LineClient(sock, f"{self.record.name}-{self._sessions}-")
+        client = LineClient(sock, f"{self.record.name}-{self._session_count}-")
         await client.send(f"START {self.record.database} {self.record.tenant.key}\r\n")
         if summary([await client.receive()]) == "I":
             self._client = client
@@ -231,10 +231,10 @@
 
     def _next_value(self) -> str:
         self._value_count += 1
-        return f"{self.record.name}v{self._number}"
+        return f"{self.record.name}v{self._value_count}"
 
     async def _write(self) -> None:
-        await self._record_write(self._next_value(), f"WRITE {self._thing} ", "")
+        await self._record_write(self._next_value(), f"WRITE {self._key} ", "")
 
     async def _record_write(self, value: str, before: str, commit: str) -> None:
         """Ask what commits a value; keep what was told of it."""
@@ -246,7 +246,7 @@
     async def _read(self) -> None:
         client = self._client
         allowed = self.record.allowed_values(client.session, time.monotonic())
-        words = await self._ask(f"READ {self._thing}")
+        words = await self._ask(f"READ {self._key}")
         if "done" in words:
             told = ReadResult(client.request_id, words[0], allowed, time.monotonic())
             self.record.reads.append(told)
@@ -254,7 +254,7 @@
     async def _begin_and_write(self) -> str | None:
         """Open a transaction with a write; return the value, or None when it failed."""
         value = self._next_value()
-        for text in ("BEGIN", f"WRITE {self._thing} {value}"):
+        for text in ("BEGIN", f"WRITE {self._key} {value}"):
             words = await self._ask(text)
             if "done" not in words:
                 await self._drop()
--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -19,7 +19,7 @@
 import fire
 
 from features.soak.checks import Violation, check, check_load, check_stops
-from features.soak.fault_injection import SoakDeployment, FaultInjector, MaintenanceRunner
+from features.soak.fault_injection import FaultInjector, MaintenanceRunner, SoakDeployment
 from features.soak.load import (
     BATCH_DATABASE,
     BATCH_PRIORITY,
@@ -68,7 +68,7 @@
         """Return the addresses of the proxies' machines, spread over the zones."""
         zones = list(ZONES)
         extra = [
-            f"{zones[number % len(zones)]}.{FIRST_FURTHER + number // len(zones)}"
+            f"{zones[number % len(zones)]}.{FIRST_EXTRA_HOST + number // len(zones)}"
             for number in range(max(0, self.proxies - len(PROXIES)))
         ]
         return (*PROXIES[: self.proxies], *extra)
--- a/features/soak/versions.py
+++ b/features/soak/versions.py
@@ -126,7 +126,7 @@
     end = time.monotonic() + STOP_TIMEOUT_S
     while deployment.process(ip) is process:
         if time.monotonic() > end:
-            raise AssertionError(f"{ip} was not started again in {STOP_LIMIT_S} s")
+            raise AssertionError(f"{ip} was not started again in {STOP_TIMEOUT_S} s")
         await curio.sleep(0.05)
 
 
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -14,13 +14,13 @@
     MODEST,
     TENANTS,
     UNANSWERED,
-    StatementResult,
     ClientRecord,
     ReadResult,
+    StatementResult,
     WriteResult,
 )
 from features.soak.plan import draw_plan
-from features.soak.process_history import ProcessRecord, ProcessHistory, handles_signal
+from features.soak.process_history import ProcessHistory, ProcessRecord, handles_signal
 from features.soak.run import SoakShape, report, run_soak
 from features.soak.stops import draw_series
 from features.soak.waves import draw_waves
