--- a/features/soak/__init__.py
+++ b/features/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: the real programs as processes, faults from outside, promises checked."""
+"""Randomized soak test: runs the real programs, injects faults and checks their guarantees."""
