--- a/features/soak/checks.py
+++ b/features/soak/checks.py
@@ -1,4 +1,4 @@
-"""What must hold whatever strikes, judged by what clients and members have seen."""
+"""Checks the guarantees that hold under faults, from the records of clients and members."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 MAX_REPORTED = 5
 UNANSWERED_SLACK_S = 0.2
 EXIT_POLL_S = 0.5
-"""The end of a process is noticed so much later at most."""
+"""Upper bound of the delay, in seconds, with which the soak notices that a process exited."""
 WINDOW_S, LIMIT_TOLERANCE, LIMIT_SLACK_OPERATIONS = 5.0, 0.1, 20
-"""Within any window so long, a limit may be exceeded by this share and so many operations."""
+"""In any window of 5 s, a tenant may exceed its limit by 10 % plus 20 operations."""
 
 OVER_LIMIT_CODE = "LD3017"
 MODEST_SHARE = 0.5
-"""A tenant that asked for so much of its limit in a window is well within it."""
+"""Share of its limit up to which a tenant counts as well within it, per window."""
 REFUSED_SHARE_TOLERANCE = 0.05
 MIN_COMPARED_STATEMENTS = 50
-"""Shares of fewer statements than that say little."""
+"""Fewest statements for which a share of refusals is meaningful."""
 SPAN_S = 0.5
 MIN_STATEMENTS_IN_SPAN = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A promise that was broken."""
+    """A broken promise, with what was observed."""
 
     promise: str
     detail: str
@@ -50,7 +50,7 @@
 def check_stops(
     records: Iterable[ClientRecord], group: StandInGroup, history: ProcessHistory
 ) -> list[Violation]:
-    """Return what processes broke that were told to stop, or were left alone."""
+    """Check processes that were told to stop, or that no fault disturbed."""
     ran = {run.request_id for run in group.runs}
     return [*_check_answered(records, ran, history), *_check_exits(history)]
 
@@ -58,10 +58,10 @@
 def _check_answered(
     records: Iterable[ClientRecord], ran: set[str], history: ProcessHistory
 ) -> list[Violation]:
-    """Check that what a proxy took was answered, unless its process was struck.
+    """Check that a proxy answered each statement that it accepted, unless a fault disturbed it.
 
-    What reached it as its connection ended may be unanswered: nobody ran it, and its client
-    learned at once.
+    A statement that arrives while its connection closes may stay unanswered: no member ran it, and
+    its client sees the close at once.
     """
     found = []
     for statement in (
@@ -125,13 +125,13 @@
 
 
 def check_load(records: Iterable[ClientRecord]) -> list[Violation]:
-    """Return what was broken for those who were not the cause of a wave of load."""
+    """Check that a wave of load harms no client that did not cause it."""
     records = list(records)
     return [*_check_modest_tenant(records), *_check_priorities(records)]
 
 
 def _check_modest_tenant(records: list[ClientRecord]) -> list[Violation]:
-    """Check that no tenant that asks for little is told that its limit is used up."""
+    """Check that the modest tenant, well within its limit, is never refused as over its limit."""
     statements = [
         statement
         for record in records
@@ -153,10 +153,10 @@
 
 
 def _check_priorities(records: list[ClientRecord]) -> list[Violation]:
-    """Check that waiting statements of the urgent database are turned away no more often.
+    """Check that urgent statements are refused no more often than those of the batch database.
 
-    Only spans in which both were asked for are compared: faults strike at other times too. Refusals
-    over a tenant's limit say nothing of the order.
+    Only time spans with statements for both databases are compared, because faults cause refusals
+    at other times too. Refusals over a tenant's limit don't depend on priority and are left out.
     """
     urgent = _group_by_span(records, DATABASE)
     batch = _group_by_span(records, BATCH_DATABASE)
@@ -172,7 +172,7 @@
 
 
 def _group_by_span(records: list[ClientRecord], database: str) -> dict[int, list[StatementResult]]:
-    """Return what was asked of a database by span, but for what was over a limit."""
+    """Group the statements for a database by time span, without those refused over a limit."""
     statements: dict[int, list[StatementResult]] = {}
     for statement in (
         a for record in records if record.database == database for a in record.statements
@@ -187,7 +187,7 @@
 
 
 def _refused_share(statements: list[StatementResult]) -> float | None:
-    """Return the share that was told that it did not run; None of too few."""
+    """Return the share of statements that were refused unrun; None when there are too few."""
     if len(statements) < MIN_COMPARED_STATEMENTS:
         return None
     return sum(statement.words[0] in NOT_APPLIED_WORDS for statement in statements) / len(
@@ -217,7 +217,7 @@
 
 
 def _check_limits(records: list[ClientRecord], group: StandInGroup) -> list[Violation]:
-    """Count operations by the request that began them, in each window that begins with one."""
+    """Check each window that starts with an operation; a request counts when it first runs."""
     found = []
     for tenant in {record.tenant for record in records if record.tenant.rate}:
         start_times = {}
@@ -266,7 +266,7 @@
 
 
 def _check_reads(records: list[ClientRecord], group: StandInGroup) -> list[Violation]:
-    """Check reads of clients none of whose commits a promotion rolled back."""
+    """Check the reads of clients that lost no commit to a promotion."""
     found = []
     for record in records:
         if any(write.request_id in group.rolled_back for write in record.writes):
