--- a/features/soak/process_history.py
+++ b/features/soak/process_history.py
@@ -1,4 +1,4 @@
-"""What each process lived through: when it began, was struck, was told to stop, and ended."""
+"""Records when each process started, was disturbed by a fault, was told to stop, and exited."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 from pathlib import Path
 
 GRACE_S = 6.0
-"""What the platform gives a process between SIGTERM and SIGKILL."""
+"""Seconds that the platform leaves a process between SIGTERM and SIGKILL."""
 NEVER = float("inf")
 
 
 @dataclass(slots=True)
 class ProcessRecord:
-    """One process, from its start to its end; times are seconds of the monotonic clock.
+    """One process, from start to exit; times are seconds of the monotonic clock.
 
-    :ivar struck_at: when it was killed, paused or let go on: it owes nothing then
+    :ivar disturbed_at: when it was killed, paused, resumed or its disk filled; the checks expect
+        nothing of it then
     :ivar status: its exit status, None while it runs
-    :ivar unready_for: signals that met it before it could handle them, while it was loading: it has
-        taken nothing by then
+    :ivar unhandled_signals: signals sent while it was still loading and had no handler for them; it
+        has accepted no statement by then
     """
 
     ip: str
@@ -32,45 +33,45 @@
     unhandled_signals: set[signal.Signals] = field(default_factory=set)
 
     def was_disturbed(self, since: float, until: float) -> bool:
-        """Tell whether it was struck between two moments."""
+        """Tell whether a fault disturbed it in a time interval."""
         return any(since <= moment <= until for moment in self.disturbed_at)
 
 
 class ProcessHistory:
-    """The lives of all processes, in order."""
+    """All processes of a run, in the order of their starts."""
 
     def __init__(self) -> None:
         self.processes: list[ProcessRecord] = []
         self._current: dict[str, ProcessRecord] = {}
 
     def record_start(self, ip: str) -> None:
-        """Note a new process on a machine."""
+        """Record that a machine started a new process."""
         process = self._current[ip] = ProcessRecord(ip, time.monotonic())
         self.processes.append(process)
 
     def record_disturbance(self, ip: str) -> None:
-        """Note that its process was killed, paused or let go on."""
+        """Record that a fault disturbed the current process of a machine."""
         self._current[ip].disturbed_at.append(time.monotonic())
 
     def record_stop(self, ip: str) -> None:
-        """Note that its process was told to stop; only the first time counts."""
+        """Record that the current process was told to stop; only the first time counts."""
         process = self._current[ip]
         process.stopped_at = min(process.stopped_at, time.monotonic())
 
     def record_signal(self, ip: str, process_id: int, number: signal.Signals) -> None:
-        """Note that its process is to be sent a signal now."""
+        """Record, just before a signal is sent, whether the current process can handle it."""
         if not handles_signal(process_id, number):
             self._current[ip].unhandled_signals.add(number)
 
     def record_exit(self, ip: str, status: int) -> None:
-        """Note that its process has ended."""
+        """Record that the current process exited."""
         process = self._current[ip]
         if process.status is None:
             process.ended_at = time.monotonic()
             process.status = status
 
     def find(self, ip: str, moment: float) -> ProcessRecord | None:
-        """Return the process of a machine at a moment; None when none was there."""
+        """Return the latest process that a machine had started by a time, or None."""
         for process in reversed(self.processes):
             if process.ip == ip and process.started_at <= moment:
                 return process
@@ -78,7 +79,7 @@
 
 
 def handles_signal(process_id: int, number: signal.Signals) -> bool:
-    """Tell whether a process catches or ignores a signal, by what the kernel says of it."""
+    """Tell whether a process catches or ignores a signal, from its masks in ``/proc``."""
     status = Path(f"/proc/{process_id}/status").read_text()
     masks = re.findall(r"^Sig(?:Ign|Cgt):\s*([0-9a-f]+)$", status, re.MULTILINE)
     return any(int(mask, 16) >> (number - 1) & 1 for mask in masks)
