--- a/features/soak/load.py
+++ b/features/soak/load.py
@@ -1,4 +1,4 @@
-"""Clients that write, read and commit, and keep what they were told."""
+"""Clients that write, read and run transactions, and record the results."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 DATABASE = "db1"
 BATCH_DATABASE = "batch1"
-"""Served after all others."""
+"""The database with the lowest priority."""
 BATCH_PRIORITY = 2
 OPERATIONS_PER_S = 12
 BURST = 12
@@ -32,21 +32,21 @@
     rate: int
 
     def to_document(self) -> dict:
-        """Return the tenant as a configuration declares it."""
+        """Return the tenant's declaration in a configuration."""
         burst = BURST if self.rate else 0
         return {"name": self.name, "apiKeys": [self.key], "ratePerS": self.rate, "burst": burst}
 
 
 TENANTS = (SoakTenant("free", "key-free", 0), SoakTenant("limited", "key-lim", OPERATIONS_PER_S))
 MODEST = SoakTenant("modest", "key-modest", OPERATIONS_PER_S)
-"""Asks far less than its limit."""
+"""A tenant whose load stays far below its limit."""
 MODEST_PAUSE_S = 0.25
 NOT_APPLIED_WORDS = frozenset({"BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGNODE", "MAXCONN"})
-"""Words by which a client is promised that nothing of its attempt is kept."""
+"""First words of answers that promise that no effect of the statement is kept."""
 PAUSE_S = 0.03
 RECONNECTING_SHARE = 0.5
-"""So many clients end a session when they are told that its proxy leaves; the others use their
-connections until these end."""
+"""Share of clients that end a session when its proxy announces that it leaves service; the others
+use their connections until the proxy closes them."""
 CONNECT_TIMEOUT_S = 2.0
 STALENESS_S = MAX_STALENESS_MS / 1_000
 UNANSWERED = "closed"
@@ -55,9 +55,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteResult:
-    """What a client was told of a write, or of the commit of a transaction.
+    """Result of a write, or of the commit of a transaction, as its client received it.
 
-    :param request_id: under which a member commits it
+    :param request_id: id under which a member commits it
+    :param word: ``done``, or the first word of the answer
     """
 
     request_id: str
@@ -68,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadResult:
-    """What a client read of its own thing, and what it may have read."""
+    """Value that a client read of its own key, and the values that were allowed."""
 
     request_id: str
     value: str
@@ -78,11 +79,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StatementResult:
-    """A statement that was sent whole, and what became of it.
+    """A statement that was sent completely, and its answer.
 
-    :param ip: of the proxy's machine
-    :param words: its answer; ``UNANSWERED`` alone when the connection ended before READY
-    :param code: label of the result code that it was refused with; empty when it was served
+    :param ip: address of the proxy's machine
+    :param words: the answer; only ``UNANSWERED`` when the connection ended before READY
+    :param code: label of the result code of a refusal; empty when the statement was served
     """
 
     request_id: str
@@ -94,13 +95,13 @@
 
     @property
     def is_answered(self) -> bool:
-        """Whether the client got a whole answer."""
+        """Whether the client received a complete answer."""
         return self.words != (UNANSWERED,)
 
 
 @dataclass(slots=True)
 class ClientRecord:
-    """All that one client knows."""
+    """Everything that one client sent and received."""
 
     name: str
     tenant: SoakTenant
@@ -112,13 +113,13 @@
     database: str = DATABASE
 
     def allowed_values(self, session: str, now: float) -> frozenset[str]:
-        """Return what a read that is sent now may give.
+        """Return the values that a read sent now may return.
 
-        The last value that the session was told of as written, or that another session of the
-        client was told of longer ago than the bound of staleness; or one that is newer than that,
-        or of unknown fate.
+        The oldest allowed value is the latest one that was acknowledged either to the same session,
+        or to another session of the client longer ago than the staleness bound. Later writes are
+        allowed too, unless their answer promises that they had no effect.
 
-        :param session: what the ids of the session's requests begin with
+        :param session: prefix of the request ids of the session
         """
         allowed = {"-"}
         for write in self.writes:
@@ -131,15 +132,15 @@
 
 
 class SessionOverError(Exception):
-    """The proxy has told that the session is over."""
+    """The proxy announced the end of the session before a statement was sent."""
 
 
 class SoakClient:
-    """One client with a session at a time, at one proxy after the other.
+    """A client with one session at a time, each at a random proxy.
 
-    :param proxies: addresses of the machines of the proxies
-    :param tenant: for whom it speaks
-    :param pause_s: it rests so long between two operations, in the mean
+    :param proxies: addresses of the proxies' machines
+    :param tenant: whose API key it uses
+    :param pause_s: mean pause between two operations
     """
 
     def __init__(
@@ -163,7 +164,7 @@
         self._reconnects_on_notice = self._generator.random() < RECONNECTING_SHARE
 
     async def run(self) -> None:
-        """Ask one thing after the other until cancelled."""
+        """Run one operation after the other until cancelled."""
         while True:
             await curio.sleep(self._generator.uniform(0.0, 2 * self._pause_s))
             try:
@@ -199,7 +200,7 @@
             await client.close()
 
     async def _ask(self, text: str) -> list[str]:
-        """Ask a statement; return its answer in words, ``["closed"]`` when there was none."""
+        """Send a statement; return the words of its answer, ``["closed"]`` without a complete one."""
         client = self._client
         if client.has_unsolicited_data():
             await self._drop()
@@ -237,7 +238,7 @@
         await self._record_write(self._next_value(), f"WRITE {self._key} ", "")
 
     async def _record_write(self, value: str, before: str, commit: str) -> None:
-        """Ask what commits a value; keep what was told of it."""
+        """Send the statement that commits a value, and record its result."""
         client = self._client
         words = await self._ask(commit or f"{before}{value}")
         word = "done" if "done" in words else words[0]
@@ -252,7 +253,7 @@
             self.record.reads.append(told)
 
     async def _begin_and_write(self) -> str | None:
-        """Open a transaction with a write; return the value, or None when it failed."""
+        """Begin a transaction and write in it; return the value, or None when a statement failed."""
         value = self._next_value()
         for text in ("BEGIN", f"WRITE {self._key} {value}"):
             words = await self._ask(text)
@@ -272,7 +273,7 @@
 
 
 def _code_in(lines: list[str]) -> str:
-    """Return the label of the result code in an answer; empty when it holds none."""
+    """Return the label of the result code in an answer, or an empty string."""
     for line in lines:
         if line.startswith("ERROR "):
             return next((word for word in line.split(" ") if word.startswith("LD")), "")
