--- a/features/soak/plan.py
+++ b/features/soak/plan.py
@@ -1,4 +1,4 @@
-"""Which faults strike when: drawn from a seed."""
+"""Draws a random schedule of faults from a seed."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 
 MIN_GAP_S, MAX_GAP_S = 0.4, 1.8
 WIPE_SPACING_S = 8.0
-"""One lost disk is borne at a time; its controller has to be repaired before the next."""
+"""Least seconds between two wipes: the controllers tolerate one lost disk at a time, and that
+controller has to recover before the next loss."""
 
 
 class FaultKind(enum.StrEnum):
-    """What may go wrong, always brought about from outside the programs."""
+    """Kinds of faults; all of them are injected from outside the programs."""
 
     KILL_CONTROLLER = "kill-controller"
     KILL_ALL_CONTROLLERS = "kill-all-controllers"
@@ -34,16 +35,16 @@
     CUT_FROM_MEMBER = "cut-from-member"
     SILENCE_LINK = "silence-link"
     SILENCE_OPEN = "silence-open-connections"
-    """Those that are open now, for good, while new ones work."""
+    """Silences the connections that are open at this time for good; new connections work."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault.
+    """One scheduled fault.
 
-    :param at_s: when it strikes, from the start of the load
-    :param for_s: how long it lasts
-    :param target: index of the controller, proxy or member that it strikes
+    :param at_s: its start, in seconds from the start of the load
+    :param for_s: its duration
+    :param target: index of the affected controller, proxy or member, modulo their number
     """
 
     kind: FaultKind
@@ -56,7 +57,7 @@
 
 
 def draw_plan(seed: int, seconds: float) -> tuple[Fault, ...]:
-    """Return the faults of a seed within so many seconds."""
+    """Return the faults of a seed that start within the given number of seconds."""
     generator = random.Random(seed)
     faults: list[Fault] = []
     at_s = generator.uniform(MIN_GAP_S, MAX_GAP_S)
