--- a/features/soak/relay.py
+++ b/features/soak/relay.py
@@ -1,4 +1,4 @@
-"""A loopback relay before a member, which delays, resets, cuts or silences connections."""
+"""A loopback relay in front of a member that delays, resets, cuts or silences connections."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class LinkFaults:
-    """What a relay does to its connections; cut bytes are held until the cut ends."""
+    """Faults of all connections of a relay; a cut holds bytes back until it ends."""
 
     delay_s: float = 0.0
     cut_to_member: bool = False
@@ -27,15 +27,16 @@
 
 @dataclass(slots=True, eq=False)
 class _Connection:
-    """One connection through a relay; once silent it passes nothing on, and stays open."""
+    """One relayed connection; once silent, it discards all bytes and stays open."""
 
     is_silent: bool = False
 
 
 class MemberRelay:
-    """Passes connections on to one member.
+    """Forwards connections to one member.
 
-    :param member: its address is known once it has started
+    :param member: the target; its address is read for each connection, as it is known only once the
+        member has started
     """
 
     def __init__(self, member: StandInMember) -> None:
@@ -46,7 +47,7 @@
         self._connections: set[_Connection] = set()
 
     async def start(self) -> None:
-        """Listen on loopback."""
+        """Listen on a free loopback port."""
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.bind(("127.0.0.1", 0))
         listener.listen(64)
@@ -60,7 +61,7 @@
             await self._reset(sock)
 
     def silence_open(self) -> None:
-        """Let the connections that are open now go silent for good; new ones work."""
+        """Silence the open connections for good; new connections work."""
         for connection in self._connections:
             connection.is_silent = True
 
