--- a/features/soak/checks.py
+++ b/features/soak/checks.py
@@ -105,8 +105,9 @@
 ) -> list[Violation]:
     """Return all broken promises.
 
-    :param healed_at: when all faults had ended for long enough; each client must be served later
-    :param may_end_early: clients that leave before that, among the records
+    :param healed_at: end of the recovery time after the last fault; each client must be served
+        after it
+    :param short_lived: those of the records whose clients leave before ``healed_at``
     """
     records = list(records)
     early = {record.name for record in short_lived}
