--- a/features/soak/load.py
+++ b/features/soak/load.py
@@ -200,7 +200,7 @@
             await client.close()
 
     async def _ask(self, text: str) -> list[str]:
-        """Send a statement; return the words of its answer, ``["closed"]`` without a complete one."""
+        """Send a statement; return the words of its answer, ``["closed"]`` when incomplete."""
         client = self._client
         if client.has_unsolicited_data():
             await self._drop()
@@ -253,7 +253,7 @@
             self.record.reads.append(told)
 
     async def _begin_and_write(self) -> str | None:
-        """Begin a transaction and write in it; return the value, or None when a statement failed."""
+        """Begin a transaction and write in it; return the value, or None on failure."""
         value = self._next_value()
         for text in ("BEGIN", f"WRITE {self._key} {value}"):
             words = await self._ask(text)
