--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -1,9 +1,10 @@
 """Runs the soak: ``python -m features.soak.run SEEDS [SECONDS]``; ``--help`` lists the options.
 
-Seeds are such as ``1-5``; the shape is ``faults``, ``stops`` for planned work in series that
-overlap, or ``both``; with ``--waves`` further clients come at once, with ``--empties`` most members
-that crash start again empty.  Each seed prints one line; one that breaks a promise prints what was
-done, what is broken and the folder of its logs, and the exit status is 1.
+SEEDS is one seed or a range such as ``1-5``.  The shape is ``faults``, ``stops`` (overlapping
+series of planned maintenance) or ``both``.  ``--waves`` adds bursts of clients; with ``--empties``
+most members that crash restart with empty logs.  Each seed prints one line.  A seed that breaks a
+promise also prints its schedule, the broken promises and the folder of its logs, and the exit
+status is 1.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 CLIENTS = 8
 START_TIMEOUT_S = 15.0
 START_PER_PROXY_S = 0.3
-"""Processes that start together share the machine's processors: 0.3 s of one for each."""
+"""Start time allowed for each proxy, as processes that start together share the processors."""
 FIRST_EXTRA_HOST = 10
 RECOVERY_S = 10.0
 SETTLE_S = 3.0
@@ -49,12 +50,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakShape:
-    """What is played.
+    """Load, faults and planned work of a run.
 
     :param has_faults: faults strike
-    :param has_stops: processes are stopped, and told of changed settings, in series that overlap
-    :param has_empty_restarts: most members that crash start again without their logs
-    :param has_waves: further clients come at once, beside a tenant that asks for little
+    :param has_stops: processes are stopped and told to reload their settings, in overlapping series
+    :param has_empty_restarts: most members that crash restart without their logs
+    :param has_waves: bursts of clients run beside the modest tenant
     """
 
     has_faults: bool = True
@@ -65,7 +66,7 @@
     has_waves: bool = False
 
     def machines(self) -> tuple[str, ...]:
-        """Return the addresses of the proxies' machines, spread over the zones."""
+        """Return the addresses of the proxies' machines; those added are spread over the zones."""
         zones = list(ZONES)
         extra = [
             f"{zones[number % len(zones)]}.{FIRST_EXTRA_HOST + number // len(zones)}"
@@ -79,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """What one seed gave."""
+    """Result of one seed."""
 
     seed: int
     plan: tuple[Fault | Series | Wave, ...]
@@ -91,14 +92,14 @@
 
 
 class Operator:
-    """Sends configurations, each until it is acknowledged."""
+    """Sends new configurations, each until a controller acknowledges it."""
 
     def __init__(self, deployment: SoakDeployment) -> None:
         self._deployment = deployment
         self.unacknowledged: list[int] = []
 
     async def change(self) -> None:
-        """Send the next version to one controller after the other until one takes it."""
+        """Send the next version to the controllers in turn until one acknowledges it, or time out."""
         deployment = self._deployment
         deployment.version += 1
         version = deployment.version
@@ -112,7 +113,7 @@
         self.unacknowledged.append(version)
 
     async def run(self) -> None:
-        """Change the configuration again and again until cancelled."""
+        """Change the configuration at a fixed interval until cancelled."""
         while True:
             await curio.sleep(CHANGE_INTERVAL_S)
             await self.change()
@@ -188,7 +189,7 @@
 
 
 def run_soak(seed: int, seconds: float, shape: SoakShape = FAULTS_ONLY) -> SoakResult:
-    """Play one seed; its folder of logs stays only when a promise was broken."""
+    """Run one seed; keep its folder of logs only when a promise was broken."""
     folder = Path(tempfile.mkdtemp(prefix=f"limedyke-soak-{seed}-"))
     result = curio.run(_run_seed, seed, seconds, shape, folder)
     if not result.violations:
@@ -197,7 +198,7 @@
 
 
 def report(result: SoakResult) -> str:
-    """Return what a seed gave, as text."""
+    """Format the result of a seed."""
     head = (
         f"seed={result.seed} faults={len(result.plan)} served={result.served} "
         f"writes={result.writes} promotions={result.promotions} "
@@ -218,7 +219,7 @@
     empties: bool = False,
     waves: bool = False,
 ) -> None:
-    """Play seeds; exit with 1 when a promise was broken."""
+    """Run the soak for SEEDS; exit with 1 when a promise was broken."""
     first, _, last = str(seeds).partition("-")
     soak_shape = SoakShape(shape != "stops", shape != "faults", proxies, clients, empties, waves)
     has_violations = False
