--- a/features/soak/stops.py
+++ b/features/soak/stops.py
@@ -1,4 +1,4 @@
-"""Planned work in series that overlap: stops, signals and changed settings, drawn from a seed."""
+"""Draws overlapping series of planned work from a seed: stops, signals and changed settings."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 MIN_GAP_S, MAX_GAP_S = 0.05, 1.2
 MAX_SHARE = 0.7
 MIN_ANSWER_TIME_S, MAX_ANSWER_TIME_S = 0.01, 0.3
-"""What stops in the middle of a statement needs statements that take a while."""
+"""Members answer this slowly, so that stops hit statements that are running."""
 
 
 class StopKind(enum.StrEnum):
-    """What is done to processes on purpose."""
+    """Kinds of planned work on processes."""
 
     STOP_PROXIES = "stop-proxies"
     STOP_CONTROLLERS = "stop-controllers"
@@ -25,12 +25,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """The same done to one process after the other.
+    """The same planned work on several processes, one after the other.
 
-    :param at_s: when it begins, from the start of the load
-    :param gap_s: between two processes
-    :param share: of the processes of its kind
-    :param first: index of the first one
+    :param at_s: its start, in seconds from the start of the load
+    :param gap_s: pause between two processes
+    :param share: affected share of the processes of its kind
+    :param first: index of the first affected process, modulo their number
     """
 
     kind: StopKind
@@ -44,7 +44,7 @@
 
 
 def draw_series(seed: int, seconds: float) -> tuple[Series, ...]:
-    """Return the planned work of a seed within so many seconds; half of it stops proxies."""
+    """Return the series of a seed that start within the given seconds; most stop proxies."""
     generator = random.Random(f"stops/{seed}")
     series: list[Series] = []
     at_s = generator.uniform(MIN_PAUSE_S, MAX_PAUSE_S)
@@ -58,5 +58,5 @@
 
 
 def draw_answer_time_s(seed: int) -> float:
-    """Return how long members take to answer while a seed plays."""
+    """Return the time that members take to answer in the run of a seed."""
     return random.Random(f"answers/{seed}").uniform(MIN_ANSWER_TIME_S, MAX_ANSWER_TIME_S)
