--- a/features/soak/versions.py
+++ b/features/soak/versions.py
@@ -1,10 +1,10 @@
-"""Replaces the processes of one version by those of another, machine by machine, under load.
+"""Tests a rolling upgrade and downgrade between two versions under load.
 
 ``python -m features.soak.versions REFERENCE`` takes the other version from a git reference of this
-repository.  Its processes found the system; machines move to the version of the working tree one
-after the other, and back again on the same data folders.  Whenever one, two or all controllers are
-of the new version, each controller is killed once, so that the leader is killed in each mix.
-Clients go on all the time; what they saw is judged as in the soak.
+repository.  The system first starts with that version.  Machines then move one by one to the
+version of the working tree, and back again, on the same data folders.  After each move of a
+controller, each controller is killed once, so that the leader is killed in each mix of versions.
+Clients run all the time, and their records are checked as in the soak.
 """
 
 from __future__ import annotations
@@ -34,19 +34,19 @@
 ROOT = PLATFORM_FOLDER.parent
 CLIENTS = 8
 PROXY_COUNT = 6
-"""Three of them are home proxies; the others forward what clients ask of them."""
+"""Three of them are home proxies; the others forward statements to those."""
 SEED = 1
 INITIAL_CHANGES = 100
-"""Changes of the configuration that the processes that found the system record."""
+"""Configuration changes that the initial processes record, so that later versions read them."""
 KILL_PAUSE_S = 3.0
-"""Between two kills: a new leader serves, and the killed process has started again."""
+"""Pause between two kills, in which a new leader takes over and the killed process restarts."""
 STOP_TIMEOUT_S = 8.0
 
 
 class MixedDeployment(SoakDeployment):
-    """Each machine runs the programs of one of two versions.
+    """A deployment whose machines each run one of two versions.
 
-    :param other: folder of the other version's source
+    :param other: folder with the source of the other version
     """
 
     def __init__(self, folder: Path, other: Path, proxies: tuple[str, ...]) -> None:
@@ -55,13 +55,13 @@
         self.on_other = {*CONTROLLERS, *proxies}
 
     def platform_folder(self, ip: str) -> Path:
-        """Return the folder of the programs that a machine runs."""
+        """Return the folder of the programs of a machine's version."""
         return (self._other if ip in self.on_other else ROOT) / PLATFORM_FOLDER.name
 
     def start_process(
         self, ip: str, program: str, bootstrap: bool = False, written: str | None = None
     ) -> None:
-        """Start one process, and say in its log which version it is of."""
+        """Start one process, and write the folder of its version to its log."""
         with open(self._folder / f"{ip}.log", "a") as log:
             log.write(f"--- starts {self.platform_folder(ip)}\n")
         super().start_process(ip, program, bootstrap)
@@ -70,7 +70,7 @@
 class Replacement:
     """Moves machines between the versions, and kills controllers in each mix.
 
-    :ivar steps: what was done, for the report
+    :ivar steps: lines of the report, one for each step done
     """
 
     def __init__(self, deployment: MixedDeployment) -> None:
@@ -78,7 +78,7 @@
         self.steps: list[str] = []
 
     async def run(self) -> None:
-        """Move all machines to the new version and back."""
+        """Move all machines to the version of the working tree and back."""
         for to_other in (False, True):
             for ip in _replacement_order(self._deployment.proxies):
                 await self._move(ip, to_other)
@@ -86,7 +86,7 @@
                     await self._kill_each_controller()
 
     async def _move(self, ip: str, to_other: bool) -> None:
-        """Stop a machine's process; its successor is of the version given."""
+        """Stop a machine's process and wait for its restart in the given version."""
         deployment = self._deployment
         process = deployment.process(ip)
         change = deployment.on_other.add if to_other else deployment.on_other.discard
@@ -113,7 +113,7 @@
 
 
 def _replacement_order(proxies: tuple[str, ...]) -> Iterator[str]:
-    """Return the machines in the order in which they are moved: each mix has both kinds mixed."""
+    """Yield the machines in the order of their moves: each controller, then its share of proxies."""
     each = len(proxies) // len(CONTROLLERS)
     for number, controller in enumerate(CONTROLLERS):
         yield controller
@@ -178,7 +178,7 @@
 
 
 def extract(reference: str, folder: Path) -> None:
-    """Write the source of a git reference into a folder."""
+    """Extract the source of a git reference into a folder."""
     archive = subprocess.run(
         ["git", "archive", reference], cwd=ROOT, capture_output=True, check=True
     ).stdout
@@ -187,7 +187,7 @@
 
 
 def main(reference: str) -> None:
-    """Play one replacement; exit with 1 when a promise was broken."""
+    """Run the test against a git REFERENCE; exit with 1 when a promise was broken."""
     folder = Path(tempfile.mkdtemp(prefix="limedyke-versions-"))
     other = folder / "other"
     other.mkdir()
