--- a/features/soak/waves.py
+++ b/features/soak/waves.py
@@ -1,4 +1,4 @@
-"""Waves of load: further clients that come at once and ask without pause, drawn from a seed."""
+"""Draws and runs waves of load: bursts of clients that send almost without pause."""
 
 from __future__ import annotations
 
@@ -16,14 +16,16 @@
 MIN_CLIENTS, MAX_CLIENTS = 20, 60
 WAVE_PAUSE_S = 0.002
 ANSWER_TIME_S = 0.03
-"""Members take so long for an answer, so that connections are scarce in a wave."""
+"""Time in seconds that members take to answer, long enough to exhaust connections in a wave."""
 
 
 class WaveKind(enum.StrEnum):
-    """Who comes.
+    """Which clients a wave consists of.
 
-    ``BATCH``: clients of the least urgent database, for a tenant without a limit.
+    ``BATCH``: clients of a tenant without a limit.
     ``HOT_TENANT``: clients of a tenant that goes far over its limit.
+
+    Both use the database with the lowest priority.
     """
 
     BATCH = "batch"
@@ -32,10 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Wave:
-    """Clients that come together.
+    """A burst of clients.
 
-    :param at_s: when they come, from the start of the load
-    :param for_s: how long they stay
+    :param at_s: its start, in seconds from the start of the load
+    :param for_s: its duration
     """
 
     kind: WaveKind
@@ -48,7 +50,7 @@
 
 
 def draw_waves(seed: int, seconds: float) -> tuple[Wave, ...]:
-    """Return the waves of a seed within so many seconds; they may overlap."""
+    """Return the waves of a seed that start within the given seconds; they may overlap."""
     generator = random.Random(f"waves/{seed}")
     waves: list[Wave] = []
     at_s = generator.uniform(MIN_PAUSE_S, MAX_PAUSE_S)
@@ -62,9 +64,9 @@
 
 
 class WaveLoad:
-    """Brings waves about, and keeps what their clients were told.
+    """Runs waves, and keeps the records of their clients.
 
-    :ivar records: of all clients that came
+    :ivar records: records of the clients of all waves
     """
 
     def __init__(self, proxies: tuple[str, ...], seed: int) -> None:
@@ -73,7 +75,7 @@
         self._seed = seed
 
     async def run(self, waves: tuple[Wave, ...]) -> None:
-        """Bring all waves about; return when the last one is over."""
+        """Run all waves; return when the last one has ended."""
         started_at = time.monotonic()
         async with curio.TaskGroup() as tasks:
             for number, wave in enumerate(waves):
