--- a/features/soak/fault_injection.py
+++ b/features/soak/fault_injection.py
@@ -1,4 +1,4 @@
-"""A deployment that restarts its processes, and the faults that strike it."""
+"""A deployment that restarts its processes, and the injection of faults and planned work."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 BUSY_ANSWERS, LOST_ANSWERS = 40, 3
 LAG_S, DELAY_S = 0.6, 0.15
 EMPTY_SHARE, LEADING_SHARE = 0.7, 0.5
-"""So many of the members that crash come back empty, and so many of the primaries among them say
-that they lead."""
+"""With empty restarts: share of the crashed members that restart without their logs, and share of
+the former primaries among these that start as primary."""
 CATCH_UP_S, CATCH_UP_POLL_S = 1.0, 0.2
 CONTROLLER_PROGRAM, PROXY_PROGRAM = "run_controller.py", "run_proxy.py"
 
 
 class SoakDeployment(Deployment):
-    """Members stand behind relays; processes that end are started again, as on the platform."""
+    """Puts a relay in front of each member, and restarts processes that exit, as the platform does."""
 
     def __init__(self, folder: Path, proxies: tuple[str, ...] = PROXIES) -> None:
         super().__init__(folder, proxies)
@@ -40,7 +40,7 @@
         self._is_stopping = False
 
     async def start(self) -> None:
-        """Start everything."""
+        """Start the relays, the deployment and its supervision."""
         for name, member in self.group.members.items():
             self.relays[name] = MemberRelay(member)
             await self.relays[name].start()
@@ -52,22 +52,22 @@
         return self.relays[member.identity].address
 
     async def stop(self) -> None:
-        """End everything that was started."""
+        """Stop the supervision and everything that was started."""
         self._is_stopping = True
         await super().stop()
 
     def start_process(self, ip: str, program: str, bootstrap: bool = False) -> None:
-        """Start one process, and keep note of it."""
+        """Start one process, and record its start."""
         super().start_process(ip, program, bootstrap)
         self.history.record_start(ip)
 
     def set_answer_time(self, answer_s: float) -> None:
-        """Have members take so long to answer."""
+        """Set the time that members take to answer."""
         for member in self.group.members.values():
             member.faults.answers_travel_s = answer_s
 
     def signal(self, ip: str, number: signal.Signals) -> None:
-        """Send a signal to the process of a machine, and keep note of what it meant."""
+        """Send a signal to the process of a machine, and record it as a stop, reload or disturbance."""
         process = self.process(ip)
         if process.poll() is not None:
             return
@@ -95,13 +95,13 @@
 
 
 class MaintenanceRunner:
-    """Does planned work, in series that may overlap."""
+    """Runs series of planned work, which may overlap."""
 
     def __init__(self, deployment: SoakDeployment) -> None:
         self._deployment = deployment
 
     async def run(self, plan: tuple[Series, ...]) -> None:
-        """Do all that a plan holds; return when the last series is over."""
+        """Run all series of a plan; return when the last one has ended."""
         started_at = time.monotonic()
         async with curio.TaskGroup() as tasks:
             for series in plan:
@@ -114,7 +114,7 @@
             await curio.sleep(series.gap_s)
 
     def _machines(self, series: Series) -> list[str]:
-        """Return the machines of a series in turn; one at least."""
+        """Return the machines of a series in order, at least one."""
         match series.kind:
             case StopKind.STOP_CONTROLLERS:
                 machines = CONTROLLERS
@@ -142,11 +142,11 @@
 
 
 class FaultInjector:
-    """Brings faults about, and ends them.
+    """Injects faults, and ends them.
 
-    :param seed: draws what a plan leaves open
-    :param empty_restarts: members
-        them, while another member holds all
+    :param seed: seed of the choices that a plan leaves open
+    :param empty_restarts: whether most members that crash restart under their identities without
+        their logs, provided that all other members run and hold the committed data
     """
 
     def __init__(self, deployment: SoakDeployment, seed: int, empty_restarts: bool = False) -> None:
@@ -155,7 +155,7 @@
         self._generator = random.Random(seed)
 
     async def run(self, plan: tuple[Fault, ...]) -> None:
-        """Strike by a plan; return when the last fault has ended."""
+        """Inject the faults of a plan; return when the last one has ended."""
         started_at = time.monotonic()
         async with curio.TaskGroup() as tasks:
             for fault in plan:
@@ -208,7 +208,7 @@
             shutil.rmtree(self._deployment.data_folder(ip), ignore_errors=True)
 
     async def _fill_disk(self, ip: str, seconds: float) -> None:
-        """Let no file of a controller grow, as on a full disk."""
+        """Keep the files of a controller from growing, as on a full disk."""
         process = self._deployment.process(ip)
         if process.poll() is not None:
             return
@@ -264,12 +264,12 @@
             await self._deployment.group.restart(member.identity)
 
     def _has_others(self, member: StandInMember) -> bool:
-        """Tell whether all other members run and hold what was committed."""
+        """Tell whether all other members run and hold the committed data."""
         others = [m for m in self._deployment.group.members.values() if m is not member]
         return all(not m.task.terminated and not m.faults.deaf for m in others)
 
     async def _start_empty(self, member: StandInMember, as_primary: bool) -> None:
-        """Start a member without its log; it catches up once another one leads."""
+        """Start a member without its log, and have it catch up once there is another primary."""
         group = self._deployment.group
         await group.start_again(member.identity, as_primary and group.primary is None)
         await curio.sleep(CATCH_UP_S)
