--- a/features/soak/fault_injection.py
+++ b/features/soak/fault_injection.py
@@ -31,7 +31,7 @@
 
 
 class SoakDeployment(Deployment):
-    """Puts a relay in front of each member, and restarts processes that exit, as the platform does."""
+    """Puts a relay in front of each member, and restarts exited processes as the platform does."""
 
     def __init__(self, folder: Path, proxies: tuple[str, ...] = PROXIES) -> None:
         super().__init__(folder, proxies)
@@ -67,7 +67,7 @@
             member.faults.answers_travel_s = answer_s
 
     def signal(self, ip: str, number: signal.Signals) -> None:
-        """Send a signal to the process of a machine, and record it as a stop, reload or disturbance."""
+        """Send a signal to the process of a machine, and record what it means to the process."""
         process = self.process(ip)
         if process.poll() is not None:
             return
