--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -99,7 +99,7 @@
         self.unacknowledged: list[int] = []
 
     async def change(self) -> None:
-        """Send the next version to the controllers in turn until one acknowledges it, or time out."""
+        """Send the next version to the controllers in turn until one takes it, or time out."""
         deployment = self._deployment
         deployment.version += 1
         version = deployment.version
