--- a/features/soak/versions.py
+++ b/features/soak/versions.py
@@ -37,7 +37,7 @@
 """Three of them are home proxies; the others forward statements to those."""
 SEED = 1
 INITIAL_CHANGES = 100
-"""Configuration changes that the initial processes record, so that later versions read them."""
+"""Configuration changes that the initial processes record before the first move."""
 KILL_PAUSE_S = 3.0
 """Pause between two kills, in which a new leader takes over and the killed process restarts."""
 STOP_TIMEOUT_S = 8.0
@@ -113,7 +113,7 @@
 
 
 def _replacement_order(proxies: tuple[str, ...]) -> Iterator[str]:
-    """Yield the machines in the order of their moves: each controller, then its share of proxies."""
+    """Yield the machines in the order of moves: each controller, then its share of proxies."""
     each = len(proxies) // len(CONTROLLERS)
     for number, controller in enumerate(CONTROLLERS):
         yield controller
