--- a/features/soak/stops.py
+++ b/features/soak/stops.py
@@ -44,7 +44,7 @@
 
 
 def draw_series(seed: int, seconds: float) -> tuple[Series, ...]:
-    """Return the series of a seed that start within the given seconds; most stop proxies."""
+    """Return the series of a seed that start within the given seconds; about half stop proxies."""
     generator = random.Random(f"stops/{seed}")
     series: list[Series] = []
     at_s = generator.uniform(MIN_PAUSE_S, MAX_PAUSE_S)
