--- a/features/soak/waves.py
+++ b/features/soak/waves.py
@@ -16,7 +16,7 @@
 MIN_CLIENTS, MAX_CLIENTS = 20, 60
 WAVE_PAUSE_S = 0.002
 ANSWER_TIME_S = 0.03
-"""Time in seconds that members take to answer, long enough to exhaust connections in a wave."""
+"""Time in seconds that members take to answer, so that connections are scarce in a wave."""
 
 
 class WaveKind(enum.StrEnum):
