--- a/features/soak.feature
+++ b/features/soak.feature
@@ -1,6 +1,6 @@
 @fleet
 Feature: The soak finds broken promises, and the programs break none
-  `make soak SEEDS=1-5 SECONDS=20` runs more seeds; docs/SOAK.md says what it does.
+  `make soak SEEDS=1-5 SECONDS=20` runs more seeds; docs/SOAK.md describes the soak.
 
   Scenario Outline: soak: a history in which <damage>
     Given soak: a sound history
@@ -9,25 +9,25 @@
 
     Examples:
       | damage                                | promise                            |
-      | a member ran what nobody asked        | members run only what was asked    |
+      | a member ran a statement that no client sent        | members run only what was asked    |
       | a member ran a statement for another tenant | members run a statement for its tenant |
       | a tenant ran more than its limit within a window | a tenant keeps within its limit |
       | a write was committed twice           | a write takes effect once          |
       | a refused write was committed         | what was refused is not kept       |
-      | an acknowledged write is nowhere      | what was acknowledged was committed |
-      | a session read an older value         | a session sees its own work        |
-      | a new session missed what another one of its client had written 3 s before | a session sees its own work |
+      | an acknowledged write is in no member's log      | what was acknowledged was committed |
+      | a session read a value older than its last write         | a session sees its own work        |
+      | a new session missed a write of its client's other session, acknowledged 3 s earlier | a session sees its own work |
       | a client was not served at the end    | service comes back                 |
       | a stopping proxy ran a statement and did not answer | a statement that is taken is answered whole |
       | a stopping proxy held a statement and did not answer | a statement that is taken is answered whole |
-      | a proxy that was told to stop ended after 8 s | a process that is told to stop ends with 0 in its time |
-      | a proxy that was told to stop ended with 1 | a process that is told to stop ends with 0 in its time |
+      | a proxy that was told to stop exited after 8 s | a process that is told to stop ends with 0 in its time |
+      | a proxy that was told to stop exited with 1 | a process that is told to stop ends with 0 in its time |
       | SIGHUP ended a proxy that could handle it | a process that is told to stop ends with 0 in its time |
       | SIGTERM ended a proxy that could handle it | a process that is told to stop ends with 0 in its time |
       | a tenant that asked for 10 in a second was told that its limit is used up | a tenant within its limit is not refused for it |
-      | 30 of 100 urgent statements and 20 of 100 others were turned away | urgent statements are turned away no more than others |
+      | 30 of 100 urgent statements and 20 of 100 others were refused | urgent statements are turned away no more than others |
 
-  Scenario Outline: soak: what is owed to nobody: <what>
+  Scenario Outline: soak: a history in which <what> is no violation
     Given soak: a sound history
     When soak: <what>
     Then soak: no promise is broken
@@ -37,15 +37,15 @@
       | a killed proxy ran a statement and did not answer     |
       | a statement reached a proxy as its connection ended   |
       | SIGHUP ended a proxy that could not yet handle it     |
-      | a new session missed what another one of its client had written 1 s before |
+      | a new session missed a write of its client's other session, acknowledged 1 s earlier |
       | SIGTERM ended a proxy that could not yet handle it    |
       | a tenant that asked for 90 in a second was told that its limit is used up |
-      | 20 of 100 urgent statements and 30 of 100 others were turned away |
+      | 20 of 100 urgent statements and 30 of 100 others were refused |
 
   Scenario Outline: soak: a process that <state> SIGHUP is known to handle it: <known>
     Then soak: a process that <state> SIGHUP is known to handle it: <known>
 
-    Examples: seed 603 sent SIGHUP to a controller 40 ms after its start, before its first line
+    Examples: SIGHUP can arrive before a process can handle it (seed 603: 40 ms after the start of a controller, before its first log line)
       | state        | known |
       | ignores      | yes   |
       | leaves alone | no    |
@@ -67,8 +67,8 @@
     When soak: the stops of seed 2 are played for 10 s with 16 clients
     Then soak: it broke no promise, and served 500 statements
 
-  Scenario: soak: real processes whose members start again empty under their identities, by a fixed seed
-    When soak: seed 3, whose members come back empty, is played for 10 s
+  Scenario: soak: real processes whose members restart with empty logs under their identities, by a fixed seed
+    When soak: seed 3, whose members restart with empty logs, is played for 10 s
     Then soak: it broke no promise, and served 300 statements
 
   Scenario: soak: real processes under the faults and stops of a fixed seed at once
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the soak."""
+"""Steps for the soak test."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
     context.extra = []
 
 
-@when("soak: a member ran what nobody asked")
+@when("soak: a member ran a statement that no client sent")
 def step_foreign(context):
     context.group.runs.append(Run("b", "x9", "READ c0", {}, False, 5.0, LIMITED.name))
 
@@ -84,13 +84,13 @@
     context.group.members["a"].log.commits.append(_commit(3, "w3"))
 
 
-@when("soak: an acknowledged write is nowhere")
+@when("soak: an acknowledged write is in no member's log")
 def step_nowhere(context):
     for member in context.group.members.values():
         del member.log.commits[0]
 
 
-@when("soak: a session read an older value")
+@when("soak: a session read a value older than its last write")
 def step_older(context):
     _read(context, "v0", "w", 4.5)
 
@@ -101,7 +101,9 @@
     context.record.reads.append(ReadResult("r2", value, allowed, sent_at + 0.5))
 
 
-@when("soak: a new session missed what another one of its client had written {age:d} s before")
+@when(
+    "soak: a new session missed a write of its client's other session, acknowledged {age:d} s earlier"
+)
 def step_new_session(context, age):
     context.record.writes.append(WriteResult("w4", "v4", "done", 4.0))
     for member in context.group.members.values():
@@ -116,7 +118,7 @@
 
 
 def _ask_in_turn(record, count, refused, word, code):
-    """Have a client ask so many statements in a second, of which the first are refused."""
+    """Record statements of a client, spread over a second, of which the first ones are refused."""
     for number in range(count):
         is_refused = number < refused
         name = f"{record.name}-{number}"
@@ -136,7 +138,7 @@
     record.request_ids.add("last")
 
 
-@when("soak: {urgent:d} of 100 urgent statements and {batch:d} of 100 others were turned away")
+@when("soak: {urgent:d} of 100 urgent statements and {batch:d} of 100 others were refused")
 def step_turned_away(context, urgent, batch):
     others = ClientRecord("others", TENANTS[0], database=BATCH_DATABASE)
     context.extra.append(others)
@@ -149,16 +151,16 @@
 
 
 def _stopped_proxy(context, took_s: float = 3.0, status: int = 0) -> ProcessRecord:
-    """Have a proxy be told to stop and end; return its life."""
+    """Record a proxy that is told to stop and exits; return its record."""
     process = ProcessRecord(PROXY, 0.0, STOPPED_AT, STOPPED_AT + took_s, status)
     context.history.processes.append(process)
     return process
 
 
 def _unanswered(context, held_s: float, member: str = "") -> None:
-    """Have a statement sent while the proxy stops, and not answered.
+    """Record a statement that is sent while the proxy stops, and not answered.
 
-    :param member: that ran it; empty for none
+    :param member: the member that ran it, or empty
     """
     sent_at = STOPPED_AT + 2.0
     statement = StatementResult("u1", PROXY, sent_at, sent_at + held_s, (UNANSWERED,))
@@ -181,12 +183,12 @@
     _unanswered(context, 0.6)
 
 
-@when("soak: a proxy that was told to stop ended after {took:d} s")
+@when("soak: a proxy that was told to stop exited after {took:d} s")
 def step_ended_late(context, took):
     _stopped_proxy(context, took)
 
 
-@when("soak: a proxy that was told to stop ended with {status:d}")
+@when("soak: a proxy that was told to stop exited with {status:d}")
 def step_ended_badly(context, status):
     _stopped_proxy(context, status=status)
 
@@ -201,7 +203,7 @@
 
 
 LEAVES_ALONE = "signal.signal(1, signal.SIG_DFL)"
-"""Said, as a process inherits what its parent ignores: SIGHUP, where the tests run under nohup."""
+"""Resets SIGHUP: a process inherits ignored signals, and under nohup SIGHUP is ignored."""
 
 
 @then("soak: a process that {state} SIGHUP is known to handle it: {known}")
@@ -275,7 +277,7 @@
     context.result = run_soak(seed, seconds, shape)
 
 
-@when("soak: seed {seed:d}, whose members come back empty, is played for {seconds:d} s")
+@when("soak: seed {seed:d}, whose members restart with empty logs, is played for {seconds:d} s")
 def step_empties_played(context, seed, seconds):
     context.result = run_soak(seed, seconds, SoakShape(has_empty_restarts=True))
 
