--- a/features/replay.feature
+++ b/features/replay.feature
@@ -1,5 +1,5 @@
 Feature: Replay of recorded traces
-  Traces recorded from fleets stay what they were found to be.
+  The checkers keep reporting the same findings on traces recorded from fleets.
 
   Scenario Outline: replay: a trace has its stated outcome
     Given replay: the trace "<trace>"
