--- a/features/mutants/mutant.py
+++ b/features/mutants/mutant.py
@@ -1,4 +1,4 @@
-"""A mutant: the product with one safeguard patched out, and the check that has to notice."""
+"""A mutant: the product with one safeguard patched out, and the check that must detect it."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 class Mutant:
     """One safeguard patched out.
 
-    Modules of this folder offer a tuple ``MUTANTS`` of these.
+    Each module of mutants in this folder defines a tuple ``MUTANTS`` of these.
 
     :param name: what the mutant does wrong, in a few words
     :param safeguard: the module, class or function that is patched out
-    :param caught_by: the checker or test that has to notice
-    :param run: runs with the safeguard patched out; tells whether it was noticed.  It has to
-        raise when the same run with the safeguard in place is noticed too.
-    :param alone: it starts many processes and runs when no other mutant does
+    :param caught_by: the checker or test that must detect it
+    :param run: runs with the safeguard patched out, and returns whether this was detected.  It must
+        raise when the check also fails with the safeguard in place.
+    :param alone: whether it must not run beside other mutants, as it starts many processes
     """
 
     name: str
