--- a/features/mutants/run.py
+++ b/features/mutants/run.py
@@ -1,7 +1,7 @@
-"""Runs every mutant of this folder, several at once, and sums up.
+"""Runs the mutants of this folder in parallel, and prints a summary.
 
 Usage: ``python -m features.mutants.run [AREA ...]``, or ``limedyke-lab mutants``.  A module
-named ``AREA_SOMETHING.py`` offers a tuple ``MUTANTS``.  The last line is
+named ``AREA_SOMETHING.py`` defines a tuple ``MUTANTS``.  The last line is
 ``mutants: N caught, N missed``; the exit code is 0 when none was missed.
 """
 
@@ -27,9 +27,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What became of one mutant.
+    """Result of one mutant.
 
-    :param reason: why it counts as missed although it was not run to its end, or empty
+    :param reason: the error that ended its check early and makes it count as missed, or empty
     """
 
     module: str
@@ -54,12 +54,12 @@
 
 
 def load_mutants(module: str) -> tuple[Mutant, ...]:
-    """Return the mutants that a module of this folder offers."""
+    """Return the mutants that a module of this folder defines."""
     return tuple(import_module(f"{PACKAGE}.{module}").MUTANTS)
 
 
 def judge(module: str, mutant: Mutant) -> Verdict:
-    """Check one mutant; an error in its check counts as missed."""
+    """Check one mutant; it counts as missed when its check raises."""
     started = time.monotonic()
     reason = ""
     try:
@@ -72,27 +72,27 @@
     )
 
 
-def _judge_number(module: str, number: int) -> Verdict:
-    return judge(module, load_mutants(module)[number])
+def _judge_index(module: str, index: int) -> Verdict:
+    return judge(module, load_mutants(module)[index])
 
 
 def judge_all(jobs: list[tuple[str, int]]) -> Iterator[Verdict]:
-    """Judge mutants, several at once, and at the end those that run alone."""
-    alone = [job for job in jobs if load_mutants(job[0])[job[1]].alone]
-    together = [job for job in jobs if job not in alone]
+    """Check mutants in parallel, then one by one those that must not run beside others."""
+    exclusive = [job for job in jobs if load_mutants(job[0])[job[1]].alone]
+    parallel = [job for job in jobs if job not in exclusive]
     with ProcessPoolExecutor(PARALLEL_MUTANTS, mp_context=get_context("spawn")) as executor:
-        modules = [module for module, _ in together]
-        yield from executor.map(_judge_number, modules, [number for _, number in together])
-    for module, number in alone:
-        yield _judge_number(module, number)
+        modules = [module for module, _ in parallel]
+        yield from executor.map(_judge_index, modules, [index for _, index in parallel])
+    for module, index in exclusive:
+        yield _judge_index(module, index)
 
 
 def main(arguments: list[str]) -> int:
     """Check the mutants of the named areas, or all, and return the exit code."""
     jobs = [
-        (module, number)
+        (module, index)
         for module in modules_with_mutants(tuple(arguments))
-        for number in range(len(load_mutants(module)))
+        for index in range(len(load_mutants(module)))
     ]
     caught = 0
     for verdict in judge_all(jobs):
