--- a/features/soak.feature
+++ b/features/soak.feature
@@ -8,24 +8,24 @@
     Then soak: the promise "<promise>" is broken
 
     Examples:
-      | damage                                | promise                            |
-      | a member ran a statement that no client sent        | members run only what was asked    |
-      | a member ran a statement for another tenant | members run a statement for its tenant |
-      | a tenant ran more than its limit within a window | a tenant keeps within its limit |
-      | a write was committed twice           | a write takes effect once          |
-      | a refused write was committed         | what was refused is not kept       |
-      | an acknowledged write is in no member's log      | what was acknowledged was committed |
-      | a session read a value older than its last write         | a session sees its own work        |
-      | a new session missed a write of its client's other session, acknowledged 3 s earlier | a session sees its own work |
-      | a client was not served at the end    | service comes back                 |
-      | a stopping proxy ran a statement and did not answer | a statement that is taken is answered whole |
-      | a stopping proxy held a statement and did not answer | a statement that is taken is answered whole |
-      | a proxy that was told to stop exited after 8 s | a process that is told to stop ends with 0 in its time |
-      | a proxy that was told to stop exited with 1 | a process that is told to stop ends with 0 in its time |
-      | SIGHUP ended a proxy that could handle it | a process that is told to stop ends with 0 in its time |
-      | SIGTERM ended a proxy that could handle it | a process that is told to stop ends with 0 in its time |
-      | a tenant that asked for 10 in a second was told that its limit is used up | a tenant within its limit is not refused for it |
-      | 30 of 100 urgent statements and 20 of 100 others were refused | urgent statements are turned away no more than others |
+      | damage                                                                    | promise                                                |
+      | a member ran a statement that no client sent                              | members run only what was asked                        |
+      | a member ran a statement for another tenant                               | members run a statement for its tenant                 |
+      | a tenant ran more than its limit within a window                          | a tenant keeps within its limit                        |
+      | a write was committed twice                                               | a write takes effect once                              |
+      | a refused write was committed                                             | what was refused is not kept                           |
+      | an acknowledged write is in no member's log                               | what was acknowledged was committed                    |
+      | a session read a value older than its last acknowledged write             | a session sees its own work                            |
+      | a new session missed a write acknowledged to its client 3 s earlier       | a session sees its own work                            |
+      | a client was not served at the end                                        | service comes back                                     |
+      | a stopping proxy ran a statement and did not answer                       | a statement that is taken is answered whole            |
+      | a stopping proxy held a statement and did not answer                      | a statement that is taken is answered whole            |
+      | a proxy that was told to stop exited after 8 s                            | a process that is told to stop ends with 0 in its time |
+      | a proxy that was told to stop exited with 1                               | a process that is told to stop ends with 0 in its time |
+      | SIGHUP ended a proxy that could handle it                                 | a process that is told to stop ends with 0 in its time |
+      | SIGTERM ended a proxy that could handle it                                | a process that is told to stop ends with 0 in its time |
+      | a tenant that asked for 10 in a second was told that its limit is used up | a tenant within its limit is not refused for it        |
+      | 30 of 100 urgent statements and 20 of 100 others were refused             | urgent statements are turned away no more than others  |
 
   Scenario Outline: soak: a history in which <what> is no violation
     Given soak: a sound history
@@ -33,14 +33,14 @@
     Then soak: no promise is broken
 
     Examples:
-      | what                                                  |
-      | a killed proxy ran a statement and did not answer     |
-      | a statement reached a proxy as its connection ended   |
-      | SIGHUP ended a proxy that could not yet handle it     |
-      | a new session missed a write of its client's other session, acknowledged 1 s earlier |
-      | SIGTERM ended a proxy that could not yet handle it    |
+      | what                                                                      |
+      | a killed proxy ran a statement and did not answer                         |
+      | a statement reached a proxy as its connection ended                       |
+      | SIGHUP ended a proxy that could not yet handle it                         |
+      | a new session missed a write acknowledged to its client 1 s earlier       |
+      | SIGTERM ended a proxy that could not yet handle it                        |
       | a tenant that asked for 90 in a second was told that its limit is used up |
-      | 20 of 100 urgent statements and 30 of 100 others were refused |
+      | 20 of 100 urgent statements and 30 of 100 others were refused             |
 
   Scenario Outline: soak: a process that <state> SIGHUP is known to handle it: <known>
     Then soak: a process that <state> SIGHUP is known to handle it: <known>
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -90,7 +90,7 @@
         del member.log.commits[0]
 
 
-@when("soak: a session read a value older than its last write")
+@when("soak: a session read a value older than its last acknowledged write")
 def step_older(context):
     _read(context, "v0", "w", 4.5)
 
