--- a/features/soak/checks.py
+++ b/features/soak/checks.py
@@ -140,12 +140,12 @@
         for statement in record.statements
     ]
     times = sorted(statement.sent_at for statement in statements)
-    little = MODEST_SHARE * (MODEST.rate * WINDOW_S + BURST)
+    max_count = MODEST_SHARE * (MODEST.rate * WINDOW_S + BURST)
     found = []
     for statement in (statement for statement in statements if statement.code == OVER_LIMIT_CODE):
         first = bisect.bisect_left(times, statement.sent_at - WINDOW_S)
         count = bisect.bisect_right(times, statement.sent_at) - first
-        if count <= little:
+        if count <= max_count:
             found.append(f"{statement.request_id} was the {count}th in {WINDOW_S} s")
     return [
         Violation("a tenant within its limit is not refused for it", t)
@@ -181,9 +181,9 @@
         if statement.code != OVER_LIMIT_CODE:
             statements.setdefault(int(statement.sent_at / SPAN_S), []).append(statement)
     return {
-        span: statement
-        for span, statement in statements.items()
-        if len(statement) >= MIN_STATEMENTS_IN_SPAN
+        span: in_span
+        for span, in_span in statements.items()
+        if len(in_span) >= MIN_STATEMENTS_IN_SPAN
     }
 
 
--- a/features/soak/load.py
+++ b/features/soak/load.py
@@ -249,8 +249,8 @@
         allowed = self.record.allowed_values(client.session, time.monotonic())
         words = await self._ask(f"READ {self._key}")
         if "done" in words:
-            told = ReadResult(client.request_id, words[0], allowed, time.monotonic())
-            self.record.reads.append(told)
+            result = ReadResult(client.request_id, words[0], allowed, time.monotonic())
+            self.record.reads.append(result)
 
     async def _begin_and_write(self) -> str | None:
         """Begin a transaction and write in it; return the value, or None on failure."""
--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -52,7 +52,7 @@
 class SoakShape:
     """Load, faults and planned work of a run.
 
-    :param has_faults: faults strike
+    :param has_faults: faults are injected
     :param has_stops: processes are stopped and told to reload their settings, in overlapping series
     :param has_empty_restarts: most members that crash restart without their logs
     :param has_waves: bursts of clients run beside the modest tenant
--- a/features/soak/versions.py
+++ b/features/soak/versions.py
@@ -165,7 +165,7 @@
         for version in operator.unacknowledged
     ]
     served = sum(len(record.served) for record in records)
-    unanswered = sum(not ask.is_answered for record in records for ask in record.statements)
+    unanswered = sum(not result.is_answered for record in records for result in record.statements)
     summary = (
         f"served={served} unanswered={unanswered} changes={deployment.version} "
         f"violations={len(violations)}"
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -123,8 +123,10 @@
         record.request_ids.add(name)
         sent_at = 5.0 + number / count
         words = (word if is_refused else "done", "I")
-        told = code if is_refused else ""
-        record.statements.append(StatementResult(name, PROXY, sent_at, sent_at + 0.01, words, told))
+        result_code = code if is_refused else ""
+        record.statements.append(
+            StatementResult(name, PROXY, sent_at, sent_at + 0.01, words, result_code)
+        )
 
 
 @when("soak: a tenant that asked for {count:d} in a second was told that its limit is used up")
