--- a/features/soak/run.py
+++ b/features/soak/run.py
@@ -1,9 +1,10 @@
 """Runs the soak: ``python -m features.soak.run SEEDS [SECONDS]``; ``--help`` lists the options.
 
-Seeds are such as ``1-5``; the shape is ``faults``, ``stops`` for planned work in series that
-overlap, or ``both``; with ``--waves`` further clients come at once, with ``--empties`` most members
-that crash start again empty.  Each seed prints one line; one that breaks a promise prints what was
-done, what is broken and the folder of its logs, and the exit status is 1.
+SEEDS is one seed or a range such as ``1-5``.  The shape is ``faults``, ``stops`` (overlapping
+series of planned maintenance) or ``both``.  ``--waves`` adds bursts of clients; with ``--empties``
+most members that crash restart with empty logs.  Each seed prints one line.  A seed that breaks a
+promise also prints its schedule, the broken promises and the folder of its logs, and the exit
+status is 1.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 import fire
 
 from features.soak.checks import Violation, check, check_load, check_stops
-from features.soak.fault_injection import SoakDeployment, Striker, Worker
+from features.soak.fault_injection import FaultInjector, MaintenanceRunner, SoakDeployment
 from features.soak.load import (
     BATCH_DATABASE,
     BATCH_PRIORITY,
@@ -31,55 +32,55 @@
 )
 from features.soak.plan import Fault, draw_plan
 from features.soak.stops import Series, draw_answer_time_s, draw_series
-from features.soak.waves import ANSWER_S, Wave, WaveLoad, draw_waves
+from features.soak.waves import ANSWER_TIME_S, Wave, WaveLoad, draw_waves
 from features.support.line_platform.deployment import CONTROLLERS, PROXIES, ZONES
 
 DEFAULT_SECONDS = 15.0
 CLIENTS = 8
-START_LIMIT_S = 15.0
-START_EACH_S = 0.3
-"""Processes that start together share the machine's processors: 0.3 s of one for each."""
-FIRST_FURTHER = 10
+START_TIMEOUT_S = 15.0
+START_PER_PROXY_S = 0.3
+"""Start time allowed for each proxy, as processes that start together share the processors."""
+FIRST_EXTRA_HOST = 10
 RECOVERY_S = 10.0
 SETTLE_S = 3.0
 CHANGE_INTERVAL_S = 2.5
-CHANGE_LIMIT_S = 12.0
+CHANGE_TIMEOUT_S = 12.0
 HTTP_OK = 200
 
 
 @dataclass(frozen=True, slots=True)
 class SoakShape:
-    """What is played.
+    """Load, faults and planned work of a run.
 
-    :param has_faults: faults strike
-    :param has_stops: processes are stopped, and told of changed settings, in series that overlap
-    :param has_empties: most members that crash start again without their logs
-    :param has_waves: further clients come at once, beside a tenant that asks for little
+    :param has_faults: faults are injected
+    :param has_stops: processes are stopped and told to reload their settings, in overlapping series
+    :param has_empty_restarts: most members that crash restart without their logs
+    :param has_waves: bursts of clients run beside the modest tenant
     """
 
     has_faults: bool = True
     has_stops: bool = False
     proxies: int = len(PROXIES)
     clients: int = CLIENTS
-    has_empties: bool = False
+    has_empty_restarts: bool = False
     has_waves: bool = False
 
     def machines(self) -> tuple[str, ...]:
-        """Return the addresses of the proxies' machines, spread over the zones."""
+        """Return the addresses of the proxies' machines; those added are spread over the zones."""
         zones = list(ZONES)
-        further = [
-            f"{zones[number % len(zones)]}.{FIRST_FURTHER + number // len(zones)}"
+        extra = [
+            f"{zones[number % len(zones)]}.{FIRST_EXTRA_HOST + number // len(zones)}"
             for number in range(max(0, self.proxies - len(PROXIES)))
         ]
-        return (*PROXIES[: self.proxies], *further)
+        return (*PROXIES[: self.proxies], *extra)
 
 
-FAULTS = SoakShape()
+FAULTS_ONLY = SoakShape()
 
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """What one seed gave."""
+    """Result of one seed."""
 
     seed: int
     plan: tuple[Fault | Series | Wave, ...]
@@ -91,19 +92,19 @@
 
 
 class Operator:
-    """Sends configurations, each until it is acknowledged."""
+    """Sends new configurations, each until a controller acknowledges it."""
 
     def __init__(self, deployment: SoakDeployment) -> None:
         self._deployment = deployment
         self.unacknowledged: list[int] = []
 
     async def change(self) -> None:
-        """Send the next version to one controller after the other until one takes it."""
+        """Send the next version to the controllers in turn until one takes it, or time out."""
         deployment = self._deployment
         deployment.version += 1
         version = deployment.version
         databases = (DATABASE, BATCH_DATABASE, f"extra{version}")
-        end = time.monotonic() + CHANGE_LIMIT_S
+        end = time.monotonic() + CHANGE_TIMEOUT_S
         while time.monotonic() < end:
             for ip in CONTROLLERS:
                 if await deployment.send_configuration(version, databases, ip) == HTTP_OK:
@@ -112,16 +113,16 @@
         self.unacknowledged.append(version)
 
     async def run(self) -> None:
-        """Change the configuration again and again until cancelled."""
+        """Change the configuration at a fixed interval until cancelled."""
         while True:
             await curio.sleep(CHANGE_INTERVAL_S)
             await self.change()
 
 
-async def _play(seed: int, seconds: float, shape: SoakShape, folder: Path) -> SoakResult:
+async def _run_seed(seed: int, seconds: float, shape: SoakShape, folder: Path) -> SoakResult:
     deployment = SoakDeployment(folder, shape.machines())
     tenants = (*TENANTS, MODEST) if shape.has_waves else TENANTS
-    deployment.tenants = [tenant.document() for tenant in tenants]
+    deployment.tenants = [tenant.to_document() for tenant in tenants]
     deployment.priorities = {BATCH_DATABASE: BATCH_PRIORITY}
     clients = [
         SoakClient(f"c{number}", deployment.proxies, seed, TENANTS[number % len(TENANTS)])
@@ -136,24 +137,24 @@
     faults = draw_plan(seed, seconds) if shape.has_faults else ()
     series = draw_series(seed, seconds) if shape.has_stops else ()
     if shape.has_stops:
-        deployment.let_members_work(draw_answer_time_s(seed))
+        deployment.set_answer_time(draw_answer_time_s(seed))
     elif shape.has_waves:
-        deployment.let_members_work(ANSWER_S)
+        deployment.set_answer_time(ANSWER_TIME_S)
     operator = Operator(deployment)
     try:
         await deployment.start()
         await operator.change()
         await deployment.wait_until(
             lambda: _all_ready(deployment),
-            START_LIMIT_S + shape.proxies * START_EACH_S,
+            START_TIMEOUT_S + shape.proxies * START_PER_PROXY_S,
             "all proxies ready",
         )
         tasks = [await curio.spawn(client.run) for client in clients]
         tasks.append(await curio.spawn(operator.run))
         async with curio.TaskGroup() as work:
-            striker = Striker(deployment, seed, shape.has_empties)
-            await work.spawn(striker.run, faults)
-            await work.spawn(Worker(deployment).run, series)
+            injector = FaultInjector(deployment, seed, shape.has_empty_restarts)
+            await work.spawn(injector.run, faults)
+            await work.spawn(MaintenanceRunner(deployment).run, series)
             await work.spawn(wave_load.run, waves)
         await curio.sleep(RECOVERY_S)
         healed_at = time.monotonic()
@@ -165,8 +166,8 @@
         await deployment.stop()
     records = [client.record for client in clients]
     all_records = [*records, *wave_load.records]
-    violations = check(all_records, deployment.group, healed_at, may_end_early=wave_load.records)
-    violations += check_stops(all_records, deployment.group, deployment.lives)
+    violations = check(all_records, deployment.group, healed_at, short_lived=wave_load.records)
+    violations += check_stops(all_records, deployment.group, deployment.history)
     violations += check_load(all_records)
     violations += [
         Violation("a change is acknowledged", f"version {version}")
@@ -187,17 +188,17 @@
     return all([await deployment.is_ready(ip) for ip in deployment.proxies])
 
 
-def run_soak(seed: int, seconds: float, shape: SoakShape = FAULTS) -> SoakResult:
-    """Play one seed; its folder of logs stays only when a promise was broken."""
+def run_soak(seed: int, seconds: float, shape: SoakShape = FAULTS_ONLY) -> SoakResult:
+    """Run one seed; keep its folder of logs only when a promise was broken."""
     folder = Path(tempfile.mkdtemp(prefix=f"limedyke-soak-{seed}-"))
-    result = curio.run(_play, seed, seconds, shape, folder)
+    result = curio.run(_run_seed, seed, seconds, shape, folder)
     if not result.violations:
         shutil.rmtree(folder, ignore_errors=True)
     return result
 
 
 def report(result: SoakResult) -> str:
-    """Return what a seed gave, as text."""
+    """Format the result of a seed."""
     head = (
         f"seed={result.seed} faults={len(result.plan)} served={result.served} "
         f"writes={result.writes} promotions={result.promotions} "
@@ -218,15 +219,15 @@
     empties: bool = False,
     waves: bool = False,
 ) -> None:
-    """Play seeds; exit with 1 when a promise was broken."""
+    """Run the soak for SEEDS; exit with 1 when a promise was broken."""
     first, _, last = str(seeds).partition("-")
-    played = SoakShape(shape != "stops", shape != "faults", proxies, clients, empties, waves)
-    is_broken = False
+    soak_shape = SoakShape(shape != "stops", shape != "faults", proxies, clients, empties, waves)
+    has_violations = False
     for seed in range(int(first), int(last or first) + 1):
-        result = run_soak(seed, seconds, played)
+        result = run_soak(seed, seconds, soak_shape)
         print(report(result), flush=True)
-        is_broken = is_broken or bool(result.violations)
-    sys.exit(int(is_broken))
+        has_violations = has_violations or bool(result.violations)
+    sys.exit(int(has_violations))
 
 
 if __name__ == "__main__":
--- a/features/soak/waves.py
+++ b/features/soak/waves.py
@@ -1,4 +1,4 @@
-"""Waves of load: further clients that come at once and ask without pause, drawn from a seed."""
+"""Draws and runs waves of load: bursts of clients that send almost without pause."""
 
 from __future__ import annotations
 
@@ -11,19 +11,21 @@
 
 from features.soak.load import BATCH_DATABASE, TENANTS, ClientRecord, SoakClient, SoakTenant
 
-SHORTEST_PAUSE_S, LONGEST_PAUSE_S = 0.5, 2.0
-SHORTEST_WAVE_S, LONGEST_WAVE_S = 0.5, 2.5
-FEWEST_CLIENTS, MOST_CLIENTS = 20, 60
+MIN_PAUSE_S, MAX_PAUSE_S = 0.5, 2.0
+MIN_WAVE_S, MAX_WAVE_S = 0.5, 2.5
+MIN_CLIENTS, MAX_CLIENTS = 20, 60
 WAVE_PAUSE_S = 0.002
-ANSWER_S = 0.03
-"""Members take so long for an answer, so that connections are scarce in a wave."""
+ANSWER_TIME_S = 0.03
+"""Time in seconds that members take to answer, so that connections are scarce in a wave."""
 
 
 class WaveKind(enum.StrEnum):
-    """Who comes.
+    """Which clients a wave consists of.
 
-    ``BATCH``: clients of the least urgent database, for a tenant without a limit.
+    ``BATCH``: clients of a tenant without a limit.
     ``HOT_TENANT``: clients of a tenant that goes far over its limit.
+
+    Both use the database with the lowest priority.
     """
 
     BATCH = "batch"
@@ -32,10 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Wave:
-    """Clients that come together.
+    """A burst of clients.
 
-    :param at_s: when they come, from the start of the load
-    :param for_s: how long they stay
+    :param at_s: its start, in seconds from the start of the load
+    :param for_s: its duration
     """
 
     kind: WaveKind
@@ -48,23 +50,23 @@
 
 
 def draw_waves(seed: int, seconds: float) -> tuple[Wave, ...]:
-    """Return the waves of a seed within so many seconds; they may overlap."""
+    """Return the waves of a seed that start within the given seconds; they may overlap."""
     generator = random.Random(f"waves/{seed}")
     waves: list[Wave] = []
-    at_s = generator.uniform(SHORTEST_PAUSE_S, LONGEST_PAUSE_S)
+    at_s = generator.uniform(MIN_PAUSE_S, MAX_PAUSE_S)
     while at_s < seconds:
         kind = generator.choice(list(WaveKind))
-        for_s = generator.uniform(SHORTEST_WAVE_S, LONGEST_WAVE_S)
-        clients = generator.randint(FEWEST_CLIENTS, MOST_CLIENTS)
+        for_s = generator.uniform(MIN_WAVE_S, MAX_WAVE_S)
+        clients = generator.randint(MIN_CLIENTS, MAX_CLIENTS)
         waves.append(Wave(kind, at_s, for_s, clients))
-        at_s += generator.uniform(SHORTEST_PAUSE_S, LONGEST_PAUSE_S)
+        at_s += generator.uniform(MIN_PAUSE_S, MAX_PAUSE_S)
     return tuple(waves)
 
 
 class WaveLoad:
-    """Brings waves about, and keeps what their clients were told.
+    """Runs waves, and keeps the records of their clients.
 
-    :ivar records: of all clients that came
+    :ivar records: records of the clients of all waves
     """
 
     def __init__(self, proxies: tuple[str, ...], seed: int) -> None:
@@ -73,22 +75,22 @@
         self._seed = seed
 
     async def run(self, waves: tuple[Wave, ...]) -> None:
-        """Bring all waves about; return when the last one is over."""
-        began_at = time.monotonic()
+        """Run all waves; return when the last one has ended."""
+        started_at = time.monotonic()
         async with curio.TaskGroup() as tasks:
             for number, wave in enumerate(waves):
-                await curio.sleep(max(0.0, began_at + wave.at_s - time.monotonic()))
-                await tasks.spawn(self._bring, wave, f"wave{number}")
+                await curio.sleep(max(0.0, started_at + wave.at_s - time.monotonic()))
+                await tasks.spawn(self._run_wave, wave, f"wave{number}")
 
-    async def _bring(self, wave: Wave, name: str) -> None:
-        clients = [self._client(wave, f"{name}c{number}") for number in range(wave.clients)]
+    async def _run_wave(self, wave: Wave, name: str) -> None:
+        clients = [self._make_client(wave, f"{name}c{number}") for number in range(wave.clients)]
         self.records += [client.record for client in clients]
         tasks = [await curio.spawn(client.run) for client in clients]
         await curio.sleep(wave.for_s)
         for task in tasks:
             await task.cancel()
 
-    def _client(self, wave: Wave, name: str) -> SoakClient:
+    def _make_client(self, wave: Wave, name: str) -> SoakClient:
         return SoakClient(
             name,
             self._proxies,
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the soak."""
+"""Steps for the soak test."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
     MODEST,
     TENANTS,
     UNANSWERED,
-    Asked,
     ClientRecord,
-    ReadTold,
-    WriteTold,
+    ReadResult,
+    StatementResult,
+    WriteResult,
 )
 from features.soak.plan import draw_plan
-from features.soak.process_history import Life, Lives, handles
+from features.soak.process_history import ProcessHistory, ProcessRecord, handles_signal
 from features.soak.run import SoakShape, report, run_soak
 from features.soak.stops import draw_series
 from features.soak.waves import draw_waves
@@ -46,17 +46,17 @@
     group.runs = [Run("a", "w1", "WRITE c0 v1", {}, False, 1.0, LIMITED.name)]
     record = context.record = ClientRecord("c0", LIMITED, {"w1", "w2", "w3", "r1"})
     record.writes = [
-        WriteTold("w1", "v1", "done", 1.0),
-        WriteTold("w2", "v2", "closed", 2.0),
-        WriteTold("w3", "v3", "BUSY", 3.0),
+        WriteResult("w1", "v1", "done", 1.0),
+        WriteResult("w2", "v2", "closed", 2.0),
+        WriteResult("w3", "v3", "BUSY", 3.0),
     ]
-    record.reads = [ReadTold("r1", "v2", record.allowed_values("w", 3.5), 4.0)]
+    record.reads = [ReadResult("r1", "v2", record.allowed_values("w", 3.5), 4.0)]
     record.served = [LAST_SERVED_AT]
-    context.lives = Lives()
-    context.further = []
+    context.history = ProcessHistory()
+    context.extra = []
 
 
-@when("soak: a member ran what nobody asked")
+@when("soak: a member ran a statement that no client sent")
 def step_foreign(context):
     context.group.runs.append(Run("b", "x9", "READ c0", {}, False, 5.0, LIMITED.name))
 
@@ -69,7 +69,7 @@
 @when("soak: a tenant ran more than its limit within a window")
 def step_over_limit(context):
     for number in range(LIMITED.rate * 10):
-        context.record.asked.add(f"o{number}")
+        context.record.request_ids.add(f"o{number}")
         run = Run("b", f"o{number}", "READ c0", {}, False, 2.0 + number / 100, LIMITED.name)
         context.group.runs.append(run)
 
@@ -84,29 +84,29 @@
     context.group.members["a"].log.commits.append(_commit(3, "w3"))
 
 
-@when("soak: an acknowledged write is nowhere")
+@when("soak: an acknowledged write is in no member's log")
 def step_nowhere(context):
     for member in context.group.members.values():
         del member.log.commits[0]
 
 
-@when("soak: a session read an older value")
+@when("soak: a session read a value older than its last acknowledged write")
 def step_older(context):
     _read(context, "v0", "w", 4.5)
 
 
 def _read(context, value: str, session: str, sent_at: float) -> None:
     allowed = context.record.allowed_values(session, sent_at)
-    context.record.asked.add("r2")
-    context.record.reads.append(ReadTold("r2", value, allowed, sent_at + 0.5))
+    context.record.request_ids.add("r2")
+    context.record.reads.append(ReadResult("r2", value, allowed, sent_at + 0.5))
 
 
-@when("soak: a new session missed what another one of its client had written {age:d} s before")
+@when("soak: a new session missed a write acknowledged to its client {age:d} s earlier")
 def step_new_session(context, age):
-    context.record.writes.append(WriteTold("w4", "v4", "done", 4.0))
+    context.record.writes.append(WriteResult("w4", "v4", "done", 4.0))
     for member in context.group.members.values():
         member.log.commits.append(_commit(4, "w4"))
-    context.record.asked.add("w4")
+    context.record.request_ids.add("w4")
     _read(context, "v2", "x", 4.0 + age)
 
 
@@ -116,30 +116,32 @@
 
 
 def _ask_in_turn(record, count, refused, word, code):
-    """Have a client ask so many statements in a second, of which the first are refused."""
+    """Record statements of a client, spread over a second, of which the first ones are refused."""
     for number in range(count):
         is_refused = number < refused
         name = f"{record.name}-{number}"
-        record.asked.add(name)
+        record.request_ids.add(name)
         sent_at = 5.0 + number / count
         words = (word if is_refused else "done", "I")
-        told = code if is_refused else ""
-        record.asks.append(Asked(name, PROXY, sent_at, sent_at + 0.01, words, told))
+        result_code = code if is_refused else ""
+        record.statements.append(
+            StatementResult(name, PROXY, sent_at, sent_at + 0.01, words, result_code)
+        )
 
 
 @when("soak: a tenant that asked for {count:d} in a second was told that its limit is used up")
 def step_modest_refused(context, count):
     record = ClientRecord("modest", MODEST)
-    context.further.append(record)
+    context.extra.append(record)
     _ask_in_turn(record, count, 0, "", "")
-    record.asks.append(Asked("last", PROXY, 6.0, 6.01, ("BUSY", "I"), "LD3017"))
-    record.asked.add("last")
+    record.statements.append(StatementResult("last", PROXY, 6.0, 6.01, ("BUSY", "I"), "LD3017"))
+    record.request_ids.add("last")
 
 
-@when("soak: {urgent:d} of 100 urgent statements and {batch:d} of 100 others were turned away")
+@when("soak: {urgent:d} of 100 urgent statements and {batch:d} of 100 others were refused")
 def step_turned_away(context, urgent, batch):
     others = ClientRecord("others", TENANTS[0], database=BATCH_DATABASE)
-    context.further.append(others)
+    context.extra.append(others)
     _ask_in_turn(context.record, 100, urgent, "BUSY", "LD2004")
     _ask_in_turn(others, 100, batch, "BUSY", "LD2004")
 
@@ -148,24 +150,24 @@
 PROXY = "127.31.1.2"
 
 
-def _stopped_proxy(context, took_s: float = 3.0, status: int = 0) -> Life:
-    """Have a proxy be told to stop and end; return its life."""
-    life = Life(PROXY, 0.0, STOPPED_AT, STOPPED_AT + took_s, status)
-    context.lives.all.append(life)
-    return life
+def _stopped_proxy(context, took_s: float = 3.0, status: int = 0) -> ProcessRecord:
+    """Record a proxy that is told to stop and exits; return its record."""
+    process = ProcessRecord(PROXY, 0.0, STOPPED_AT, STOPPED_AT + took_s, status)
+    context.history.processes.append(process)
+    return process
 
 
 def _unanswered(context, held_s: float, member: str = "") -> None:
-    """Have a statement sent while the proxy stops, and not answered.
+    """Record a statement that is sent while the proxy stops, and not answered.
 
-    :param member: that ran it; empty for none
+    :param member: the member that ran it, or empty
     """
     sent_at = STOPPED_AT + 2.0
-    asked = Asked("u1", PROXY, sent_at, sent_at + held_s, (UNANSWERED,))
-    context.record.asked.add(asked.request_id)
-    context.record.asks.append(asked)
+    statement = StatementResult("u1", PROXY, sent_at, sent_at + held_s, (UNANSWERED,))
+    context.record.request_ids.add(statement.request_id)
+    context.record.statements.append(statement)
     if member:
-        run = Run(member, asked.request_id, "READ c0", {}, False, sent_at, LIMITED.name)
+        run = Run(member, statement.request_id, "READ c0", {}, False, sent_at, LIMITED.name)
         context.group.runs.append(run)
 
 
@@ -181,12 +183,12 @@
     _unanswered(context, 0.6)
 
 
-@when("soak: a proxy that was told to stop ended after {took:d} s")
+@when("soak: a proxy that was told to stop exited after {took:d} s")
 def step_ended_late(context, took):
     _stopped_proxy(context, took)
 
 
-@when("soak: a proxy that was told to stop ended with {status:d}")
+@when("soak: a proxy that was told to stop exited with {status:d}")
 def step_ended_badly(context, status):
     _stopped_proxy(context, status=status)
 
@@ -194,14 +196,14 @@
 @when("soak: {name:w} ended a proxy that {state} handle it")
 def step_signalled(context, name, state):
     number = signal.Signals[name]
-    life = Life(PROXY, 0.0, ended_at=0.05, status=-number)
+    process = ProcessRecord(PROXY, 0.0, ended_at=0.05, status=-number)
     if state == "could not yet":
-        life.unready_for.add(number)
-    context.lives.all.append(life)
+        process.unhandled_signals.add(number)
+    context.history.processes.append(process)
 
 
 LEAVES_ALONE = "signal.signal(1, signal.SIG_DFL)"
-"""Said, as a process inherits what its parent ignores: SIGHUP, where the tests run under nohup."""
+"""Resets SIGHUP: a process inherits ignored signals, and under nohup SIGHUP is ignored."""
 
 
 @then("soak: a process that {state} SIGHUP is known to handle it: {known}")
@@ -211,7 +213,7 @@
     process = subprocess.Popen([sys.executable, "-c", program], stdout=subprocess.PIPE)
     try:
         assert process.stdout.readline() == b"ready\n"
-        assert handles(process.pid, signal.SIGHUP) == (known == "yes")
+        assert handles_signal(process.pid, signal.SIGHUP) == (known == "yes")
     finally:
         process.kill()
         process.communicate()
@@ -219,7 +221,7 @@
 
 @when("soak: a killed proxy ran a statement and did not answer")
 def step_killed(context):
-    _stopped_proxy(context, status=-9).struck_at.append(STOPPED_AT + 2.04)
+    _stopped_proxy(context, status=-9).disturbed_at.append(STOPPED_AT + 2.04)
     _unanswered(context, 0.05, "a")
 
 
@@ -231,11 +233,11 @@
 
 def _violations(context):
     records = [context.record]
-    further = context.further
+    extra = context.extra
     return [
-        *check([*records, *further], context.group, HEALED_AT, may_end_early=further),
-        *check_stops([*records, *further], context.group, context.lives),
-        *check_load([*records, *further]),
+        *check([*records, *extra], context.group, HEALED_AT, short_lived=extra),
+        *check_stops([*records, *extra], context.group, context.history),
+        *check_load([*records, *extra]),
     ]
 
 
@@ -275,9 +277,9 @@
     context.result = run_soak(seed, seconds, shape)
 
 
-@when("soak: seed {seed:d}, whose members come back empty, is played for {seconds:d} s")
+@when("soak: seed {seed:d}, whose members restart with empty logs, is played for {seconds:d} s")
 def step_empties_played(context, seed, seconds):
-    context.result = run_soak(seed, seconds, SoakShape(has_empties=True))
+    context.result = run_soak(seed, seconds, SoakShape(has_empty_restarts=True))
 
 
 @when("soak: seed {seed:d} is played for {seconds:d} s")
