--- a/limedyke_lab/simulator/checkers/__init__.py
+++ b/limedyke_lab/simulator/checkers/__init__.py
@@ -1,4 +1,4 @@
-"""Checkers: each takes the recorded history of a run and returns what broke a rule."""
+"""Checkers: each takes the record of a run and returns the violations of one rule."""
 
 from limedyke_lab.simulator.checkers.control import CONTROL_CHECKERS
 from limedyke_lab.simulator.checkers.data import DATA_CHECKERS
