--- a/limedyke_lab/simulator/checkers/data.py
+++ b/limedyke_lab/simulator/checkers/data.py
@@ -54,7 +54,7 @@
     """Every acknowledged write is in the group's final log."""
     held = _groups_by_committed_request(record)
     return [
-        Violation("acknowledged-writes", event.time, write, f"group={event.group} committed_writes")
+        Violation("acknowledged-writes", event.time, write, f"group={event.group} lost")
         for event in _done_answers(record)
         for write in event.writes
         if event.group not in held.get(write, ())
@@ -153,8 +153,8 @@
 def check_did_not_run(record: RunRecord) -> list[Violation]:
     """A request refused with "did not run" was never executed, nor its transaction committed.
 
-    Of a committed_writes transaction only the commit counts.  A request with a once-key that was sent
-    several times did not run when each of its answers says so.
+    For a lost transaction only a commit is a violation.  A request with a once-key that was
+    sent several times must not have run if every answer says that it did not.
     """
     held = _groups_by_committed_request(record)
     executed: dict[str, str] = {}
--- a/limedyke_lab/simulator/clients/caller_requests.py
+++ b/limedyke_lab/simulator/clients/caller_requests.py
@@ -1,4 +1,4 @@
-"""What simulated callers are and send, and what they make of the answers."""
+"""The configuration and requests of simulated callers, and the parsing of their answers."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerPlan:
-    """Who a caller is and what it may do.
+    """The identity and behaviour of a caller.
 
-    :param proxies: addresses of the proxies
-    :param think_s: mean pause between two requests
-    :param once_keys: whether it sends writes with a once-key, and again until they are done
+    :param proxies: names and addresses of the proxies
+    :param think_s: mean seconds between two requests
+    :param once_keys: whether some writes carry a once-key and are resent until they succeed
     """
 
     tenant: str
@@ -30,10 +30,11 @@
 class Request:
     """One request of a caller.
 
-    :param transaction: name of the transaction it belongs to; its own name outside of one
-    :param expected: results of its whole answer
-    :param writes: requests that are acknowledged when it is done
-    :param bound: requests that must not survive when it is refused as "did not run"
+    :param transaction: name of its transaction; the request's own name outside of one
+    :param expected: results of the complete answer
+    :param writes: names of the writes that a successful answer acknowledges
+    :param bound: names of the writes that must not be committed if the answer is "did not run"
+    :param must_hold: the session's last acknowledged write of the key, which a read must reflect
     """
 
     name: str
@@ -51,14 +52,17 @@
 
 @dataclass(slots=True)
 class OpenTransaction:
-    """A transaction that a caller has open."""
+    """A caller's open transaction.
+
+    :param puts: key and request name of each write
+    """
 
     name: str
     puts: list[tuple[str, str]] = field(default_factory=list)
 
 
 def read_results(request: Request, answer: QueryAnswer) -> tuple[tuple, bool, str]:
-    """Return the results of an answer, whether a read held the own write, and the member."""
+    """Return an answer's results, whether a read reflects the own write, and the member."""
     if request.operation in ("begin", "commit", "rollback"):
         return tuple(answer.tags), True, ""
     results = tuple(row[0] for row in answer.rows)
--- a/limedyke_lab/simulator/clients/callers.py
+++ b/limedyke_lab/simulator/clients/callers.py
@@ -1,4 +1,4 @@
-"""Simulated callers: sessions that roam between proxies, read, write and open transactions."""
+"""Simulated callers: sessions that switch proxies, read, write and run transactions."""
 
 from __future__ import annotations
 
@@ -27,23 +27,23 @@
 
 ANSWER_TIMEOUT_S = 9.0
 RECONNECT_PAUSE_S = 0.15
-ROAM_SHARE = 0.12
+DISCONNECT_SHARE = 0.12
 READ_SHARE = 0.6
 WRITE_SHARE = 0.25
 TRANSACTION_SHARE = 0.1
 ROLLBACK_SHARE = 0.15
 LOST_TOKEN_SHARE = 0.2
-"""Share of the moves to another connection on which a session brings its name only."""
+"""Share of the reconnects on which a session presents its name without its token."""
 READ_BACK_SHARE = 0.4
-READ_BACK_ROAM_SHARE = 0.3
-MAXIMUM_RESENDS = 12
+READ_BACK_DISCONNECT_SHARE = 0.3
+MAXIMUM_ATTEMPTS = 12
 RESEND_PAUSE_S = 0.25
 OWN_KEYS = 2
 SHARED_KEYS = 2
 
 
 class Caller:
-    """One session, which moves from proxy to proxy with its token."""
+    """One session, which moves between proxies and presents its token to each."""
 
     def __init__(
         self, process: Process, network: Network, history: History, plan: CallerPlan, seed: str
@@ -65,22 +65,22 @@
     async def _run(self) -> None:
         while not self.stopped:
             await self.process.sleep(self._rng.expovariate(1.0 / self._plan.think_s))
-            self._roam(ROAM_SHARE)
+            self._maybe_disconnect(DISCONNECT_SHARE)
             draw = self._rng.random()
             if draw < READ_SHARE:
-                await self._read(self._key())
+                await self._read(self._choose_key())
             elif draw < READ_SHARE + WRITE_SHARE:
                 await self._write(once=False)
             elif draw < READ_SHARE + WRITE_SHARE + TRANSACTION_SHARE:
-                await self._transact()
+                await self._run_transaction()
             else:
                 await self._write(once=self._plan.once_keys)
-        self._hang_up()
+        self._disconnect()
 
-    def _roam(self, share: float) -> None:
-        """Go on through another proxy, with some probability."""
+    def _maybe_disconnect(self, share: float) -> None:
+        """Disconnect with a probability of ``share``; the next request picks a proxy anew."""
         if self._rng.random() < share:
-            self._hang_up()
+            self._disconnect()
 
     # ----- requests -----
 
@@ -88,7 +88,7 @@
         self._requests += 1
         return f"{self.name}.{self._requests}"
 
-    def _key(self) -> str:
+    def _choose_key(self) -> str:
         if self._rng.random() < 0.7:
             return f"{self.name}/{self._rng.randrange(OWN_KEYS)}"
         return f"shared/{self._rng.randrange(SHARED_KEYS)}"
@@ -115,10 +115,10 @@
         await self._send(request)
 
     async def _write(self, once: bool) -> None:
-        name, key = self._new_name(), self._key()
+        name, key = self._new_name(), self._choose_key()
         prefix = f"/*limedyke_once='{name}'*/ " if once else ""
         put = self._put(name, key)
-        for attempt in range(1, MAXIMUM_RESENDS + 1):
+        for attempt in range(1, MAXIMUM_ATTEMPTS + 1):
             request = Request(
                 name,
                 "once" if once else "write",
@@ -139,12 +139,12 @@
             await self.process.sleep(RESEND_PAUSE_S)
 
     async def _read_back(self, key: str) -> None:
-        """Look at once, and often through another proxy, at what was just written."""
+        """With some probability, read the key just written, sometimes through another proxy."""
         if self._rng.random() < READ_BACK_SHARE:
-            self._roam(READ_BACK_ROAM_SHARE)
+            self._maybe_disconnect(READ_BACK_DISCONNECT_SHARE)
             await self._read(key)
 
-    async def _transact(self) -> None:
+    async def _run_transaction(self) -> None:
         transaction = OpenTransaction(self._new_name())
         begun = await self._send(
             Request(transaction.name, "begin", "BEGIN", transaction.name, ("BEGIN",))
@@ -155,7 +155,7 @@
             await self.process.sleep(self._rng.expovariate(1.0 / 0.01))
             answer = await self._send(self._transaction_step(transaction))
             if answer.outcome != "done":
-                await self._give_up(transaction, answer)
+                await self._roll_back_after_failure(transaction, answer)
                 return
         if self._rng.random() < ROLLBACK_SHARE:
             await self._roll_back(transaction)
@@ -163,7 +163,7 @@
             await self._commit(transaction)
 
     def _transaction_step(self, transaction: OpenTransaction) -> Request:
-        name, key = self._new_name(), self._key()
+        name, key = self._new_name(), self._choose_key()
         if self._rng.random() < 0.4:
             get = self._get(name, key)
             text, operation, attempt = get_sql(get), "read", get.attempt
@@ -202,9 +202,11 @@
         if answer.outcome == "done":
             self._own_writes.update(transaction.puts)
         else:
-            await self._give_up(transaction, answer)
+            await self._roll_back_after_failure(transaction, answer)
 
-    async def _give_up(self, transaction: OpenTransaction, answer: QueryAnswer) -> None:
+    async def _roll_back_after_failure(
+        self, transaction: OpenTransaction, answer: QueryAnswer
+    ) -> None:
         if self._client is not None and answer.status != "I":
             await self._roll_back(transaction)
 
@@ -223,7 +225,7 @@
     # ----- sending -----
 
     async def _send(self, request: Request) -> QueryAnswer:
-        """Send a request over the present connection, or a new one, and record its answer."""
+        """Send a request over the current or a new connection, and record its answer."""
         if not (request.in_transaction and self._client is None):
             await self._connect()
         plan = self._plan
@@ -241,13 +243,13 @@
         answer = await self._query(request.text)
         self._record(request, answer)
         if answer.ended:
-            self._hang_up()
+            self._disconnect()
         return answer
 
     async def _query(self, text: str) -> QueryAnswer:
         if self._client is None:
             return QueryAnswer(cut_by_peer=False)
-        if self._client.take_strays():
+        if self._client.has_unexpected_answer():
             self._history.add("stray-answer", session=self.name, proxy=self._proxy)
         answer = await self._client.query(text, ANSWER_TIMEOUT_S)
         self._token = self._client.token
@@ -297,7 +299,7 @@
             self._proxy, address = self._rng.choice(plan.proxies)
             try:
                 self._client = await PostgresClient.connect(
-                    self.process, self._network, address, credentials, self._startup()
+                    self.process, self._network, address, credentials, self._startup_parameters()
                 )
             except LoginRefused as refused:
                 self._history.add(
@@ -307,14 +309,14 @@
             except (StreamClosed, Timeout):
                 await self.process.sleep(RECONNECT_PAUSE_S * (0.5 + self._rng.random()))
 
-    def _startup(self) -> SessionStartup:
-        """Return the token, or the session's name alone when the token counts as lost."""
+    def _startup_parameters(self) -> SessionStartup:
+        """Return the session's name with its token, or without it to simulate a lost token."""
         if self._rng.random() < LOST_TOKEN_SHARE:
             self._history.add("token-lost", session=self.name)
             return SessionStartup(self.name, "")
         return SessionStartup(self.name, self._token)
 
-    def _hang_up(self) -> None:
+    def _disconnect(self) -> None:
         if self._client is not None:
             self._client.close()
             self._client = None
--- a/limedyke_lab/simulator/clients/operators.py
+++ b/limedyke_lab/simulator/clients/operators.py
@@ -1,4 +1,4 @@
-"""Simulated operators: they race each other, lose answers and send the same request again."""
+"""Simulated operators, which race each other, lose answers and resend requests."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 REPLACE_ATTEMPTS = 60
 REPLACE_PAUSE_S = 0.5
 RESEND_SHARE = 0.4
-"""Share of the confirmed requests that are sent again though they were answered."""
+"""Share of the answered confirmations that are sent again."""
 
 ABANDON_SHARE = 0.15
 """Share of the plans that are never confirmed."""
@@ -50,13 +50,13 @@
 
 
 def declaration_digest(declaration: Declaration) -> str:
-    """Return a short digest of a declaration, independent of the order of its items."""
+    """Return a short digest of a declaration that ignores the order of its items."""
     normal = DeclaredState(declaration).declaration()
     return hashlib.sha256(encode(normal)).hexdigest()[:12]
 
 
 def set_client_limit(tenant: str, limit: int) -> Edit:
-    """Return an edit that gives a tenant another client limit."""
+    """Return an edit that sets a tenant's client limit."""
 
     def edit(declaration: Declaration) -> Declaration:
         tenants = tuple(
@@ -97,13 +97,13 @@
     return edit
 
 
-def set_whole(declaration: Declaration) -> Edit:
-    """Return an edit that replaces everything."""
+def replace_declaration(declaration: Declaration) -> Edit:
+    """Return an edit that replaces the whole declaration."""
     return lambda _: declaration
 
 
 class Operator:
-    """One operator with a link to one controller at a time.
+    """One operator, connected to one controller at a time.
 
     :param controllers: addresses of the controllers
     """
@@ -126,10 +126,10 @@
         self._target = 0
         self._requests = 0
         self._link: Link | None = None
-        self._turn = curio.Lock()
+        self._request_lock = curio.Lock()
 
-    async def bring_about(self, edit: Edit) -> Confirmed | None:
-        """Change the declaration until an edit is in force; None when it was already."""
+    async def change_until_in_force(self, edit: Edit) -> Confirmed | None:
+        """Retry an edit until it is in force; return None if it already was."""
         while True:
             answer = await self.change(edit)
             if isinstance(answer, Confirmed):
@@ -139,9 +139,9 @@
             await curio.sleep(RETRY_PAUSE_S)
 
     async def change(self, edit: Edit) -> Confirmed | Refused | Plan | None:
-        """Plan an edit of the declaration in force and confirm it.
+        """Plan an edit of the declaration in force and confirm the plan.
 
-        :returns: the answer, the plan that was not confirmed, or None when given up
+        :returns: the answer; the plan if it was not confirmed; None if the operator gave up
         """
         found = await self.ask(DeclarationRequest(self._new_request_id()))
         if not isinstance(found, DeclarationInForce):
@@ -167,8 +167,8 @@
             return None
         self._record(plan, digest, answer)
         if self._rng.random() < RESEND_SHARE:
-            async with self._turn:
-                await self._hang_up()
+            async with self._request_lock:
+                await self._disconnect()
             self._target = self._rng.randrange(len(self._controllers))
             again = await self.ask(request)
             if again is not None:
@@ -190,11 +190,11 @@
         )
 
     async def switch_over(self, group: str, member: str) -> object | None:
-        """Ask for a planned change of primary."""
+        """Request a planned switchover to a member."""
         return await self.ask(SwitchoverRequest(self._new_request_id(), group, member, True))
 
     async def replace_controller(self, name: str) -> bool:
-        """Bring a controller that lost its disk back as a voter, under its new identity."""
+        """Restore a controller that lost its disk as a voter under its new identity."""
         return await self._change_controller("add", name) and (
             await self._change_controller("replace", name)
         )
@@ -214,18 +214,18 @@
         return f"{self.name}-{self._requests}"
 
     async def ask(self, request: object) -> object | None:
-        """Send a request until it has a definite answer; None when given up."""
+        """Send a request until it gets a definite answer; return None after too many attempts."""
         for _ in range(MAXIMUM_ATTEMPTS):
-            async with self._turn:
-                answer = await self._ask_once(request)
+            async with self._request_lock:
+                answer = await self._try_request(request)
                 if answer is not None:
                     return answer
-                await self._hang_up()
+                await self._disconnect()
                 self._target = (self._target + 1) % len(self._controllers)
             await curio.sleep(RETRY_PAUSE_S * (0.5 + self._rng.random()))
         return None
 
-    async def _ask_once(self, request: object) -> object | None:
+    async def _try_request(self, request: object) -> object | None:
         try:
             async with curio.timeout_after(ANSWER_TIMEOUT_S):
                 if self._link is None and not await self._connect():
@@ -252,7 +252,7 @@
                 return None
             return answer
 
-    async def _hang_up(self) -> None:
+    async def _disconnect(self) -> None:
         link, self._link = self._link, None
         if link is not None:
             await link.close()
--- a/limedyke_lab/simulator/clients/postgres_client.py
+++ b/limedyke_lab/simulator/clients/postgres_client.py
@@ -1,4 +1,4 @@
-"""A small PostgreSQL client of the simulated callers: login with a token, simple queries."""
+"""A minimal PostgreSQL client for the simulated callers: token login and simple queries."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 MAXIMUM_MESSAGE_BYTES = 1 << 20
 SESSION_TOKEN = SESSION_TOKEN_SETTING.encode()
 SESSION_NAME = SESSION_NAME_SETTING.encode()
-_CODE = re.compile(r"^LD(\d{4})")
+_RESULT_CODE_PREFIX = re.compile(r"^LD(\d{4})")
 _ANSWER_KINDS = frozenset(b"TDCZI")
 UNKNOWN_SQLSTATES = frozenset({"40003", "08006", "57P01"})
 
@@ -31,11 +31,11 @@
     """The answer to one query.
 
     :param rows: text values of all rows
-    :param sqlstate: of the first error, or empty
-    :param code: the numbered code in it, or None when a member gave the error
-    :param repeated: a notice tells that the request ran before
-    :param cut_by_peer: the connection ended before the answer: True when the proxy closed it,
-        False when it broke, None when it did not end
+    :param sqlstate: SQLSTATE of the first error, or empty
+    :param code: the proxy's result code in that error, or None for an error of a member
+    :param repeated: whether a notice says that the request ran before
+    :param cut_by_peer: how the connection ended before the answer: True if the proxy closed it,
+        False if it broke, None if it did not end
     """
 
     rows: list[tuple[str, ...]] = field(default_factory=list)
@@ -50,12 +50,12 @@
 
     @property
     def ended(self) -> bool:
-        """Whether the connection is over."""
+        """Whether the connection has ended or the answer timed out."""
         return self.cut_by_peer is not None or self.timed_out
 
     @property
     def outcome(self) -> str:
-        """What the caller may conclude: done, or a value of :class:`Outcome`."""
+        """The outcome as the caller sees it: "done" or a value of :class:`Outcome`."""
         if self.ended and self.code is None:
             return Outcome.UNKNOWN.value
         if not self.sqlstate:
@@ -69,21 +69,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionStartup:
-    """Who a session says it is when it connects.
+    """The session name and token that a client sends when it connects.
 
-    :param token: empty when it has none; its own writes are then found by its name alone
+    :param token: empty for none; the proxy then finds the session's writes by its name
     """
 
     name: str
     token: str
 
 
-class LoginRefused(Exception):  # noqa: N818 - an answer, not a defect
-    """The proxy refused the login, with this SQLSTATE."""
+class LoginRefused(Exception):  # noqa: N818 - an expected answer, not an error
+    """The proxy refused the login; the message is its error detail."""
 
 
 class _SessionLogin(MemberLogin):
-    """The login of a caller who names its session and brings its token."""
+    """A login that sends the session's name and token in the startup packet."""
 
     def __init__(self, credentials: MemberCredentials, session: SessionStartup) -> None:
         super().__init__(credentials)
@@ -103,7 +103,7 @@
 class PostgresClient:
     """One connection of a caller to a proxy.
 
-    :ivar token: the session token that the proxy told last
+    :ivar token: the session token that the proxy reported last
     """
 
     def __init__(self, process: Process, endpoint: Endpoint) -> None:
@@ -140,7 +140,7 @@
         while not login.ready:
             message = await self._receive(CONNECT_TIMEOUT_S)
             kind = bytes((message.kind,))
-            self._note_token(message)
+            self._update_token(message)
             step = login.receive((kind, message.body))
             if step.is_err():
                 self._endpoint.close()
@@ -149,7 +149,7 @@
                 self._endpoint.send(step.ok_value)
 
     async def query(self, text: str, timeout_s: float) -> QueryAnswer:
-        """Send a simple query and return its answer, whole or cut."""
+        """Send a simple query and return its answer, complete or cut off."""
         answer = QueryAnswer()
         self._endpoint.send(frames.query(text))
         deadline = self._process.clock() + timeout_s
@@ -159,7 +159,7 @@
                 if message.kind == ord("Z"):
                     answer.status = message.body.decode()
                     return answer
-                self._take(answer, message)
+                self._apply_message(answer, message)
         except StreamClosed as closed:
             answer.cut_by_peer = closed.by_peer
         except Timeout:
@@ -167,7 +167,7 @@
             self.close()
         return answer
 
-    def _take(self, answer: QueryAnswer, message: ClientMessage) -> None:
+    def _apply_message(self, answer: QueryAnswer, message: ClientMessage) -> None:
         kind = bytes((message.kind,))
         if kind == frames.DATA_ROW:
             values = frames.row_values(message.body)
@@ -178,15 +178,15 @@
             fields = frames.error_fields(message.body)
             answer.sqlstate = fields.get(b"C", b"").decode()
             answer.message = fields.get(b"M", b"").decode()
-            found = _CODE.match(answer.message)
+            found = _RESULT_CODE_PREFIX.match(answer.message)
             answer.code = CODE_BY_NUMBER.get(int(found[1])) if found else None
         elif kind == frames.NOTICE:
             code = frames.error_fields(message.body).get(b"C", b"").decode()
             answer.repeated = answer.repeated or code == DUPLICATE_SQLSTATE
         else:
-            self._note_token(message)
+            self._update_token(message)
 
-    def _note_token(self, message: ClientMessage) -> None:
+    def _update_token(self, message: ClientMessage) -> None:
         if message.kind != ord("S"):
             return
         name, value = message.body.split(b"\0")[:2]
@@ -199,16 +199,16 @@
             self._messages.extend(self._framer.feed(data))
         return self._messages.popleft()
 
-    def take_strays(self) -> bool:
-        """Tell whether an answer arrived that belongs to no query.
+    def has_unexpected_answer(self) -> bool:
+        """Tell whether an answer has arrived that belongs to no query.
 
-        Notices, settings and the error that ends an idle connection are none.
+        Notices, parameter changes and the error that ends an idle connection do not count.
         """
         for data in self._endpoint.inbox.take_all():
             self._messages.extend(self._framer.feed(data))
         return any(message.kind in _ANSWER_KINDS for message in self._messages)
 
     def close(self) -> None:
-        """Say goodbye and close."""
+        """Send a Terminate message and close the stream."""
         self._endpoint.send(frames.TERMINATE)
         self._endpoint.close()
--- a/limedyke_lab/simulator/run.py
+++ b/limedyke_lab/simulator/run.py
@@ -189,7 +189,7 @@
         member = world.primary_of(world.layout.all_members[0].name)
 
         async def leave(operator: Operator) -> None:
-            answer = await operator.bring_about(set_leaving(member, True))
+            answer = await operator.change_until_in_force(set_leaving(member, True))
             if answer is None:
                 world.history.add("calm-operator")
             else:
--- a/limedyke_lab/simulator/strikes.py
+++ b/limedyke_lab/simulator/strikes.py
@@ -242,7 +242,7 @@
         async def leave(operator: Operator) -> None:
             await operator.change(set_leaving(fault.target, True))
             await curio.sleep(self._seconds(fault))
-            await operator.bring_about(set_leaving(fault.target, False))
+            await operator.change_until_in_force(set_leaving(fault.target, False))
             world.leaving_groups.discard(group)
 
         world.operate(OPERATORS[0], leave)
--- a/limedyke_lab/simulator/world.py
+++ b/limedyke_lab/simulator/world.py
@@ -10,7 +10,7 @@
 
 from limedyke_lab.simulator.clients.caller_requests import CallerPlan
 from limedyke_lab.simulator.clients.callers import Caller
-from limedyke_lab.simulator.clients.operators import Edit, Operator, set_whole
+from limedyke_lab.simulator.clients.operators import Edit, Operator, replace_declaration
 from limedyke_lab.simulator.controllers import SimulatedController
 from limedyke_lab.simulator.history import History
 from limedyke_lab.simulator.layout import (
@@ -180,7 +180,7 @@
         declaration = make_declaration(self.layout, caller_verifier())
 
         async def declare() -> None:
-            await runtime.operator.bring_about(set_whole(declaration))
+            await runtime.operator.change_until_in_force(replace_declaration(declaration))
             self.kernel.call_soon(self._start_callers)
 
         runtime.spawn(declare)
