--- a/limedyke_lab/simulator/checkers/service.py
+++ b/limedyke_lab/simulator/checkers/service.py
@@ -104,8 +104,8 @@
     sent: dict[tuple[str, int], float] = {}
     lost: set[str] = set()
     violations = []
-    for event in record.history.of("drain-drain_started", "proxy-started", "request", "answer"):
-        if event.kind == "drain-drain_started":
+    for event in record.history.of("drain-asked", "proxy-started", "request", "answer"):
+        if event.kind == "drain-asked":
             drains[event.proxy] = event.time
         elif event.kind == "proxy-started":
             drains.pop(event.proxy, None)
