--- a/limedyke_lab/simulator/command.py
+++ b/limedyke_lab/simulator/command.py
@@ -1,4 +1,4 @@
-"""The command ``limedyke-lab simulate``: runs seeds on all cores and shortens what fails."""
+"""The command ``limedyke-lab simulate``: runs seeds in parallel and minimises failures."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 EXIT_USAGE = 2
 SHOWN_VIOLATIONS = 5
 SHORTENING_RUNS = 24
-"""Most runs spent on leaving faults out of a failing seed."""
+"""Maximum number of runs spent on reducing the faults of a failing seed."""
 SHOWN_LINES = 60
 SHOWN_DIGITS = 16
 
 
 def _one_of_each_rule_first(violations: Iterable[Violation]) -> list[Violation]:
-    """Return the violations so that those shown name every rule that is broken."""
+    """Order violations so that the first ones cover every broken rule."""
     first = {violation.checker: violation for violation in reversed(list(violations))}
     others = [violation for violation in violations if first[violation.checker] is not violation]
     return [*first.values(), *others]
@@ -36,9 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What a worker hands back of a run; the trace only when a rule was broken.
+    """The result that a worker returns for one run.
 
-    :param digest: of the whole trace
+    :param trace: empty unless a rule was broken
+    :param digest: digest of the whole trace
     """
 
     seed: int
@@ -52,10 +53,10 @@
 
 
 def parse_seeds(wanted: object) -> list[int]:
-    """Return the seeds of ``A-B``, ``A`` or a list of both with commas.
+    """Parse seeds given as ``A``, ``A-B`` or a comma-separated list of these.
 
-    :param wanted: the text; a list with commas may have been split already
-    :raises ValueError: when it is none of these
+    :param wanted: the text, or its parts if the command line has already split it at commas
+    :raises ValueError: if a part is not a number or a range
     """
     parts = wanted if isinstance(wanted, (tuple, list)) else str(wanted).split(",")
     seeds: list[int] = []
@@ -66,7 +67,7 @@
 
 
 def format_seeds(seeds: list[int]) -> str:
-    """Return seeds in the form that :func:`parse_seeds` reads."""
+    """Format seeds in the syntax that :func:`parse_seeds` accepts."""
     spans: list[list[int]] = []
     for seed in seeds:
         if spans and seed == spans[-1][-1] + 1:
@@ -77,7 +78,7 @@
 
 
 def run_quietly(options: RunOptions) -> Outcome:
-    """Run a seed in a worker."""
+    """Run a seed in a worker process, without output."""
     result = run_seed(options)
     broken = bool(result.violations)
     return Outcome(
@@ -95,19 +96,19 @@
 
 
 def _start_worker() -> None:
-    """Leave the worker without the interpreter's clean-up, which would end old coroutines."""
+    """Make the worker exit without interpreter clean-up, which would finalise old coroutines."""
     atexit.register(os._exit, 0)
 
 
 def make_pool(workers: int) -> ProcessPoolExecutor:
-    """Return worker processes whose sets and dictionaries are ordered alike in each run."""
+    """Return a pool of worker processes with a fixed hash seed, so that runs are repeatable."""
     os.environ["PYTHONHASHSEED"] = "0"
     context = multiprocessing.get_context("spawn")
     return ProcessPoolExecutor(workers, mp_context=context, initializer=_start_worker)
 
 
 def shorten(pool: ProcessPoolExecutor, outcome: Outcome, seconds: float) -> Outcome:
-    """Leave out faults as long as one of the broken rules stays broken."""
+    """Remove faults for as long as one of the originally broken rules stays broken."""
     best = outcome
     runs = 0
     step = max(1, len(best.faults) // 2)
@@ -134,7 +135,7 @@
 
 
 def write_trace(path: Path, outcome: Outcome, seconds: float) -> None:
-    """Write a trace: one line of JSON that replays it, then its history."""
+    """Write a trace: one line of JSON with the replay options, then violations and history."""
     head = {"seed": outcome.seed, "seconds": seconds, "faults": list(outcome.faults)}
     path.write_text("\n".join([json.dumps(head), *outcome.violations, *outcome.trace]) + "\n")
 
@@ -177,14 +178,14 @@
     seconds: float = DEFAULT_FAULTS_S,
     replay: str = "",
 ) -> int:
-    """Run the product on virtual time under faults, and check what it promises.
-
-    :param seeds: ``A-B``, or several with commas
-    :param workers: processes to run in; 0 for one for each core
-    :param trace: file for the shortened trace of the first seed that breaks a rule
-    :param seconds: virtual time with faults in each run
-    :param replay: a file written by ``--trace``, run again in place of seeds
-    :returns: 0, or 1 when a rule was broken
+    """Run the product on virtual time under faults, and check its guarantees.
+
+    :param seeds: ``A``, ``A-B``, or several of these separated by commas
+    :param workers: number of worker processes; 0 for one per core
+    :param trace: file for the minimised trace of the first seed that breaks a rule
+    :param seconds: length of the fault phase of each run, in virtual seconds
+    :param replay: a file written by ``--trace``, to run again instead of seeds
+    :returns: exit code: 0, 1 if a rule was broken, 2 for invalid arguments
     """
     try:
         if replay:
@@ -204,7 +205,7 @@
 
 
 def _print_summary(outcomes: list[Outcome]) -> None:
-    """Print what was exercised, a digest of all traces, and the sum."""
+    """Print the coverage, a digest of all traces, and the totals."""
     exercised: Counter[str] = Counter()
     traces = hashlib.sha256()
     for outcome in outcomes:
--- a/limedyke_lab/simulator/controllers.py
+++ b/limedyke_lab/simulator/controllers.py
@@ -25,28 +25,28 @@
 from limedyke_lab.simulator.machine.network import Network
 
 POWER_LOSS_SHARE = 0.5
-"""Share of the crashes that also lose what was not synced; the others end the process only."""
+"""Share of crashes that lose unsynced data; the others only kill the process."""
 FOLDER = Path("/simulated/agreement")
 SEGMENT_BYTES = 4_096
-"""Small, so that a short run begins and removes segments of the log."""
+"""Small enough for a short run to create and remove log segments."""
 
 
-class _NotingController(Controller):
-    """A controller that tells when it reads its log anew after a failure of its disk."""
+class _ReportingController(Controller):
+    """A controller that reports each reopening of its log after a storage failure."""
 
-    def __init__(self, note: Callable[[], None], *arguments) -> None:
+    def __init__(self, report_storage_failure: Callable[[], None], *arguments) -> None:
         super().__init__(*arguments)
-        self._note = note
+        self._report_storage_failure = report_storage_failure
 
     async def _reopen_log(self) -> StoredState | None:
-        self._note()
+        self._report_storage_failure()
         return await super()._reopen_log()
 
 
 class SimulatedController:
-    """A controller process with its disk.
+    """A simulated controller process and its disk.
 
-    :param on_exit: called when the process has ended by itself
+    :param on_exit: called when the process has exited on its own
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self.process = process
         self.name = process.name
         self.lost_disk = False
-        self.loses_power = False
+        self.power_loss_pending = False
         self._history = history
         self._settings = settings
         self._secrets = secrets
@@ -75,13 +75,13 @@
 
     @property
     def leads(self) -> bool:
-        """Whether it serves as the leader, by its own observed."""
+        """Whether it considers itself the leader."""
         controller = self._controller
         return self.process.running and controller is not None and controller._leader is not None
 
     @property
     def state(self) -> ControlState | None:
-        """The control state it has applied in this life."""
+        """The control state that the running process has applied; None before it has any."""
         controller = self._controller
         return (
             None
@@ -91,7 +91,7 @@
 
     @property
     def storage_failed(self) -> bool:
-        """Whether it stopped writing after a failure of its disk."""
+        """Whether it stopped writing after a storage failure."""
         controller = self._controller
         replica = None if controller is None else controller._replica
         return replica is not None and bool(replica.storage_failure)
@@ -99,13 +99,13 @@
     async def _program(self) -> None:
         identity = ControllerIdentity(self.name, f"{self._rng.getrandbits(64):016x}")
         log = await self._open_log(identity)
-        self._controller = _NotingController(
-            self._note_storage_failure, self._settings, self._secrets, log
+        self._controller = _ReportingController(
+            self._record_storage_failure, self._settings, self._secrets, log
         )
         await self._controller.run()
 
     async def _open_log(self, identity: ControllerIdentity) -> DurableLog:
-        """Open the log; it is repaired then, so that power may be lost here too."""
+        """Open and repair the log; the repair writes, so a power loss can interrupt it."""
         try:
             opened = open_durable_log(FOLDER, identity, self._disk, segment_bytes=SEGMENT_BYTES)
         except SimulatedPowerLoss:
@@ -116,45 +116,45 @@
         return opened.unwrap()
 
     def _exited(self, error: BaseException | None) -> None:
-        """Start again after an unexpected end, as a service manager would."""
+        """Record the exit and report it, so that the process is restarted."""
         detail = type(error).__name__ if error is not None else "returned"
         self._history.add("controller-exited", controller=self.name, detail=detail)
         if self.storage_failed:
-            self._note_storage_failure()
+            self._record_storage_failure()
         if error is not None and not isinstance(error, SystemExit):
             self._history.add("process-failed", process=self.name, detail=repr(error))
         self._on_exit(self)
 
-    def _note_storage_failure(self) -> None:
+    def _record_storage_failure(self) -> None:
         self._history.add("storage-failed", controller=self.name)
 
     def crashed(self) -> None:
-        """Lose or keep what was not synced."""
+        """Apply a crash to the disk: a power loss drops unsynced data, a kill keeps it."""
         self._controller = None
-        loses_power, self.loses_power = self.loses_power, False
-        if self._rng.random() < POWER_LOSS_SHARE or loses_power:
+        power_loss_pending, self.power_loss_pending = self.power_loss_pending, False
+        if self._rng.random() < POWER_LOSS_SHARE or power_loss_pending:
             self._disk.crash()
         else:
             self._disk.kill_process()
 
     def lose_disk(self) -> None:
-        """Replace the disk by an empty one."""
+        """Replace the disk with an empty one."""
         self._disk = SimulatedDisk(self._rng)
         self.lost_disk = True
         self._history.add("disk-lost", process=self.name)
 
     def fail_next_sync(self) -> None:
-        """Let the next sync fail; what it should have written is lost."""
+        """Make the next sync fail and lose the data it should have written."""
         self._disk.fail_syncs(1)
 
     def fill_disk(self) -> None:
-        """Leave no room on the disk."""
+        """Make the disk full."""
         self._disk.capacity_bytes = 0
 
-    def empty_disk(self) -> None:
-        """Give the disk room again."""
+    def free_disk(self) -> None:
+        """Remove the disk's capacity limit."""
         self._disk.capacity_bytes = None
 
     def lose_power_soon(self, operations: int | None) -> None:
-        """Lose power in the middle of a later disk operation; None takes it back."""
+        """Lose power after this many further disk operations; None cancels it."""
         self._disk.lose_power_after(operations)
--- a/limedyke_lab/simulator/coverage.py
+++ b/limedyke_lab/simulator/coverage.py
@@ -1,4 +1,4 @@
-"""Counts what runs exercised, so that seeds which exercise nothing are seen."""
+"""Counts which faults and code paths a run exercised, to reveal gaps in a set of seeds."""
 
 from __future__ import annotations
 
@@ -44,30 +44,30 @@
     "proxy-drained",
 )
 PATHS = (*dict.fromkeys(_PATH_OF_EVENT.values()), *_PATHS_OF_DETAIL)
-"""Everything that a good set of seeds exercises, beside the kinds of faults."""
+"""Paths that a good set of seeds exercises, in addition to all kinds of faults."""
 
 
 def count(history: History) -> Counter[str]:
     """Return how often a run exercised each kind of fault and each path of the product."""
     counts: Counter[str] = Counter()
-    details = _Details()
+    stateful = _StatefulPaths()
     for event in history.events:
         path = _PATH_OF_EVENT.get(event.kind)
         if path is not None:
             counts[path] += 1
-        counts.update(details.paths(event))
+        counts.update(stateful.paths(event))
     return counts
 
 
-class _Details:
-    """Finds the paths that depend on what happened before in the run."""
+class _StatefulPaths:
+    """Recognises the paths that depend on earlier events of the run."""
 
     def __init__(self) -> None:
         self._primaries: dict[str, tuple[int, str]] = {}
         self._confirms: set[str] = set()
 
     def paths(self, event: HistoryEvent) -> Iterator[str]:
-        """Yield the paths of one event."""
+        """Yield the paths that an event shows."""
         match event.kind:
             case "fault":
                 yield FAULT_PREFIX + event.strike
@@ -109,7 +109,7 @@
 
 
 def report(counts: Counter[str]) -> Iterator[str]:
-    """Yield lines of what was exercised how often, and of what was not at all."""
+    """Yield report lines: the counts of faults and paths, and those never exercised."""
     kinds = [FAULT_PREFIX + kind.name for kind in FAULT_KINDS]
     yield "faults: " + _pairs(counts, kinds, FAULT_PREFIX)
     yield "paths: " + _pairs(counts, PATHS, "")
--- a/limedyke_lab/simulator/faults.py
+++ b/limedyke_lab/simulator/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a run: drawn once from the seed, so that a run can be repeated with some left out."""
+"""The faults of a run, drawn upfront from the seed so that a rerun can omit some of them."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from dataclasses import dataclass
 
 FIRST_AT_S = 8.0
-TWICE_SHARE = 0.4
-"""Share of the faults that strike again at once, on the same or a like process."""
+REPEAT_SHARE = 0.4
+"""Share of faults followed by a second one of the same kind within 1.5 s."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
     """One fault.
 
-    :param number: place in the run's list, used to leave faults out
+    :param number: index in the run's list, by which faults are selected
     :param kind: a name in ``FAULT_KINDS``
-    :param target: name of a process or pair of processes ``a>b``
+    :param target: name of a process, or of a pair of processes as ``a>b``
     :param seconds: how long it lasts
     """
 
@@ -37,13 +37,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Targets:
-    """Names of the processes that faults may strike."""
+    """Names of the processes that faults may affect."""
 
     proxies: tuple[str, ...]
     controllers: tuple[str, ...]
     members: tuple[str, ...]
 
-    def everyone(self) -> tuple[str, ...]:
+    def all_processes(self) -> tuple[str, ...]:
         """Return all of them."""
         return self.proxies + self.controllers + self.members
 
@@ -55,19 +55,19 @@
     return lambda targets, rng: rng.choice(getattr(targets, role))
 
 
-def _anyone(targets: Targets, rng: random.Random) -> str:
+def _any_process(targets: Targets, rng: random.Random) -> str:
     role = rng.choice(("proxies", "controllers", "members"))
     return rng.choice(getattr(targets, role))
 
 
 def _pair(targets: Targets, rng: random.Random) -> str:
-    first, second = rng.sample(targets.everyone(), 2)
+    first, second = rng.sample(targets.all_processes(), 2)
     return f"{first}>{second}"
 
 
 @dataclass(frozen=True, slots=True)
 class FaultKind:
-    """How often a kind of fault is drawn, whom it strikes, and for how long (seconds)."""
+    """A kind of fault: its weight in the draw, how it picks a target, its duration in seconds."""
 
     name: str
     weight: int
@@ -77,21 +77,21 @@
 
 
 FAULT_KINDS = (
-    FaultKind("crash", 10, _anyone, 0.1, 6.0),
-    FaultKind("freeze", 8, _anyone, 0.3, 8.0),
-    FaultKind("isolate", 7, _anyone, 0.5, 8.0),
-    FaultKind("isolate-out", 4, _anyone, 0.5, 8.0),
-    FaultKind("isolate-in", 4, _anyone, 0.5, 8.0),
+    FaultKind("crash", 10, _any_process, 0.1, 6.0),
+    FaultKind("freeze", 8, _any_process, 0.3, 8.0),
+    FaultKind("isolate", 7, _any_process, 0.5, 8.0),
+    FaultKind("isolate-out", 4, _any_process, 0.5, 8.0),
+    FaultKind("isolate-in", 4, _any_process, 0.5, 8.0),
     FaultKind("cut", 6, _pair, 0.5, 8.0),
     FaultKind("cut-one-way", 5, _pair, 0.5, 8.0),
-    FaultKind("break-streams", 6, _anyone, 0.0, 0.0),
-    FaultKind("lose-disk", 3, _anyone, 0.5, 3.0),
+    FaultKind("break-streams", 6, _any_process, 0.0, 0.0),
+    FaultKind("lose-disk", 3, _any_process, 0.5, 3.0),
     FaultKind("power-loss", 4, _pick("controllers"), 0.0, 0.0),
     FaultKind("failed-sync", 2, _pick("controllers"), 0.0, 0.0),
     FaultKind("full-disk", 2, _pick("controllers"), 0.5, 4.0),
     FaultKind("zone-loss", 2, _pick("members"), 0.5, 4.0),
     FaultKind("control-power-loss", 2, _pick("controllers"), 0.1, 1.0),
-    FaultKind("lossy", 4, _anyone, 0.5, 6.0),
+    FaultKind("lossy", 4, _any_process, 0.5, 6.0),
     FaultKind("crash-leader", 4, _pick("controllers"), 0.1, 5.0),
     FaultKind("freeze-leader", 3, _pick("controllers"), 0.5, 6.0),
     FaultKind("isolate-leader", 4, _pick("controllers"), 0.5, 8.0),
@@ -113,7 +113,7 @@
 
 
 def draw_faults(seed: int, targets: Targets, end: float) -> tuple[Fault, ...]:
-    """Return the faults of a run, in the order of their times."""
+    """Return the faults of a run, ordered by time except for repeated ones."""
     rng = random.Random(f"{seed}/faults")
     mean_gap = rng.choice((0.6, 1.2, 2.5))
     faults: list[Fault] = []
@@ -124,14 +124,16 @@
             return tuple(faults)
         kind = rng.choices(FAULT_KINDS, _WEIGHTS)[0]
         target = kind.pick(targets, rng)
-        faults.append(_draw(len(faults), now, kind, target, rng))
-        if rng.random() < TWICE_SHARE:
+        faults.append(_make_fault(len(faults), now, kind, target, rng))
+        if rng.random() < REPEAT_SHARE:
             again = now + rng.uniform(0.05, 1.5)
             same = target if rng.random() < 0.5 else kind.pick(targets, rng)
             if again < end:
-                faults.append(_draw(len(faults), again, kind, same, rng))
+                faults.append(_make_fault(len(faults), again, kind, same, rng))
 
 
-def _draw(number: int, time: float, kind: FaultKind, target: str, rng: random.Random) -> Fault:
+def _make_fault(
+    number: int, time: float, kind: FaultKind, target: str, rng: random.Random
+) -> Fault:
     seconds = kind.shortest + (kind.longest - kind.shortest) * rng.random() ** 2
     return Fault(number, time, kind.name, target, seconds)
--- a/limedyke_lab/simulator/history.py
+++ b/limedyke_lab/simulator/history.py
@@ -1,4 +1,4 @@
-"""The recorded history of a run: what happened, when, and to whom."""
+"""The recorded history of a run."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryEvent:
-    """One event; ``time`` is true time in seconds."""
+    """One event; ``time`` is true time in seconds, ``fields`` are also attributes."""
 
     number: int
     time: float
@@ -38,12 +38,12 @@
         self.events: list[HistoryEvent] = []
 
     def add(self, kind: str, **fields: Any) -> None:
-        """Record an event at the present time."""
+        """Record an event at the current time."""
         events = self.events
         events.append(HistoryEvent(len(events), self._kernel.now, kind, fields))
 
     def of(self, *kinds: str) -> Iterator[HistoryEvent]:
-        """Yield the events of some kinds in their order."""
+        """Yield the events of the given kinds in order."""
         return (event for event in self.events if event.kind in kinds)
 
     def lines(self) -> list[str]:
--- a/limedyke_lab/simulator/instruments.py
+++ b/limedyke_lab/simulator/instruments.py
@@ -1,4 +1,4 @@
-"""Records in the history what the product's own objects decide, without changing it."""
+"""Wrappers that record the product's decisions in the history without changing them."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def instruments(history: History, environment: Environment) -> list[Replacement]:
-    """Return the recording replacements of the product's methods for one run."""
+    """Return the recording wrappers of the product's methods for one run."""
     recorder = Recorder(history, environment)
     return [
         (ControlState, "apply", recorder.wrap_apply(ControlState.apply)),
@@ -59,7 +59,7 @@
 
 
 class Recorder:
-    """Makes the recording forms of methods."""
+    """Builds wrappers that record calls of product methods."""
 
     def __init__(self, history: History, environment: Environment) -> None:
         self._history = history
@@ -88,7 +88,7 @@
         return apply
 
     def wrap_role(self, original: Callable) -> Callable:
-        """Record each controller that becomes the leader of a term."""
+        """Record each controller that becomes leader of a term."""
 
         async def on_role(controller: Controller) -> None:
             agreement = controller._replica.agreement
@@ -101,7 +101,7 @@
         return on_role
 
     def wrap_restore(self, original: Callable) -> Callable:
-        """Record each snapshot of the control state that a controller takes from the leader."""
+        """Record each control state snapshot that a controller installs."""
 
         async def restore(replica: Replica, snapshot: Any) -> None:
             self._history.add(
@@ -137,7 +137,7 @@
         return run_unit
 
     def wrap_view(self, original: Callable) -> Callable:
-        """Record each view that a proxy takes into force."""
+        """Record each control view that a proxy applies."""
 
         async def control_changed(bridge: ControlBridge, view: ControlView) -> None:
             self._history.add(
@@ -191,7 +191,7 @@
         return acknowledges
 
     def wrap_leases(self, original: Callable) -> Callable:
-        """Record what a proxy holds after each change, with its end in true time."""
+        """Record a proxy's leases after each change, with their expiry in true time."""
 
         def changed(held: HeldLeases, *arguments: Any) -> Any:
             result = original(held, *arguments)
--- a/limedyke_lab/simulator/layout.py
+++ b/limedyke_lab/simulator/layout.py
@@ -1,4 +1,4 @@
-"""What a run is made of: places, addresses, settings, secrets and the declaration."""
+"""The layout of a run: zones, addresses, settings, secrets and the declaration."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
 LEASE_MS = 4_000
 BACK_END_USER = "app"
 PASSWORD = "simulated"
-"""Password of callers and back-end logins; nothing outside of a run knows it."""
+"""Password of callers and back-end logins; used only inside a run."""
 VERIFIER_ITERATIONS = 4_096
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a process stands."""
+    """The name, zone and IP address of a process."""
 
     name: str
     zone: str
@@ -73,7 +73,7 @@
 
 
 def make_layout(seed: int) -> Layout:
-    """Return the layout of a seed: odd ones in one geography, even ones in the other."""
+    """Return the layout of a seed; its parity selects the geography."""
     geography = OSTMARK if seed % 2 else COLD_CHAIN
     zones = geography.zones
 
@@ -103,7 +103,7 @@
 
 
 def caller_verifier() -> str:
-    """Return the stored form of the callers' password."""
+    """Return the SCRAM verifier of the callers' password."""
     return make_verifier(PASSWORD, VERIFIER_ITERATIONS)
 
 
@@ -168,7 +168,7 @@
 
 
 def proxy_settings(layout: Layout, place: Place, folder: Path, rng: random.Random) -> ProxySettings:
-    """Return the settings of a proxy; each dials the controllers in another order."""
+    """Return the settings of a proxy, with the controllers in a random order."""
     controllers = [other.address(LINK_PORT) for other in layout.controllers]
     rng.shuffle(controllers)
     return ProxySettings(
--- a/limedyke_lab/simulator/machine/curio_process.py
+++ b/limedyke_lab/simulator/machine/curio_process.py
@@ -1,7 +1,8 @@
-"""A simulated process whose program is the product's own curio code.
+"""A simulated process that runs the product's unmodified curio code.
 
-Each life has a curio kernel of its own, driven one cycle at a time whenever a socket of it
-becomes ready or one of its timers is due by its own clock.
+Each life (the time between a start and the next crash or exit) has its own curio kernel.  The
+kernel is run cycle by cycle when one of its sockets becomes ready or one of its timers is due
+by the clock of the process.
 """
 
 from __future__ import annotations
@@ -23,25 +24,25 @@
 )
 
 MAXIMUM_CYCLES = 20_000
-"""Cycles at one moment after which a process counts as spinning."""
+"""Kernel cycles at one virtual time after which a process counts as spinning."""
 SHORTEST_TIMER_S = 1e-6
 
 Program = Callable[[], Coroutine[Any, Any, Any]]
 
 
 class SpinningError(Exception):
-    """A process runs on and on without waiting."""
+    """A process keeps running without ever waiting."""
 
 
 class CurioProcess:
     """Runs a program on a simulated process.
 
-    :param program: makes the main coroutine of each life
+    :param program: creates the main coroutine of each life
     :param on_exit: called with the exception, or None, when the main coroutine ends
     """
 
-    graveyard: list[curio.Kernel] = []  # noqa: RUF012 - shared on purpose
-    """Kernels of ended lives; their coroutines must not be run on by their finalizers."""
+    ended_kernels: list[curio.Kernel] = []  # noqa: RUF012 - shared on purpose
+    """Kernels of all lives, kept so that no finaliser resumes their coroutines during the run."""
 
     def __init__(
         self,
@@ -56,18 +57,18 @@
         self._environment = environment
         self._program = program
         self._on_exit = on_exit
-        self._wake_pending = False
+        self._run_pending = False
         self._timer_due = float("inf")
         self._signal_handlers: dict[int, Callable] = {}
         self.on_power_loss: Callable[[], None] = lambda: None
         process.start = self._start
 
     @classmethod
-    def bury(cls) -> None:
-        """Let go of the kernels of a finished run."""
-        for kernel in cls.graveyard:
+    def discard_kernels(cls) -> None:
+        """Release the kernels of a finished run without running their shutdown functions."""
+        for kernel in cls.ended_kernels:
             kernel._shutdown_funcs = None
-        cls.graveyard.clear()
+        cls.ended_kernels.clear()
 
     @property
     def name(self) -> str:
@@ -79,19 +80,19 @@
         return self.process.clock()
 
     def wall_clock(self) -> float:
-        """Return the calendar clock of the process, in seconds since the beginning of the run."""
+        """Return the wall clock of the process, in seconds since the start of the run."""
         return self.process.wall_clock()
 
     def make_socket(self) -> VirtualSocket:
-        """Return a new socket of the present life."""
+        """Return a new socket of the current life."""
         return VirtualSocket(self._selector, self.network, self.process)
 
     def make_poll(self) -> VirtualPoll:
-        """Return a new poll object over the sockets of the present life."""
+        """Return a new poll object over the sockets of the current life."""
         return VirtualPoll(self._selector)
 
     def add_signal_handler(self, number: int, handler: Callable) -> None:
-        """Keep what is called at a signal."""
+        """Register a signal handler."""
         self._signal_handlers[number] = handler
 
     def terminate(self) -> None:
@@ -101,7 +102,7 @@
             self.call(handler, signal.SIGTERM, None)
 
     def lose_power(self) -> None:
-        """End the present life in the middle of a disk operation."""
+        """End the current life in the middle of a disk operation."""
         self.process.kernel.call_soon(self._on_power_loss, self.process.life)
 
     def _on_power_loss(self, life: int) -> None:
@@ -111,17 +112,17 @@
     def _start(self) -> None:
         self._signal_handlers: dict[int, Callable] = {}
         life = self.process.life
-        self._wake_pending = False
+        self._run_pending = False
         self._timer_due = float("inf")
-        self._selector = VirtualSelector(self._wake)
+        self._selector = VirtualSelector(self._schedule_run)
         self._kernel = curio.Kernel(selector=self._selector)
-        self.graveyard.append(self._kernel)
+        self.ended_kernels.append(self._kernel)
         self._environment.current = self
         self._kernel.run(self._launch, life)
-        self._bind_queues()
-        self._step()
+        self._bind_kernel_internals()
+        self._run_ready_tasks()
 
-    def _bind_queues(self) -> None:
+    def _bind_kernel_internals(self) -> None:
         runner = self._kernel._runner
         names = runner.__code__.co_freevars
         cells = dict(zip(names, runner.__closure__, strict=True))
@@ -138,50 +139,50 @@
         except curio.CancelledError:
             raise
         except (Exception, SystemExit) as error:
-            self._ended(life, error)
+            self._on_main_ended(life, error)
             return
-        self._ended(life, None)
+        self._on_main_ended(life, None)
 
-    def _ended(self, life: int, error: BaseException | None) -> None:
+    def _on_main_ended(self, life: int, error: BaseException | None) -> None:
         if self.process.life == life:
-            self.process.kernel.call_soon(self._exit, life, error)
+            self.process.kernel.call_soon(self._notify_exit, life, error)
 
-    def _exit(self, life: int, error: BaseException | None) -> None:
+    def _notify_exit(self, life: int, error: BaseException | None) -> None:
         if self.process.life == life:
             self._on_exit(error)
 
     def call(self, function: Callable[..., Any], *arguments: Any) -> Any:
-        """Call a plain function of the program, as a signal handler would be."""
+        """Call a synchronous function in the context of the process, as for a signal handler."""
         self._environment.current = self
         result = function(*arguments)
-        self._wake()
+        self._schedule_run()
         return result
 
     def spawn(self, coroutine_function: Callable, *arguments: Any) -> None:
-        """Start a task in the present life."""
+        """Start a task in the current life."""
 
         async def launch() -> None:
             await curio.spawn(coroutine_function, *arguments, daemon=True)
 
         self._environment.current = self
         self._kernel.run(launch)
-        self._wake()
+        self._schedule_run()
 
-    def _wake(self) -> None:
-        if not self._wake_pending:
-            self._wake_pending = True
-            self.process.kernel.call_soon(self._wake_in_life, self.process.life)
+    def _schedule_run(self) -> None:
+        if not self._run_pending:
+            self._run_pending = True
+            self.process.kernel.call_soon(self._run_if_same_life, self.process.life)
 
-    def _wake_in_life(self, life: int) -> None:
+    def _run_if_same_life(self, life: int) -> None:
         if life == self.process.life:
-            self.process.deliver(self._step)
+            self.process.deliver(self._run_ready_tasks)
 
-    def _step(self) -> None:
-        """Run all tasks that are ready, then wait for the next timer."""
-        self._wake_pending = False
+    def _run_ready_tasks(self) -> None:
+        """Run all ready tasks, then schedule the next timer."""
+        self._run_pending = False
         self._environment.current = self
         runner, ready, selector = self._runner, self._ready, self._selector
-        # As curio.meta.running() does, without its cost.
+        # Inlined curio.meta.running(), which is too slow here.
         meta._locals.running = True
         meta._locals.kernel = self._kernel
         cycles = 0
@@ -194,9 +195,9 @@
                 raise SpinningError(self.name)
         meta._locals.running = False
         meta._locals.kernel = None
-        self._arm_timer()
+        self._schedule_timer()
 
-    def _arm_timer(self) -> None:
+    def _schedule_timer(self) -> None:
         delay = self._timers.next_deadline(self.process.clock())
         if delay is None:
             return
@@ -204,11 +205,11 @@
         due = self.process.kernel.now + delay
         if due < self._timer_due - SHORTEST_TIMER_S:
             self._timer_due = due
-            self.process.kernel.call_later(delay, self._timer, self.process.life, due)
+            self.process.kernel.call_later(delay, self._on_timer, self.process.life, due)
 
-    def _timer(self, life: int, due: float) -> None:
+    def _on_timer(self, life: int, due: float) -> None:
         if life != self.process.life:
             return
         if due == self._timer_due:
             self._timer_due = float("inf")
-        self._wake()
+        self._schedule_run()
--- a/limedyke_lab/simulator/machine/environment.py
+++ b/limedyke_lab/simulator/machine/environment.py
@@ -1,9 +1,9 @@
-"""Puts a simulated process's clock, sockets, randomness and disk in place of the real ones.
+"""Replaces the real clock, sockets, randomness and file syncs by simulated ones.
 
-While a run is installed, the product's curio shells run unchanged in one operating-system
-process: ``time.monotonic`` is the clock of the simulated process that runs just now,
-``curio.socket.socket`` makes simulated sockets, random bytes come from the seed, and syncing
-a file costs virtual time only.
+While an environment is installed, the product's curio code runs unchanged in one
+operating-system process: ``time.monotonic`` is the clock of the current simulated process,
+``curio.socket.socket`` creates simulated sockets, random bytes come from the seed, and syncing
+a file takes virtual time only.
 """
 
 from __future__ import annotations
@@ -32,15 +32,15 @@
 from limedyke_lab.simulator.machine.ordered_set import OrderedSet
 
 UNIX_EPOCH_S = 1_700_000_000.0
-"""Unix time of the beginning of a run."""
+"""Unix time at the start of a run."""
 THREAD_WORK_S = 0.001
-"""Virtual time that work handed to a thread takes, such as a sync."""
+"""Virtual seconds that work in a thread takes, such as a sync."""
 _PBKDF2 = hashlib.pbkdf2_hmac
 _PRODUCT = "limedyke."
 
 
 class RunningProcess(Protocol):
-    """What the environment asks of the simulated process that runs."""
+    """The interface of a simulated process that the environment needs."""
 
     name: str
 
@@ -48,7 +48,7 @@
         """Return its monotonic clock."""
 
     def wall_clock(self) -> float:
-        """Return its calendar clock, in seconds since the beginning of the run."""
+        """Return its wall clock, in seconds since the start of the run."""
 
     def make_socket(self) -> object:
         """Return a new simulated socket."""
@@ -57,16 +57,16 @@
         """Return a poll object over its sockets."""
 
     def add_signal_handler(self, number: int, handler: Callable) -> None:
-        """Keep what is called at a signal."""
+        """Register a signal handler."""
 
     def lose_power(self) -> None:
-        """End the life of the process at once."""
+        """Stop the process at once, as a power loss does."""
 
 
 class Environment:
     """State of the replaced functions in one run.
 
-    :ivar current: the simulated process that runs just now
+    :ivar current: the simulated process that is running
     """
 
     def __init__(self, seed: int) -> None:
@@ -76,27 +76,27 @@
         self._salted_passwords: dict[tuple, bytes] = {}
 
     def monotonic(self) -> float:
-        """Stand for ``time.monotonic``."""
+        """Replace ``time.monotonic``."""
         return self.current.clock() if self.current is not None else 0.0
 
     def unix_time(self) -> float:
-        """Stand for ``time.time``."""
+        """Replace ``time.time``."""
         return UNIX_EPOCH_S + (self.current.wall_clock() if self.current is not None else 0.0)
 
     def random_bytes(self, count: int) -> bytes:
-        """Stand for ``os.urandom``."""
+        """Replace ``os.urandom``."""
         return self._rng.randbytes(count)
 
     def handle_signal(self, number: int, handler: Callable) -> None:
-        """Stand for ``signal.signal``."""
+        """Replace ``signal.signal``."""
         self.current.add_signal_handler(number, handler)
 
     def make_socket(self, *arguments: Any, **options: Any) -> curio.io.Socket:
-        """Stand for ``curio.socket.socket``."""
+        """Replace ``curio.socket.socket``."""
         return curio.io.Socket(self.current.make_socket())
 
     async def run_in_thread(self, function: Callable, *arguments: Any, **options: Any) -> Any:
-        """Stand for ``curio.run_in_thread``."""
+        """Replace ``curio.run_in_thread``."""
         await curio.sleep(THREAD_WORK_S)
         try:
             return function(*arguments)
@@ -107,14 +107,14 @@
     def salted_password(
         self, name: str, password: bytes, salt: bytes, iterations: int, length: int | None = None
     ) -> bytes:
-        """Stand for ``hashlib.pbkdf2_hmac``, with its results kept: logins are many."""
+        """Replace ``hashlib.pbkdf2_hmac`` and cache its results, since a run has many logins."""
         key = (name, bytes(password), bytes(salt), iterations, length)
         if key not in self._salted_passwords:
             self._salted_passwords[key] = _PBKDF2(*key)
         return self._salted_passwords[key]
 
     def boot_time(self, clock: int) -> float:
-        """Stand for ``time.clock_gettime``."""
+        """Replace ``time.clock_gettime``."""
         return self.monotonic()
 
     @contextlib.contextmanager
@@ -122,7 +122,7 @@
         """Replace the real functions for the duration of a run."""
         with contextlib.ExitStack() as stack:
             stack.enter_context(_logged_to("curio.kernel", _CrashHandler(self)))
-            # A process that was stopped finds its timeouts overrun; that is no news.
+            # A process that was frozen misses its timeouts; curio's warnings about it are noise.
             stack.enter_context(_logged_to("curio.time", logging.NullHandler()))
             for target, name, value in self._replacements():
                 original = getattr(target, name, None)
@@ -138,13 +138,13 @@
         rng = self._rng
 
         class SeededRandom(random.Random):
-            """``random.Random`` whose unseeded form takes its seed from the run."""
+            """``random.Random`` that takes its seed from the run when none is given."""
 
             def __init__(self, seed: Any = None) -> None:
                 super().__init__(rng.getrandbits(64) if seed is None else seed)
 
         def nothing(descriptor: int) -> None:
-            """Stand for a sync."""
+            """Replace a sync."""
 
         return [
             (time, "monotonic", self.monotonic),
@@ -168,7 +168,7 @@
 
 
 def _modules_with_ordered_sets() -> list[object]:
-    """Return the modules in which ``set`` shall keep the order of insertion during a run."""
+    """Return the modules in which ``set`` must keep insertion order during a run."""
     product = [module for name, module in sys.modules.items() if name.startswith(_PRODUCT)]
     return [curio.sched, curio.sync, curio.task, *product]
 
@@ -186,7 +186,7 @@
 
 @contextlib.contextmanager
 def _logged_to(name: str, handler: logging.Handler) -> Iterator[None]:
-    """Give the messages of a logger to a handler only."""
+    """Send the messages of a logger to one handler only."""
     logger = logging.getLogger(name)
     logger.addHandler(handler)
     propagate, logger.propagate = logger.propagate, False
@@ -198,7 +198,7 @@
 
 
 class _LoopbackEnd:
-    """An end of the socket pair by which threads would wake a kernel."""
+    """One end of the socket pair by which threads would wake a curio kernel."""
 
     def setblocking(self, flag: bool) -> None:
         """Nothing to do."""
@@ -216,7 +216,7 @@
 
 
 class _NoLoopback:
-    """Stands for the ``socket`` module in curio's kernel."""
+    """Replaces the ``socket`` module in curio's kernel."""
 
     SHUT_RDWR = socket.SHUT_RDWR
 
@@ -227,14 +227,14 @@
 
 
 class _CrashHandler(logging.Handler):
-    """Keeps the errors of tasks that ended by an unexpected exception."""
+    """Collects the errors of tasks that ended with an unexpected exception."""
 
     def __init__(self, environment: Environment) -> None:
         super().__init__(logging.ERROR)
         self._environment = environment
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep the process and the traceback."""
+        """Store the process name and the traceback."""
         current = self._environment.current
         text = self.format(record)
         self._environment.crashes.append((current.name if current else "", text))
--- a/limedyke_lab/simulator/machine/kernel.py
+++ b/limedyke_lab/simulator/machine/kernel.py
@@ -1,7 +1,7 @@
 """Virtual time, one event queue, and tasks of simulated processes.
 
-All times are in seconds of true (virtual) time unless a name says local.  Nothing here
-reads a real clock; the same seed gives the same order of events.
+All times are in seconds of true (virtual) time unless a name says local, which means by the
+drifting clock of a process.  Nothing reads a real clock; the same seed gives the same events.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Future:
-    """A value that comes later; awaiting it suspends the task until then."""
+    """A value that is set later; awaiting it suspends the task until then."""
 
     __slots__ = ("_callbacks", "done", "error", "value")
 
@@ -30,21 +30,21 @@
         self._callbacks: list[Callable[[], None]] = []
 
     def set(self, value: Any = None) -> None:
-        """Give the value; later calls change nothing."""
+        """Set the value; later calls have no effect."""
         if not self.done:
             self.done = True
             self.value = value
             self._wake()
 
     def fail(self, error: Exception) -> None:
-        """Raise ``error`` in whoever waits; later calls change nothing."""
+        """Raise ``error`` in the waiting tasks; later calls have no effect."""
         if not self.done:
             self.done = True
             self.error = error
             self._wake()
 
     def when_done(self, callback: Callable[[], None]) -> None:
-        """Call ``callback`` once the value is there."""
+        """Call ``callback`` once the future is done."""
         if self.done:
             callback()
         else:
@@ -78,7 +78,7 @@
         self._ready: deque[tuple[Callable[..., None], tuple]] = deque()
 
     def call_soon(self, callback: Callable[..., None], *arguments: Any) -> None:
-        """Run a callback at the present time, after what is already due."""
+        """Run a callback at the current time, after those already queued."""
         self._ready.append((callback, arguments))
 
     def call_later(self, delay: float, callback: Callable[..., None], *arguments: Any) -> None:
@@ -106,7 +106,7 @@
 
 @dataclass(eq=False, slots=True)
 class Task:
-    """A running coroutine of one life of a process."""
+    """A coroutine that runs in one life of a process."""
 
     process: Process
     life: int
@@ -115,7 +115,7 @@
     ended: Future = field(default_factory=Future)
 
     def step(self) -> None:
-        """Run until the next wait, unless the process died; a stopped process runs it later."""
+        """Run until the next wait; deferred while the process is frozen, dropped after a crash."""
         process = self.process
         if process.life != self.life:
             return
@@ -135,11 +135,12 @@
 
 
 class Process:
-    """A simulated process: a clock of its own, tasks, and lives between crashes.
+    """A simulated process with its own clock and tasks, which can crash and start again.
 
-    :param zone: decides its network delays
-    :ivar keepalive_s: time after which it finds out that a peer died silently; None for never
+    :param zone: determines its network delays
     :param clock_rate: local seconds per true second
+    :ivar life: changes at each start and crash; callbacks of an earlier life are dropped
+    :ivar keepalive_s: seconds until it detects that a peer died silently; None for never
     """
 
     def __init__(
@@ -164,7 +165,7 @@
         return self._clock_offset + self.kernel.now * self.clock_rate
 
     def wall_clock(self) -> float:
-        """Return the calendar clock, in seconds since the beginning of the run; it drifts too."""
+        """Return the wall clock, in seconds since the start of the run; it drifts too."""
         return self.kernel.now * self.clock_rate
 
     def true_time(self, local: float) -> float:
@@ -172,7 +173,7 @@
         return (local - self._clock_offset) / self.clock_rate
 
     def boot(self) -> None:
-        """Start a new life."""
+        """Start the process unless it is running."""
         if self.running:
             return
         self.life += 1
@@ -181,7 +182,7 @@
         self.start()
 
     def crash(self) -> None:
-        """End this life at once: tasks, timers and undelivered messages are gone."""
+        """Stop the process at once and drop its tasks, timers and undelivered messages."""
         if not self.running:
             return
         self.running = False
@@ -193,16 +194,16 @@
             callback()
 
     def when_crashed(self, callback: Callable[[], None]) -> None:
-        """Call ``callback`` when this life ends."""
+        """Call ``callback`` at the next crash."""
         self._on_crash.append(callback)
 
     def freeze(self) -> None:
-        """Stop running; what happens meanwhile waits."""
+        """Freeze the process; events are queued until it resumes."""
         if self.running:
             self.frozen = True
 
     def thaw(self) -> None:
-        """Go on, with all observed_members as they were."""
+        """Resume the process and run the queued events."""
         if not self.frozen:
             return
         self.frozen = False
@@ -219,11 +220,11 @@
         callback(*arguments)
 
     def deliver(self, callback: Callable[..., None], *arguments: Any) -> None:
-        """Run a callback in this life, now or when the process goes on."""
+        """Run a callback in this life, now or when the frozen process resumes."""
         self._run_in_life(self.life, callback, arguments)
 
     def after(self, local_seconds: float, callback: Callable[..., None], *arguments: Any) -> None:
-        """Run a callback after a time by this process's clock, if it still lives."""
+        """Run a callback after a time by this process's clock, unless it crashes before."""
         delay = local_seconds / self.clock_rate
         self.kernel.call_later(delay, self._run_in_life, self.life, callback, arguments)
 
@@ -240,9 +241,9 @@
         return future
 
     async def wait(self, future: Future, local_seconds: float) -> Any:
-        """Await a future of the caller's own for at most a time by this process's clock.
+        """Await a future for at most a time by this process's clock.
 
-        :raises Timeout: when the time is over first; the future then counts as failed
+        :raises Timeout: if the time runs out first; the future is then marked as failed
         """
         either = Future()
         future.when_done(either.set)
@@ -257,7 +258,7 @@
 
 
 class Queue:
-    """An unbounded queue between tasks; closing it fails whoever waits."""
+    """An unbounded queue between tasks; closing it fails the waiting tasks."""
 
     __slots__ = ("_getters", "_items", "closed")
 
@@ -276,7 +277,7 @@
         self._items.append(item)
 
     def take_all(self) -> list:
-        """Take all items out."""
+        """Remove and return all items."""
         items = list(self._items)
         self._items.clear()
         return items
@@ -293,7 +294,7 @@
         return future
 
     def end(self, error: Exception) -> None:
-        """Fail the waits to come once the items are taken."""
+        """Close the queue: once it is empty, ``get`` fails with ``error``."""
         self.closed = error
         while self._getters:
             self._getters.popleft().fail(error)
--- a/limedyke_lab/simulator/machine/network.py
+++ b/limedyke_lab/simulator/machine/network.py
@@ -1,9 +1,9 @@
-"""The simulated network: delays of a geography, cuts one way or both, and broken streams.
+"""The simulated network: delays by geography, one-way or two-way cuts, and broken streams.
 
-Streams are ordered and reliable until they break, as TCP is; different streams overtake
-each other.  While a direction is cut, what is sent waits; after the cut it arrives late or
-the stream turns out broken.  On a lossy network a part is sent again, and late.  Datagrams are
-lost during a cut and on a lossy network.
+Streams are ordered and reliable until they break, as with TCP; there is no order between
+streams.  Data sent in a direction that is cut arrives late, after the cut, or the stream
+breaks.  On a lossy network some stream data is retransmitted and arrives late.  Datagrams are
+lost during a cut and may be lost on a lossy network.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from limedyke_lab.simulator.machine.kernel import Future, Kernel, Process, Queue
 
 JITTER = 0.5
-"""Largest share of the delay that is added to it at random."""
+"""Largest random addition to a delay, as a share of it."""
 LOCAL_DELAY_S = 0.0002
-"""One-way delay within a zone, and the least anywhere."""
+"""One-way delay within a zone, and the minimum for all zones."""
 RETRANSMISSION_S = 0.2
-"""Time after the end of a cut until what waited is sent again."""
+"""Seconds after the end of a cut until the delayed data is sent again."""
 BREAK_AFTER_CUT = 0.5
-"""Share of the streams used during a cut that are found broken after it."""
+"""Probability that a message sent during a cut breaks its stream after the cut."""
 LOSS_SHARE = 0.2
-"""Share of the messages of a process on a lossy network that have to be sent again."""
+"""Share of the messages lost while one of the two processes has a lossy network."""
 KILLED_SILENTLY = 0.3
-"""Share of the streams of a crashed process whose peer learns nothing until it sends."""
+"""Share of a crashed process's streams whose peer notices only by sending or keepalive."""
 
 Address = tuple[str, int]
 Accept = Callable[["Endpoint"], None]
@@ -36,7 +36,7 @@
 class StreamClosed(Exception):  # noqa: N818 - a state of a stream, as in the product's links
     """The peer closed the stream, or it broke.
 
-    :param by_peer: the peer's process closed it on purpose
+    :param by_peer: whether the peer closed it on purpose
     """
 
     def __init__(self, by_peer: bool) -> None:
@@ -45,19 +45,19 @@
 
 
 class Sink(Protocol):
-    """Takes what arrives at one end of a stream."""
+    """Receives the data that arrives at one end of a stream."""
 
     def put(self, item: Any) -> None:
         """Take a message."""
 
     def end(self, error: Exception) -> None:
-        """Learn that nothing more will come, and why."""
+        """Handle the end of the stream."""
 
 
 class Endpoint:
     """One end of a stream.
 
-    :ivar address: the ``(ip, port)`` that was dialled
+    :ivar address: the ``(ip, port)`` that the connection was opened to
     """
 
     __slots__ = (
@@ -84,12 +84,12 @@
         self._last_due = 0.0
 
     def send(self, message: Any) -> None:
-        """Send a message; nothing happens on a closed stream."""
+        """Send a message; no effect on a closed stream."""
         if not self.closed and not self.finished:
             self.network.transmit(self, message)
 
     def finish(self) -> None:
-        """Send no more; the peer reads what was sent before, and may go on sending."""
+        """Close the sending direction; the peer still gets earlier data and may keep sending."""
         if not self.closed and not self.finished:
             self.finished = True
             self.network.transmit(self, StreamClosed(by_peer=True))
@@ -99,14 +99,14 @@
         return self.inbox.get()
 
     def close(self) -> None:
-        """Close on purpose; the peer reads what was sent before."""
+        """Close on purpose; the peer still receives data sent before."""
         if not self.closed:
             self.finish()
             self.closed = True
             self.inbox.end(StreamClosed(by_peer=False))
 
     def arrive(self, message: Any) -> None:
-        """Take a message from the network."""
+        """Handle a message from the network."""
         if self.closed:
             return
         if isinstance(message, StreamClosed):
@@ -115,8 +115,8 @@
         else:
             self.inbox.put(message)
 
-    def hand_over(self, sink: Sink) -> None:
-        """Let another sink take what arrives, and what has arrived already."""
+    def set_sink(self, sink: Sink) -> None:
+        """Pass all queued and future messages to another sink."""
         earlier = self.inbox
         self.inbox = sink
         if isinstance(earlier, Queue):
@@ -126,7 +126,7 @@
                 sink.end(earlier.closed)
 
     def next_due(self, due: float) -> float:
-        """Keep the order of the messages towards this end."""
+        """Return the arrival time of a message, no earlier than that of the one before."""
         self._last_due = max(self._last_due + 1e-9, due)
         return self._last_due
 
@@ -148,14 +148,14 @@
         self._datagram_due: dict[tuple[str, str], float] = {}
 
     def attach(self, process: Process, ip: str = "") -> None:
-        """Make a process known, under its address."""
+        """Register a process under its IP address."""
         self._processes[process.name] = process
         self._endpoints[process.name] = []
         if ip:
             self._process_by_ip[ip] = process
 
     def listen(self, process: Process, address: Address, accept: Accept) -> None:
-        """Call ``accept`` with each stream opened towards an address, in this life.
+        """Call ``accept`` with each stream opened to an address, until the process stops.
 
         :raises OSError: when the address is taken
         """
@@ -165,7 +165,7 @@
         self._listeners[address] = (process, process.life, accept)
 
     def stop_listening(self, address: Address) -> None:
-        """Refuse streams towards an address from now on."""
+        """Stop accepting streams to an address."""
         self._listeners.pop(address, None)
 
     def cut(self, source: str, destination: str, seconds: float) -> None:
@@ -179,7 +179,7 @@
         return self._cut_until.get((source, destination), 0.0) > self.kernel.now
 
     def lose(self, process: str, seconds: float) -> None:
-        """Lose some of what a process sends and receives for a time."""
+        """Make the network of a process lossy, in both directions, for a time."""
         until = self.kernel.now + seconds
         self._lossy_until[process] = max(until, self._lossy_until.get(process, 0.0))
 
@@ -218,7 +218,7 @@
             destination.deliver(deliver, *arguments)
 
     def connect(self, source: Process, address: Address) -> Future:
-        """Open a stream; the future gives the near endpoint or fails with StreamClosed."""
+        """Open a stream; the future yields the local endpoint or fails with StreamClosed."""
         opened = Future()
         destination = self._process_by_ip.get(address[0])
         if destination is None:
@@ -270,7 +270,7 @@
         known.append(endpoint)
 
     def transmit(self, source: Endpoint, message: Any) -> None:
-        """Send over a stream, later if the direction is cut."""
+        """Send over a stream; a cut or a loss delays the message."""
         target = source.peer
         pair = (source.process.name, target.process.name)
         cut_left = self._cut_until.get(pair, 0.0) - self.kernel.now
@@ -297,19 +297,19 @@
         process.deliver(target.arrive, message)
 
     def _reset(self, endpoint: Endpoint) -> None:
-        """Let an end learn that its peer no longer exists."""
+        """Report to an endpoint that its stream broke."""
         if endpoint.closed or endpoint.process.life != endpoint.life:
             return
         endpoint.process.deliver(endpoint.arrive, StreamClosed(by_peer=False))
 
     def break_stream(self, endpoint: Endpoint) -> None:
-        """Break a stream: both ends learn of it, what is under way may be lost."""
+        """Break a stream: both ends are notified, and data in flight may be lost."""
         peer = endpoint.peer
         self._reset(endpoint)
         self._reset(peer)
 
     def process_crashed(self, process: Process) -> None:
-        """End the streams of a process that crashed; some peers learn it only when they send."""
+        """Close the streams of a crashed process; some peers notice only when they send."""
         endpoints, self._endpoints[process.name] = self._endpoints[process.name], []
         for endpoint in endpoints:
             if endpoint.closed:
--- a/limedyke_lab/simulator/machine/ordered_set.py
+++ b/limedyke_lab/simulator/machine/ordered_set.py
@@ -1,7 +1,7 @@
-"""A set that keeps the order of insertion, so that what iterates over it repeats itself.
+"""A set that keeps insertion order, so that iteration over it is repeatable.
 
-Python's own sets order objects by their address and strings by a hash that differs between
-processes; a run that has to give the same trace each time can use neither.
+Python's built-in sets order objects by their address and strings by a hash that differs
+between processes; both would make the traces of equal runs differ.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 
 
 def _in_order(items: Iterable) -> Iterable:
-    """Return items in an order that repeats itself: a built-in set's are sorted by their text."""
+    """Return items in a repeatable order: those of a built-in set are sorted by their repr."""
     return sorted(items, key=repr) if isinstance(items, (set, frozenset)) else items
 
 
 class OrderedSet(MutableSet):
-    """A set that iterates in the order in which its items were added.
+    """A set that iterates in insertion order.
 
-    :param items: what it holds at first
+    :param items: the initial items
     """
 
     __slots__ = ("_items",)
@@ -38,17 +38,17 @@
         return f"OrderedSet({list(self._items)})"
 
     def add(self, item: object) -> None:
-        """Add an item; one that is there keeps its place."""
+        """Add an item; an existing one keeps its position."""
         self._items[item] = None
 
     def discard(self, item: object) -> None:
-        """Take an item out if it is there."""
+        """Remove an item if present."""
         self._items.pop(item, None)
 
     def pop(self) -> object:
-        """Take the oldest item out.
+        """Remove and return the oldest item.
 
-        :raises KeyError: when there is none
+        :raises KeyError: if the set is empty
         """
         if not self._items:
             raise KeyError("empty set")
@@ -57,7 +57,7 @@
         return oldest
 
     def update(self, *others: Iterable) -> None:
-        """Add all items of others."""
+        """Add all items of the other iterables."""
         for other in others:
             self._items.update(dict.fromkeys(_in_order(other)))
 
@@ -72,36 +72,36 @@
         return OrderedSet(other).union(self)
 
     def difference_update(self, *others: Iterable) -> None:
-        """Take all items of others out."""
+        """Remove all items of the other iterables."""
         for other in others:
             for item in list(other):
                 self.discard(item)
 
     def union(self, *others: Iterable) -> OrderedSet:
-        """Return the items of this set and of others."""
+        """Return the union with the other iterables."""
         result = OrderedSet(self)
         result.update(*others)
         return result
 
     def difference(self, *others: Iterable) -> OrderedSet:
-        """Return the items of this set that are in no other."""
+        """Return the items of this set that are in none of the others."""
         result = OrderedSet(self)
         result.difference_update(*others)
         return result
 
     def intersection(self, other: Iterable) -> OrderedSet:
-        """Return the items that both hold."""
+        """Return the items in both this set and the other."""
         wanted = frozenset(other)
         return OrderedSet(item for item in self if item in wanted)
 
     def issubset(self, other: Iterable) -> bool:
-        """Tell whether another holds all items of this set."""
+        """Tell whether the other contains all items of this set."""
         return frozenset(self) <= frozenset(other)
 
     def issuperset(self, other: Iterable) -> bool:
-        """Tell whether this set holds all items of another."""
+        """Tell whether this set contains all items of the other."""
         return all(item in self for item in other)
 
     def copy(self) -> OrderedSet:
-        """Return a set of the same items."""
+        """Return a shallow copy."""
         return OrderedSet(self)
--- a/limedyke_lab/simulator/machine/virtual_socket.py
+++ b/limedyke_lab/simulator/machine/virtual_socket.py
@@ -1,4 +1,4 @@
-"""Sockets on the simulated network, with the calls that curio makes on a real one."""
+"""Sockets on the simulated network, with the interface that curio uses."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 class VirtualSelector:
-    """The selector of one simulated process, as curio's kernel uses it.
+    """The selector of one simulated process, with the interface that curio's kernel uses.
 
-    :param wake: called when a socket that is waited for became ready
+    :param wake: called when a registered socket may have become ready
     """
 
     def __init__(self, wake: Callable[[], None]) -> None:
@@ -37,17 +37,17 @@
         return self._next_descriptor
 
     def remove_socket(self, descriptor: int) -> None:
-        """Forget a closed socket."""
+        """Remove a closed socket."""
         self._sockets.pop(descriptor, None)
 
-    def changed(self, descriptor: int) -> None:
+    def mark_changed(self, descriptor: int) -> None:
         """Note that a socket may have become ready."""
         self._changed[descriptor] = None
         if descriptor in self._keys:
             self._wake()
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> SelectorKey:
-        """Wait for events of a file object."""
+        """Register a file object for events."""
         descriptor = fileobj if isinstance(fileobj, int) else fileobj.fileno()
         key = SelectorKey(fileobj, descriptor, events, data)
         self._keys[descriptor] = key
@@ -55,27 +55,27 @@
         return key
 
     def unregister(self, fileobj: Any) -> SelectorKey:
-        """Wait no more."""
+        """Remove the registration of a file object."""
         descriptor = fileobj if isinstance(fileobj, int) else fileobj.fileno()
         return self._keys.pop(descriptor)
 
     def modify(self, fileobj: Any, events: int, data: Any = None) -> SelectorKey:
-        """Change what is waited for."""
+        """Change the events of a registered file object."""
         return self.register(fileobj, events, data)
 
     def get_key(self, fileobj: Any) -> SelectorKey:
         """Return the registration of a file object.
 
-        :raises KeyError: when there is none
+        :raises KeyError: if it is not registered
         """
         descriptor = fileobj if isinstance(fileobj, int) else fileobj.fileno()
         return self._keys[descriptor]
 
     def select(self, timeout: float | None = None) -> list[tuple[SelectorKey, int]]:
-        """Return what is ready now; never waits."""
-        changed, self._changed = self._changed, {}
+        """Return the sockets that are ready now; never blocks."""
+        mark_changed, self._changed = self._changed, {}
         ready = []
-        for descriptor in changed:
+        for descriptor in mark_changed:
             key = self._keys.get(descriptor)
             sock = self._sockets.get(descriptor)
             if key is None or sock is None:
@@ -91,42 +91,42 @@
 
     @property
     def has_changes(self) -> bool:
-        """Whether a socket that is waited for may be ready."""
+        """Whether a registered socket may have become ready."""
         return any(descriptor in self._keys for descriptor in self._changed)
 
-    def hung_up(self, descriptor: int) -> bool:
-        """Tell whether the peer of a socket sends no more."""
+    def peer_closed(self, descriptor: int) -> bool:
+        """Tell whether the peer of a socket has closed its sending direction."""
         sock = self._sockets.get(descriptor)
-        return sock is None or sock.hung_up
+        return sock is None or sock.peer_closed
 
     def close(self) -> None:
         """Nothing to release."""
 
 
 class VirtualPoll:
-    """Stands for ``select.poll``; knows hang-ups only."""
+    """Replaces ``select.poll``; detects hang-ups only."""
 
     def __init__(self, selector: VirtualSelector) -> None:
         self._selector = selector
         self._descriptors: dict[int, int] = {}
 
     def register(self, descriptor: int, mask: int) -> None:
-        """Ask about a socket."""
+        """Register a socket."""
         self._descriptors[descriptor] = mask
 
     def poll(self, timeout: float | None = None) -> list[tuple[int, int]]:
-        """Return the sockets whose peer hung up; never waits."""
+        """Return the sockets whose peer hung up; never blocks."""
         return [
             (descriptor, mask)
             for descriptor, mask in self._descriptors.items()
-            if self._selector.hung_up(descriptor)
+            if self._selector.peer_closed(descriptor)
         ]
 
 
 class VirtualSocket:
     """A non-blocking TCP socket of a simulated process.
 
-    :param selector: learns whenever reading or writing may have become possible
+    :param selector: notified when reading or writing may have become possible
     :param endpoint: the stream of an accepted socket
     """
 
@@ -149,12 +149,12 @@
         self._listening = False
         self._connecting: Future | None = None
         self._error = 0
-        self._shut = False
-        self._sending_ended = False
+        self._closed = False
+        self._send_closed = False
         if endpoint is not None:
-            endpoint.hand_over(self)
+            endpoint.set_sink(self)
 
-    # ----- what curio's selector asks -----
+    # ----- readiness, used by the selector -----
 
     def fileno(self) -> int:
         """Return the descriptor."""
@@ -163,40 +163,40 @@
     @property
     def readable(self) -> bool:
         """Whether ``recv`` or ``accept`` would not block."""
-        return bool(self._buffer or self._pending) or self._end is not None or self._shut
+        return bool(self._buffer or self._pending) or self._end is not None or self._closed
 
     @property
     def writable(self) -> bool:
-        """Whether ``send`` would not block, and a connection attempt has ended."""
+        """Whether ``send`` would not block: no connection attempt is in progress."""
         return self._connecting is None or self._connecting.done
 
     @property
-    def hung_up(self) -> bool:
-        """Whether the peer sends no more."""
+    def peer_closed(self) -> bool:
+        """Whether the peer has closed its sending direction or the stream broke."""
         return self._end is not None
 
-    # ----- what arrives -----
+    # ----- the sink of the stream -----
 
     def put(self, data: bytes) -> None:
-        """Take bytes from the network."""
+        """Buffer bytes from the network."""
         self._buffer.append(data)
-        self._selector.changed(self._descriptor)
+        self._selector.mark_changed(self._descriptor)
 
     def end(self, error: StreamClosed) -> None:
-        """Take the end of the stream."""
+        """Record the end of the stream."""
         self._end = self._end or error
-        self._selector.changed(self._descriptor)
+        self._selector.mark_changed(self._descriptor)
 
     # ----- the socket interface -----
 
     def setblocking(self, flag: bool) -> None:
-        """Only non-blocking use is possible."""
+        """No effect; the socket is always non-blocking."""
 
     def setsockopt(self, *arguments: Any) -> None:
-        """Options have no effect."""
+        """No effect; options are ignored."""
 
     def getsockopt(self, level: int, option: int, size: int = 0) -> int | bytes:
-        """Return the pending error; nothing is known of what is asked for as bytes."""
+        """Return the pending error for ``SO_ERROR``, else zero or no bytes."""
         if size:
             return b""
         error, self._error = self._error, 0
@@ -209,7 +209,7 @@
         return self._local
 
     def getpeername(self) -> Address:
-        """Return the peer's address; the port says nothing."""
+        """Return the peer's process name and a placeholder port."""
         if self._endpoint is None:
             raise OSError(errno.ENOTCONN, os.strerror(errno.ENOTCONN))
         return (self._endpoint.peer.process.name, EPHEMERAL_PORT)
@@ -219,17 +219,17 @@
         self._local = address
 
     def listen(self, backlog: int = 0) -> None:
-        """Accept streams towards the local address."""
-        self._network.listen(self._process, self._local, self._incoming)
+        """Accept streams to the local address."""
+        self._network.listen(self._process, self._local, self._on_incoming_stream)
         self._listening = True
 
-    def _incoming(self, endpoint: Endpoint) -> None:
+    def _on_incoming_stream(self, endpoint: Endpoint) -> None:
         self._pending.append(endpoint)
-        self._selector.changed(self._descriptor)
+        self._selector.mark_changed(self._descriptor)
 
     def accept(self) -> tuple[VirtualSocket, Address]:
-        """Return the next stream."""
-        if self._shut:
+        """Return a socket for the next incoming stream."""
+        if self._closed:
             raise OSError(errno.EBADF, os.strerror(errno.EBADF))
         if not self._pending:
             raise BlockingIOError
@@ -238,26 +238,26 @@
         return accepted, (endpoint.peer.process.name, EPHEMERAL_PORT)
 
     def connect(self, address: Address) -> None:
-        """Start to connect."""
+        """Start to connect; always raises BlockingIOError."""
         self._connecting = self._network.connect(self._process, address)
-        self._connecting.when_done(self._connected)
+        self._connecting.when_done(self._on_connect_done)
         raise BlockingIOError
 
-    def _connected(self) -> None:
+    def _on_connect_done(self) -> None:
         if self._connecting.error is not None:
             self._error = errno.ECONNREFUSED
-        elif self._shut:
+        elif self._closed:
             self._connecting.value.close()
         else:
             self._endpoint = self._connecting.value
-            self._endpoint.hand_over(self)
-        self._selector.changed(self._descriptor)
+            self._endpoint.set_sink(self)
+        self._selector.mark_changed(self._descriptor)
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        """Return bytes that have arrived; none at the end of the stream."""
+        """Return received bytes; empty at the end of the stream."""
         if self._buffer:
-            return self._take(size)
-        if self._shut:
+            return self._read_buffer(size)
+        if self._closed:
             return b""
         if self._end is None:
             raise BlockingIOError
@@ -265,7 +265,7 @@
             return b""
         raise ConnectionResetError(errno.ECONNRESET, os.strerror(errno.ECONNRESET))
 
-    def _take(self, size: int) -> bytes:
+    def _read_buffer(self, size: int) -> bytes:
         data = self._buffer.popleft()
         if len(data) > size:
             self._buffer.appendleft(data[size:])
@@ -278,38 +278,38 @@
         """Send all bytes."""
         endpoint = self._endpoint
         broken = self._end is not None and not self._end.by_peer
-        if endpoint is None or self._shut or self._sending_ended or broken:
+        if endpoint is None or self._closed or self._send_closed or broken:
             raise BrokenPipeError(errno.EPIPE, os.strerror(errno.EPIPE))
         endpoint.send(bytes(data))
         return len(data)
 
     def shutdown(self, how: int) -> None:
-        """End the stream, in the sending direction or in both."""
+        """Close the stream in the sending direction, or in both."""
         if self._endpoint is None:
             raise OSError(errno.ENOTCONN, os.strerror(errno.ENOTCONN))
-        self._sending_ended = True
+        self._send_closed = True
         if how == socket.SHUT_WR:
             self._endpoint.finish()
         else:
-            self._finish()
-        self._selector.changed(self._descriptor)
+            self._close_stream()
+        self._selector.mark_changed(self._descriptor)
 
     def close(self) -> None:
-        """Close the socket; safe to call twice."""
-        self._finish()
+        """Close the socket; has no effect the second time."""
+        self._close_stream()
         self._selector.remove_socket(self._descriptor)
         if self._listening:
             self._listening = False
             self._network.stop_listening(self._local)
 
-    def _finish(self) -> None:
-        if self._shut:
+    def _close_stream(self) -> None:
+        if self._closed:
             return
-        self._shut = True
+        self._closed = True
         if self._connecting is not None and not self._connecting.done:
             self._connecting.fail(StreamClosed(by_peer=False))
         if self._endpoint is not None:
-            self._endpoint.hand_over(_Ignore())
+            self._endpoint.set_sink(_DiscardingSink())
             self._endpoint.close()
 
     def __enter__(self) -> VirtualSocket:
@@ -319,11 +319,11 @@
         self.close()
 
 
-class _Ignore:
-    """Takes what arrives at a closed socket."""
+class _DiscardingSink:
+    """A sink that discards what arrives at a closed socket."""
 
     def put(self, item: Any) -> None:
-        """Drop it."""
+        """Discard it."""
 
     def end(self, error: Exception) -> None:
-        """Nothing waits."""
+        """No effect."""
--- a/limedyke_lab/simulator/proxies.py
+++ b/limedyke_lab/simulator/proxies.py
@@ -18,7 +18,7 @@
 class SimulatedProxy:
     """A proxy process with its data folder.
 
-    :param on_exit: called when the process has ended by itself
+    :param on_exit: called when the process has exited on its own
     """
 
     def __init__(
@@ -57,13 +57,13 @@
         self._on_exit(self)
 
     def drain(self) -> None:
-        """Ask the process to leave service."""
+        """Ask the process to drain and exit."""
         self.draining = True
         self._history.add("drain-asked", proxy=self.name)
         self.runtime.terminate()
 
     def crashed(self) -> None:
-        """Forget the life that ended; the data folder stays."""
+        """Release the crashed proxy's objects; the data folder stays."""
         proxy, self.proxy = self.proxy, None
         if proxy is not None:
             proxy._control._state_receiver._store.close()
--- a/limedyke_lab/simulator/run.py
+++ b/limedyke_lab/simulator/run.py
@@ -1,4 +1,4 @@
-"""One run: a seed's world, its faults, a calm end, and what the checkers say."""
+"""One run: set up the world of a seed, inject faults, let it settle, check the history."""
 
 from __future__ import annotations
 
@@ -26,32 +26,32 @@
 from limedyke_lab.simulator.machine.curio_process import CurioProcess, SpinningError
 from limedyke_lab.simulator.machine.environment import Environment
 from limedyke_lab.simulator.members.member_log import Record
-from limedyke_lab.simulator.strikes import Strikes
+from limedyke_lab.simulator.strikes import FaultInjector
 from limedyke_lab.simulator.world import World
 
 DEFAULT_FAULTS_S = 14.0
-"""Length of the time in which faults are injected, in virtual seconds."""
-SETTLE_S = 8.0
+"""Length of the fault phase, in virtual seconds."""
+RECOVERY_S = 8.0
 CALM_S = 6.0
 DRAIN_AFTER_S = 1.0
 CLOSING_S = 1.0
 
 Replacement = tuple[object, str, object]
 
-SMALL_SIZES: tuple[Replacement, ...] = (
+COMPACTION_THRESHOLDS: tuple[Replacement, ...] = (
     (snapshot_schedule, "SNAPSHOT_AFTER_ENTRIES", 12),
     (control_store, "REWRITE_AFTER_UPDATES", 8),
 )
-"""Sizes at which logs are shortened, small enough to be reached in a short run."""
+"""Log compaction thresholds, small enough to be reached in a short run."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunOptions:
-    """What a run is made of.
+    """Options of a run.
 
-    :param faults_s: length of the time with faults, in virtual seconds
+    :param faults_s: length of the fault phase, in virtual seconds
     :param only_faults: numbers of the faults to inject; None for all that the seed draws
-    :param script: faults in place of those that the seed draws
+    :param script: faults to inject instead of those that the seed draws
     """
 
     seed: int
@@ -62,10 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """What a run gave.
+    """The result of a run.
 
     :param trace: the faults and the whole history as lines of text
-    :param exercised: how often each kind of fault and each path of the product came up
+    :param exercised: how often each kind of fault and each path of the product occurred
     """
 
     seed: int
@@ -84,21 +84,21 @@
 def run_seed(options: RunOptions, mutations: Sequence[Replacement] = ()) -> RunResult:
     """Run a seed and check its history.
 
-    :param mutations: replacements of the product's parts, for the mutants
+    :param mutations: replacements of product code, used by mutation tests
     """
     with (
         logbook.NullHandler().applicationbound(),
-        _without_collection(),
+        _garbage_collection_disabled(),
         tempfile.TemporaryDirectory() as folder,
     ):
         return _run_in(Path(folder), options, mutations)
 
 
 def _run_in(folder: Path, options: RunOptions, mutations: Sequence[Replacement]) -> RunResult:
-    """Run a seed with the simulated parts in place; nothing of the run is left afterwards."""
+    """Run a seed with the simulated environment installed, and restore the real one."""
     environment = Environment(options.seed)
     with contextlib.ExitStack() as stack:
-        for target, name, value in (*SMALL_SIZES, *mutations):
+        for target, name, value in (*COMPACTION_THRESHOLDS, *mutations):
             stack.enter_context(mock.patch.object(target, name, value))
         stack.enter_context(environment.installed())
         run = _Run(options, environment, folder)
@@ -108,11 +108,11 @@
 
 
 @contextlib.contextmanager
-def _without_collection() -> Iterator[None]:
-    """Let no garbage be collected in a run, then drop all that the run left.
+def _garbage_collection_disabled() -> Iterator[None]:
+    """Disable garbage collection during a run, and collect the run's objects after it.
 
-    A collection would end the coroutines of crashed processes at a moment that the seed does
-    not decide.  Their complaints about that end say nothing.
+    A collection would finalise the coroutines of crashed processes at a time that does not
+    depend on the seed.  Errors raised by this finalisation are meaningless and are hidden.
     """
     hook = sys.unraisablehook
     gc.disable()
@@ -120,7 +120,7 @@
         yield
     finally:
         sys.unraisablehook = lambda unraisable: None
-        CurioProcess.bury()
+        CurioProcess.discard_kernels()
         gc.enable()
         gc.collect()
         sys.unraisablehook = hook
@@ -149,13 +149,13 @@
         return tuple(fault for fault in drawn if wanted is None or fault.number in wanted)
 
     def finish(self) -> RunResult:
-        """Run to the end and check."""
+        """Run to the end and check the history."""
         world = self.world
         try:
             self._run()
         except SpinningError as error:
             world.history.add("process-failed", process=str(error), detail="spins")
-        self._note_end()
+        self._record_final_processes()
         violations = tuple(check_all(self._record()))
         lines = [fault.line() for fault in self._faults] + world.history.lines()
         return RunResult(
@@ -170,21 +170,21 @@
     def _run(self) -> None:
         world = self.world
         world.boot()
-        Strikes(world, self._faults, self._healed_at)
-        calm_at = self._healed_at + SETTLE_S
+        FaultInjector(world, self._faults, self._healed_at)
+        calm_at = self._healed_at + RECOVERY_S
         world.kernel.run_until(calm_at)
         world.history.add("calm")
-        self._leave_calmly()
+        self._leave_without_faults()
         world.kernel.run_until(calm_at + DRAIN_AFTER_S)
-        self._drain_calmly()
+        self._drain_without_faults()
         world.kernel.run_until(calm_at + CALM_S)
         world.history.add("closing")
         for caller in world.callers:
             caller.stopped = True
         world.kernel.run_until(calm_at + CALM_S + CLOSING_S)
 
-    def _leave_calmly(self) -> None:
-        """Declare the primary of the first group leaving, and note when it was confirmed."""
+    def _leave_without_faults(self) -> None:
+        """Declare the first group's primary leaving, and record when this is confirmed."""
         world = self.world
         member = world.primary_of(world.layout.all_members[0].name)
 
@@ -195,15 +195,15 @@
             else:
                 world.history.add("calm-leave", member=member, revision=answer.revision)
 
-        world.operate(OPERATORS[0], leave)
+        world.run_as_operator(OPERATORS[0], leave)
 
-    def _drain_calmly(self) -> None:
+    def _drain_without_faults(self) -> None:
         proxies = list(self.world.proxies.values())
         proxy = proxies[self._options.seed % len(proxies)]
         if proxy.process.running:
             proxy.drain()
 
-    def _note_end(self) -> None:
+    def _record_final_processes(self) -> None:
         history = self.world.history
         for name, text in self._environment.crashes:
             history.add("process-failed", process=name, detail=text.strip().splitlines()[-1])
@@ -232,7 +232,7 @@
         )
 
     def _final_log(self, group: str) -> tuple[Record, ...]:
-        """Return the log of the member that a promotion would choose."""
+        """Return the log of the group's most advanced member, which a promotion would choose."""
         members = [m for m in self.world.members.values() if m.group == group]
         best = max(members, key=lambda m: (m.disk.last_term, m.disk.end))
         return tuple(best.disk.records)
--- a/limedyke_lab/simulator/strikes.py
+++ b/limedyke_lab/simulator/strikes.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a run on its world, and undoes all that is left at the end."""
+"""Injects the faults of a run into its world and ends all of them when the fault phase ends."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from limedyke_lab.simulator.world import World
 
 SLOW_EXECUTE_S = 0.12
-HIGHEST_LAG_S = 2.5
+MAXIMUM_LAG_S = 2.5
 POWER_LOSS_OPERATIONS = 6
-WATCH_S = 0.005
-CRASH_WITHIN_S = 0.15
-NOTICED_AFTER_S = 2.0
-"""Time until a disk whose sync failed has been seen to."""
+PROMOTION_POLL_S = 0.005
+CRASH_AFTER_PROMOTION_S = 0.15
+SYNC_FAILURE_REPAIR_S = 2.0
+"""Seconds until a disk is repaired after a failed sync."""
 
 
-class Strikes:
-    """Schedules faults; those that would need more than the system promises are left out.
+class FaultInjector:
+    """Schedules faults, and skips those that the system does not promise to survive.
 
-    :param healed_at: true time at which every fault ends
+    :param healed_at: true time at which all faults end
     """
 
     def __init__(self, world: World, faults: tuple[Fault, ...], healed_at: float) -> None:
@@ -74,10 +74,10 @@
             "racing-operators": self._race,
         }
         for fault in faults:
-            world.kernel.call_later(fault.time - world.kernel.now, self._strike, fault)
+            world.kernel.call_later(fault.time - world.kernel.now, self._inject, fault)
         world.kernel.call_later(healed_at - world.kernel.now, self._heal)
 
-    def _strike(self, fault: Fault) -> None:
+    def _inject(self, fault: Fault) -> None:
         self._world.history.add(
             "fault", number=fault.number, strike=fault.kind, target=fault.target
         )
@@ -92,14 +92,16 @@
     def _crash(self, name: str, fault: Fault) -> None:
         self._world.crash(name, self._seconds(fault))
 
-    def _crash_promoted(self, fault: Fault, present: str) -> None:
-        """Wait for the next primary of a group, and crash it soon after its promotion."""
+    def _crash_promoted(self, fault: Fault, current_primary: str) -> None:
+        """Wait for the group's next primary, and crash it shortly after its promotion."""
         primary = self._world.primary_of(fault.target)
-        if primary == present or not self._world.members[primary].is_primary:
-            self._world.kernel.call_later(WATCH_S, self._crash_promoted, fault, present)
+        if primary == current_primary or not self._world.members[primary].is_primary:
+            self._world.kernel.call_later(
+                PROMOTION_POLL_S, self._crash_promoted, fault, current_primary
+            )
             return
-        soon_s = self._rng.uniform(0.0, CRASH_WITHIN_S)
-        self._world.kernel.call_later(soon_s, self._crash, primary, fault)
+        delay_s = self._rng.uniform(0.0, CRASH_AFTER_PROMOTION_S)
+        self._world.kernel.call_later(delay_s, self._crash, primary, fault)
 
     def _freeze(self, name: str, fault: Fault) -> None:
         self._world.freeze(name, self._seconds(fault))
@@ -116,7 +118,7 @@
                 network.cut(other, name, seconds)
 
     def _split_leader(self, fault: Fault) -> None:
-        """Cut the leading controller from the others only; proxies still reach it."""
+        """Cut the leading controller off from the other controllers; proxies still reach it."""
         leader = self._leader_or(fault.target)
         for other in self._world.controllers:
             if other != leader:
@@ -124,7 +126,7 @@
                 self._cut_pair(other, leader, fault)
 
     def _mute_primary(self, fault: Fault) -> None:
-        """Let a primary's answers reach no proxy, while all else goes on."""
+        """Cut only the direction from a primary to the proxies, so that its answers are lost."""
         primary = self._world.primary_of(fault.target)
         for proxy in self._world.proxies:
             self._cut_pair(primary, proxy, fault)
@@ -157,15 +159,15 @@
     def _lose_member_disk(self, name: str, fault: Fault) -> None:
         world = self._world
         group = world.members[name].group
-        fellows = [member for member in world.members.values() if member.group == group]
-        if any(member.disk.rebuild for member in fellows):
+        group_members = [member for member in world.members.values() if member.group == group]
+        if any(member.disk.rebuild for member in group_members):
             return
         world.crash(name, self._seconds(fault))
         world.members[name].lose_disk()
         world.history.add("disk-lost", process=name)
 
     def _lose_controller_disk(self, name: str, fault: Fault) -> None:
-        """Lose a disk unless another one still waits for its replacement."""
+        """Lose a controller's disk, unless another one is still being replaced."""
         world = self._world
         if world.replacing:
             return
@@ -177,14 +179,14 @@
             if await operator.replace_controller(name):
                 world.replacing.discard(name)
 
-        world.operate(OPERATORS[1], replace)
+        world.run_as_operator(OPERATORS[1], replace)
 
     def _lose_power(self, fault: Fault) -> None:
         operations = self._rng.randrange(POWER_LOSS_OPERATIONS)
         self._world.controllers[fault.target].lose_power_soon(operations)
 
     def _lose_zone(self, fault: Fault) -> None:
-        """End all processes of a zone at once."""
+        """Crash all processes of a zone at once."""
         zone = self._world.processes[fault.target].zone
         for name in self._targets:
             if self._world.processes[name].zone == zone:
@@ -197,19 +199,19 @@
 
     def _fail_sync(self, fault: Fault) -> None:
         self._world.controllers[fault.target].fail_next_sync()
-        self._world.kernel.call_later(NOTICED_AFTER_S, self._mend_disk, fault.target)
+        self._world.kernel.call_later(SYNC_FAILURE_REPAIR_S, self._repair_disk, fault.target)
 
     def _fill_disk(self, fault: Fault) -> None:
         self._world.controllers[fault.target].fill_disk()
-        self._world.kernel.call_later(self._seconds(fault), self._mend_disk, fault.target)
+        self._world.kernel.call_later(self._seconds(fault), self._repair_disk, fault.target)
 
-    def _mend_disk(self, name: str) -> None:
-        """Give a disk room again; a controller that stopped writing ends by itself then."""
-        self._world.controllers[name].empty_disk()
+    def _repair_disk(self, name: str) -> None:
+        """Free the disk; a controller that stopped writing then exits on its own."""
+        self._world.controllers[name].free_disk()
 
     def _lag(self, fault: Fault) -> None:
         member = self._world.members[fault.target]
-        member.lag_s = self._rng.uniform(0.1, HIGHEST_LAG_S)
+        member.lag_s = self._rng.uniform(0.1, MAXIMUM_LAG_S)
         self._world.kernel.call_later(
             self._seconds(fault), setattr, member, "lag_s", member.usual_lag_s
         )
@@ -232,7 +234,7 @@
             proxy.drain()
 
     def _leave(self, fault: Fault) -> None:
-        """Declare a member leaving for a time; never two of a group at once."""
+        """Declare a member leaving for a while; at most one per group at a time."""
         world = self._world
         group = world.members[fault.target].group
         if group in world.leaving_groups:
@@ -245,22 +247,22 @@
             await operator.change_until_in_force(set_leaving(fault.target, False))
             world.leaving_groups.discard(group)
 
-        world.operate(OPERATORS[0], leave)
+        world.run_as_operator(OPERATORS[0], leave)
 
     def _switch_over(self, fault: Fault) -> None:
         group = self._world.members[fault.target].group
-        self._world.operate(
+        self._world.run_as_operator(
             OPERATORS[0], lambda operator: operator.switch_over(group, fault.target)
         )
 
     def _race(self, fault: Fault) -> None:
-        """Let both operators change the declaration at the same time."""
+        """Make both operators change the declaration at the same time."""
         for name in OPERATORS:
             self._limit += 1
             self._world.change(name, set_client_limit("tenant-1", 1_000 + self._limit))
 
     def _heal(self) -> None:
-        """End what is left: processes run, nothing lags."""
+        """End all remaining faults: start or resume every process, reset lag and disks."""
         world = self._world
         world.history.add("healed")
         for name, process in world.processes.items():
@@ -274,4 +276,4 @@
         for controller in world.controllers.values():
             controller.lose_power_soon(None)
         for name in world.controllers:
-            self._mend_disk(name)
+            self._repair_disk(name)
--- a/limedyke_lab/simulator/world.py
+++ b/limedyke_lab/simulator/world.py
@@ -1,4 +1,4 @@
-"""One run's processes, wired together, and the faults that strike them."""
+"""The processes of one run, connected to each other, with operations to crash or freeze them."""
 
 from __future__ import annotations
 
@@ -42,15 +42,15 @@
 from limedyke_lab.simulator.proxies import SimulatedProxy
 
 CLOCK_DRIFT = 0.008
-"""Largest relative rate error of a process's clock; the product allows for 0.01."""
+"""Largest relative rate error of a process's clock; the product tolerates 0.01."""
 CLOCK_OFFSET_S = 5_000.0
 RESTART_S = 0.5
 THINK_S = 0.25
 MEMBER_KEEPALIVE_S = 5.0
-"""Time after which a member gives up the connections of a proxy that died silently."""
-USUAL_LAGS_S = (0.005, 0.05, 0.3)
-"""Lag of the replicas of a group without faults; one is drawn for each group."""
-DECLARE_AT_S = 1.5
+"""Seconds until a member drops the connections of a proxy that died silently."""
+DEFAULT_LAGS_S = (0.005, 0.05, 0.3)
+"""Replication lag without faults; one value is drawn per group."""
+INITIAL_DECLARATION_AT_S = 1.5
 
 
 class World:
@@ -80,11 +80,11 @@
         self.replacing: set[str] = set()
         self.leaving_groups: set[str] = set()
 
-    # ----- making -----
+    # ----- construction -----
 
-    def _process(self, place: Place, drifts: bool = True) -> Process:
-        rate = 1.0 + self._rng.uniform(-CLOCK_DRIFT, CLOCK_DRIFT) if drifts else 1.0
-        offset = self._rng.uniform(100.0, CLOCK_OFFSET_S) if drifts else 0.0
+    def _process(self, place: Place, clock_drifts: bool = True) -> Process:
+        rate = 1.0 + self._rng.uniform(-CLOCK_DRIFT, CLOCK_DRIFT) if clock_drifts else 1.0
+        offset = self._rng.uniform(100.0, CLOCK_OFFSET_S) if clock_drifts else 0.0
         process = Process(self.kernel, place.name, place.zone, rate, offset)
         self.network.attach(process, place.ip)
         self.processes[place.name] = process
@@ -99,15 +99,15 @@
             controller_settings(self.layout, place),
             self.secrets,
             random.Random(f"{self.seed}/{place.name}"),
-            self._controller_exited,
+            self._on_controller_exit,
         )
-        controller.runtime.on_power_loss = lambda: self._power_lost(place.name)
+        controller.runtime.on_power_loss = lambda: self._on_power_lost(place.name)
         return controller
 
     def _make_group(self, group: str, places: tuple[Place, ...]) -> None:
         names = tuple(place.name for place in places)
         passwords = {BACK_END_USER: PASSWORD, "limedyke_admin": PASSWORD}
-        usual_lag_s = self._rng.choice(USUAL_LAGS_S)
+        usual_lag_s = self._rng.choice(DEFAULT_LAGS_S)
         for place in places:
             peers = tuple(name for name in names if name != place.name)
             process = self._process(place)
@@ -128,11 +128,11 @@
             self.history,
             proxy_settings(self.layout, place, folder, self._rng),
             self.secrets,
-            self._proxy_exited,
+            self._on_proxy_exit,
         )
 
     def _make_operator(self, place: Place) -> CurioProcess:
-        process = self._process(place, drifts=False)
+        process = self._process(place, clock_drifts=False)
         operator = Operator(
             place.name,
             (self.secrets.get(place.name) or "").encode(),
@@ -161,10 +161,10 @@
             think_s=THINK_S,
             once_keys=True,
         )
-        process = self._process(place, drifts=False)
+        process = self._process(place, clock_drifts=False)
         return Caller(process, self.network, self.history, plan, f"{self.seed}/{place.name}")
 
-    # ----- beginning -----
+    # ----- startup -----
 
     def boot(self) -> None:
         """Start everything but the callers."""
@@ -173,7 +173,7 @@
                 process.boot()
         for places in self.layout.members.values():
             self.members[places[0].name].start_initial_primary()
-        self.kernel.call_later(DECLARE_AT_S, self._declare)
+        self.kernel.call_later(INITIAL_DECLARATION_AT_S, self._declare)
 
     def _declare(self) -> None:
         runtime = self.operators[OPERATORS[0]]
@@ -192,8 +192,8 @@
 
     # ----- operators -----
 
-    def operate(self, name: str, action: Callable[[Operator], object]) -> None:
-        """Let an operator do something in a task of its own."""
+    def run_as_operator(self, name: str, action: Callable[[Operator], object]) -> None:
+        """Run an action of an operator in a separate task."""
         runtime = self.operators[name]
 
         async def run() -> None:
@@ -202,26 +202,26 @@
         runtime.spawn(run)
 
     def change(self, name: str, edit: Edit) -> None:
-        """Let an operator plan and confirm an edit."""
-        self.operate(name, lambda operator: operator.change(edit))
+        """Make an operator plan and confirm an edit."""
+        self.run_as_operator(name, lambda operator: operator.change(edit))
 
-    # ----- life and death -----
+    # ----- process lifecycle -----
 
     def crash(self, name: str, restart_after: float | None) -> None:
-        """End a process at once, and start it again later."""
+        """Crash a process and restart it after a delay; None for no restart."""
         process = self.processes[name]
         if process.running:
             self.history.add("crash", process=name)
-            self._end_life(name)
+            self._crash_process(name)
         if restart_after is not None:
             self.kernel.call_later(restart_after, self._boot, name)
 
     def cut_power(self, name: str, restart_after: float) -> None:
-        """End a controller with the loss of what is not synced, and start it again later."""
-        self.controllers[name].loses_power = True
+        """Crash a controller with the loss of unsynced data, and restart it after a delay."""
+        self.controllers[name].power_loss_pending = True
         self.crash(name, restart_after)
 
-    def _end_life(self, name: str) -> None:
+    def _crash_process(self, name: str) -> None:
         process = self.processes[name]
         process.crash()
         self.network.process_crashed(process)
@@ -237,53 +237,53 @@
             self.history.add("boot", process=name)
             process.boot()
 
-    def _power_lost(self, name: str) -> None:
+    def _on_power_lost(self, name: str) -> None:
         self.history.add("power-lost", process=name)
-        self._end_life(name)
+        self._crash_process(name)
         self.kernel.call_later(RESTART_S, self._boot, name)
 
-    def _controller_exited(self, controller: SimulatedController) -> None:
-        """Start a controller again that ended by itself, as a service manager would."""
-        self._end_life(controller.name)
+    def _on_controller_exit(self, controller: SimulatedController) -> None:
+        """Restart a controller that exited on its own, as a service manager would."""
+        self._crash_process(controller.name)
         self.kernel.call_later(RESTART_S, self._boot, controller.name)
 
-    def _proxy_exited(self, proxy: SimulatedProxy) -> None:
-        """Start a proxy again that ended by itself, as a service manager would."""
-        self._end_life(proxy.name)
+    def _on_proxy_exit(self, proxy: SimulatedProxy) -> None:
+        """Restart a proxy that exited on its own, as a service manager would."""
+        self._crash_process(proxy.name)
         self.kernel.call_later(RESTART_S, self._boot, proxy.name)
 
     def freeze(self, name: str, seconds: float) -> None:
-        """Stop a process for a time."""
+        """Freeze a process for a while."""
         process = self.processes[name]
         if not process.running or process.frozen:
             return
         self.history.add("freeze", process=name)
         life = process.life
         process.freeze()
-        self.kernel.call_later(seconds, self._thaw_life, name, life)
+        self.kernel.call_later(seconds, self._thaw_same_process, name, life)
 
-    def _thaw_life(self, name: str, life: int) -> None:
+    def _thaw_same_process(self, name: str, life: int) -> None:
         if self.processes[name].life == life:
             self.thaw(name)
 
     def thaw(self, name: str) -> None:
-        """Let a process go on, if it is stopped."""
+        """Resume a process if it is frozen."""
         process = self.processes[name]
         if process.frozen:
             self.history.add("thaw", process=name)
             process.thaw()
 
     def leader(self) -> str | None:
-        """Return the name of a controller that believes to lead."""
-        leading = [name for name, controller in self.controllers.items() if controller.leads]
-        return leading[0] if leading else None
+        """Return the name of a controller that considers itself the leader, or None."""
+        candidates = [name for name, controller in self.controllers.items() if controller.leads]
+        return candidates[0] if candidates else None
 
     def primary_of(self, member: str) -> str:
         """Return the newest primary of a member's group, or the member itself."""
         group = self.members[member].group
-        leading = [
+        candidates = [
             (found.leadership.term, name)
             for name, found in self.members.items()
             if found.group == group and found.is_primary
         ]
-        return max(leading)[1] if leading else member
+        return max(candidates)[1] if candidates else member
