--- a/limedyke_lab/simulator/members/member.py
+++ b/limedyke_lab/simulator/members/member.py
@@ -1,9 +1,9 @@
 """A simulated member of a group: terms, promises, majority commit, lag and truncation.
 
-It follows the same contract as the stand-in database: a commit is acknowledged when a
-majority of the group holds it under the current term; a promise of a higher term ends
-following and leading a lower one; only a majority that holds the first record of a term
-opens a primary for writes.
+It follows the same contract as the lab's database: a commit is acknowledged when a majority
+of the group holds it in the current term; a member that promises a higher term stops leading
+or following a lower one; a primary opens for writes only when a majority holds the first
+record of its term.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendRecords:
-    """A primary's records for a replica, or a heartbeat when there are none."""
+    """A primary's records for a replica; a heartbeat if there are none."""
 
     primary: str
     term: int
@@ -38,10 +38,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendAnswer:
-    """A replica's answer: what it holds, or from where to go on.
+    """A replica's answer to :class:`AppendRecords`.
 
-    :param round_number: echo of the request
-    :param rebuild: number of the rebuild under way, while the replica does not count; else 0
+    :param position: if accepted, the position up to which it holds the primary's log; else the
+        position from which to send again
+    :param round_number: round number of the request
+    :param rebuild: number of the rebuild in progress, during which the replica does not count
+        towards a majority; 0 for none
     """
 
     member: str
@@ -54,7 +57,7 @@
 
 @dataclass(slots=True)
 class ReplicaProgress:
-    """What a primary knows of a replica."""
+    """A primary's view of one replica."""
 
     matched: int = 0
     next: int = 0
@@ -65,7 +68,7 @@
 
 @dataclass(slots=True)
 class Leadership:
-    """Volatile state of a member that leads or is being promoted."""
+    """Volatile state of a member that leads or is being promoted to lead."""
 
     term: int
     start: int
@@ -77,10 +80,10 @@
 
 
 class Member:
-    """One member; the connection side is in ``member_server``.
+    """One member of a replicated group; ``member_server`` has its connections.
 
     :param peers: names of the other members
-    :param usual_lag_s: time it takes as a replica to apply a committed record, without faults
+    :param usual_lag_s: seconds until a replica applies a committed record, without faults
     """
 
     def __init__(
@@ -120,21 +123,21 @@
         self._apply_queue: list[tuple[float, int]] = []
         self._applying = False
 
-    # ----- life -----
+    # ----- lifecycle -----
 
     def start(self) -> None:
-        """Begin a life with what the disk holds."""
+        """Start from the state on disk."""
         self._reset()
         self.on_start()
-        self.process.after(SEND_INTERVAL_S, self._tick)
+        self.process.after(SEND_INTERVAL_S, self._send_periodically)
 
     def start_initial_primary(self) -> None:
-        """Lead the first term on an empty group."""
+        """Lead the initial term of an empty group."""
         self.disk.promise(INITIAL_TERM, "initial", taken=True)
-        self._lead(INITIAL_TERM)
+        self._start_leading(INITIAL_TERM)
 
     def lose_disk(self) -> None:
-        """Replace the disk by an empty one; the member counts again only once rebuilt."""
+        """Replace the disk with an empty one; the member has no vote until it is rebuilt."""
         self._rebuilds += 1
         self.disk = MemberLog()
         self.disk.rebuild = self._rebuilds
@@ -142,22 +145,22 @@
 
     @property
     def is_primary(self) -> bool:
-        """Whether the member takes writes."""
+        """Whether the member accepts writes."""
         return self.leadership is not None and self.leadership.open
 
     # ----- leading -----
 
-    def _lead(self, term: int) -> None:
+    def _start_leading(self, term: int) -> None:
         self.disk.records.append(Record(term, self.name, ()))
         progress = {peer: ReplicaProgress(next=self.disk.end - 1) for peer in self.peers}
         self.leadership = Leadership(term, self.disk.end, progress)
         self.history.add("leading", member=self.name, group=self.group, term=term)
         self._send_all()
 
-    def _tick(self) -> None:
+    def _send_periodically(self) -> None:
         if self.leadership is not None:
             self._send_all()
-        self.process.after(SEND_INTERVAL_S, self._tick)
+        self.process.after(SEND_INTERVAL_S, self._send_periodically)
 
     def _send_all(self) -> None:
         if self.leadership is not None:
@@ -186,7 +189,7 @@
         )
 
     def on_answer(self, answer: AppendAnswer) -> None:
-        """Count what a replica holds."""
+        """Handle a replica's answer and update its progress."""
         leadership = self.leadership
         if leadership is None or answer.term < leadership.term:
             return
@@ -201,17 +204,18 @@
         progress.answered_round = max(progress.answered_round, answer.round_number)
         if answer.rebuild:
             progress.matched = 0
-            self._finish_rebuild(answer, progress)
+            self._confirm_rebuild(answer, progress)
             return
         progress.rebuild = 0
         progress.matched = max(progress.matched, answer.position)
-        self._count_majority()
+        self._advance_commit()
 
-    def _finish_rebuild(self, answer: AppendAnswer, progress: ReplicaProgress) -> None:
-        """Let a rebuilt member count again, once all others confirmed this term after it asked.
+    def _confirm_rebuild(self, answer: AppendAnswer, progress: ReplicaProgress) -> None:
+        """Let a rebuilt member vote again once all others have confirmed this term.
 
-        A member without its disk forgot promises and acknowledgements; what it forgot is known
-        to the majority of the others, so these have to follow this primary still.
+        A member that lost its disk has lost its promises and acknowledgements.  Only the
+        remaining members know them, so each of these must confirm, in a round after the rebuild
+        started, that it still follows this primary.
         """
         leadership = self.leadership
         if progress.rebuild != answer.rebuild:
@@ -227,11 +231,11 @@
             arguments = (leadership.term, answer.position, answer.rebuild)
             self.network.send_datagram(self.process, answer.member, target.on_rebuilt, *arguments)
 
-    def _count_majority(self) -> None:
+    def _advance_commit(self) -> None:
         leadership = self.leadership
-        held = [self.disk.end, *(p.matched for p in leadership.progress.values())]
-        held.sort(reverse=True)
-        position = held[len(held) // 2]
+        positions = [self.disk.end, *(p.matched for p in leadership.progress.values())]
+        positions.sort(reverse=True)
+        position = positions[len(positions) // 2]
         if position < leadership.start or position <= self.committed:
             return
         self.committed = position
@@ -252,7 +256,7 @@
         leadership.opened.set(True)
 
     def append(self, writes: tuple) -> Future:
-        """Commit a transaction here; the future says whether a majority holds it."""
+        """Append a transaction; the future tells whether a majority acknowledged it."""
         leadership = self.leadership
         acknowledged = Future()
         self.disk.records.append(Record(leadership.term, self.name, writes))
@@ -283,7 +287,7 @@
     # ----- promises and promotion -----
 
     def promise(self, term: int, promoter: str) -> bool:
-        """Promise a term; False when a higher or equal one is promised to another."""
+        """Promise a term; return False if that term or a higher one is promised to another."""
         disk = self.disk
         if disk.rebuild:
             return False
@@ -297,13 +301,13 @@
         return True
 
     def promote(self, term: int) -> Future | None:
-        """Start to lead a promised term; None when it may not."""
+        """Start to lead a promised term; return None if this is not allowed."""
         disk = self.disk
         if disk.promised_term != term or disk.rebuild:
             return None
         if not disk.promise_taken:
             disk.promise(term, disk.promoter, taken=True)
-            self._lead(term)
+            self._start_leading(term)
         if self.leadership is None or self.leadership.term != term:
             return None
         return self.leadership.opened
@@ -311,10 +315,10 @@
     # ----- following -----
 
     def on_append(self, message: AppendRecords, primary_life: int) -> None:
-        """Take records of a primary, unless a higher term is promised."""
+        """Accept records of a primary unless a higher term is promised."""
         disk = self.disk
         if message.term < disk.promised_term:
-            self._answer(message, primary_life, False, 0)
+            self._send_answer(message, primary_life, False, 0)
             return
         if message.term > disk.promised_term or not disk.promise_taken:
             disk.promise(message.term, disk.promoter, taken=True)
@@ -322,15 +326,15 @@
         known = message.previous <= disk.end
         if not known or disk.term_at(message.previous) != message.previous_term:
             back = min(message.previous - 1, disk.end)
-            self._answer(message, primary_life, False, max(0, back))
+            self._send_answer(message, primary_life, False, max(0, back))
             return
         self._merge(message)
         end = message.previous + len(message.records)
-        self.process.after(SYNC_S, self._answer, message, primary_life, True, end)
-        self._learn_committed(message, end)
+        self.process.after(SYNC_S, self._send_answer, message, primary_life, True, end)
+        self._update_committed(message, end)
 
     def _merge(self, message: AppendRecords) -> None:
-        """Append what is missing; cut off a tail of another history first."""
+        """Append the missing records, after truncating a conflicting tail."""
         records = self.disk.records
         for offset, record in enumerate(message.records):
             position = message.previous + offset
@@ -349,9 +353,9 @@
             self.state = self._disk_state
             self.history.add("truncated", member=self.name, group=self.group, position=position)
 
-    def _learn_committed(self, message: AppendRecords, end: int) -> None:
+    def _update_committed(self, message: AppendRecords, end: int) -> None:
         if self.verified_term != message.term:
-            # What is applied may be of another history until it is compared as a whole.
+            # The applied records may conflict with this primary's log until all are compared.
             self.verified_term = 0
         committed = min(message.committed, end)
         self.committed = max(self.committed, committed)
@@ -382,7 +386,7 @@
         while self.state.position < position:
             self.state.apply(self.disk.records[self.state.position])
 
-    def _answer(
+    def _send_answer(
         self, message: AppendRecords, primary_life: int, accepted: bool, position: int
     ) -> None:
         disk = self.disk
@@ -393,16 +397,16 @@
         )
         primary = self._registry[message.primary]
         self.network.send_datagram(
-            self.process, message.primary, primary.on_answer_in_life, answer, primary_life
+            self.process, message.primary, primary.on_answer_if_same_life, answer, primary_life
         )
 
-    def on_answer_in_life(self, answer: AppendAnswer, life: int) -> None:
-        """Take an answer unless it is meant for an earlier life of this process."""
+    def on_answer_if_same_life(self, answer: AppendAnswer, life: int) -> None:
+        """Handle an answer unless it was meant for this process before a restart."""
         if life == self.process.life:
             self.on_answer(answer)
 
     def on_rebuilt(self, term: int, position: int, rebuild: int) -> None:
-        """Count again for the group: the disk holds all that was acknowledged."""
+        """Finish the rebuild: the disk holds all acknowledged records, so the member may vote."""
         disk = self.disk
         current = disk.rebuild == rebuild and disk.promised_term == term
         if current and disk.end >= position:
--- a/limedyke_lab/simulator/members/member_log.py
+++ b/limedyke_lab/simulator/members/member_log.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One committed transaction; without writes it only opens a term."""
+    """One transaction in the log; a record without writes only opens a term."""
 
     term: int
     origin: str
@@ -17,9 +17,10 @@
 
 
 class MemberLog:
-    """What a member keeps on its disk. A position is the number of records before it.
+    """A member's state on disk. A position is the number of records before it.
 
-    :ivar rebuild: number of the rebuild under way after a lost disk; 0 when there is none
+    :ivar promise_taken: whether the promised term already has a primary
+    :ivar rebuild: number of the rebuild in progress after a lost disk; 0 for none
     """
 
     def __init__(self) -> None:
@@ -51,12 +52,12 @@
 
 
 class AppliedState:
-    """The tables as of a position of the log."""
+    """The tables after applying the log up to a position."""
 
     def __init__(self) -> None:
         self.position = 0
         self._values: dict[tuple[str, str], str] = {}
-        self._written: dict[str, int] = {}
+        self._applied_writes: dict[str, int] = {}
         self._once: dict[str, tuple[str, str]] = {}
 
     def apply(self, record: Record) -> None:
@@ -65,20 +66,20 @@
         for write in record.writes:
             if isinstance(write, Put):
                 self._values[write.tenant, write.key] = write.request
-                self._written[write.request] = self.position
+                self._applied_writes[write.request] = self.position
             elif isinstance(write, OnceRow):
                 self._once[write.key] = (write.digest, "")
             elif write.tag is not None and write.key in self._once:
                 self._once[write.key] = (self._once[write.key][0], write.tag)
 
     def value(self, tenant: str, key: str) -> str:
-        """Return the request that wrote the key last."""
+        """Return the name of the request that last wrote the key."""
         return self._values.get((tenant, key), "")
 
     def holds(self, request: str) -> bool:
-        """Tell whether a write is applied."""
-        return request in self._written
+        """Tell whether a write has been applied."""
+        return request in self._applied_writes
 
     def once_row(self, key: str) -> tuple[str, str] | None:
-        """Return digest and command tag of a once-key, or None when it was not used."""
+        """Return digest and command tag of a once-key, or None if it was never used."""
         return self._once.get(key)
--- a/limedyke_lab/simulator/members/member_server.py
+++ b/limedyke_lab/simulator/members/member_server.py
@@ -1,4 +1,4 @@
-"""The PostgreSQL side of a simulated member: logins, connection limit, slots."""
+"""The PostgreSQL server of a simulated member: logins, connection limit, query slots."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 class Slots:
-    """Bounds how many queries execute at once, in the order of arrival."""
+    """Limits how many queries execute at once; waiting queries run in order of arrival."""
 
     def __init__(self, limit: int) -> None:
         self._free = limit
         self._waiting: deque[Future] = deque()
 
     def acquire(self) -> Future:
-        """Return a future of a free slot."""
+        """Return a future that is done when a slot has been acquired."""
         future = Future()
         if self._free > 0:
             self._free -= 1
@@ -44,7 +44,7 @@
         return future
 
     def release(self) -> None:
-        """Give a slot back."""
+        """Release a slot."""
         if self._waiting:
             self._waiting.popleft().set()
         else:
@@ -52,14 +52,14 @@
 
 
 class OnceLocks:
-    """Row locks of once-keys: an uncommitted row makes others with its key wait."""
+    """Row locks of once-keys: inserts wait for an uncommitted row with the same key."""
 
     def __init__(self) -> None:
         self._holders: dict[str, object] = {}
         self._waiting: dict[str, deque[tuple[object, Future]]] = {}
 
     async def acquire(self, key: str, session: object) -> None:
-        """Wait for the lock of a key."""
+        """Acquire the lock of a key."""
         holder = self._holders.get(key)
         if holder is None or holder is session:
             self._holders[key] = session
@@ -69,7 +69,7 @@
         await future
 
     def release(self, session: object) -> None:
-        """Let go of all locks of a session."""
+        """Release all locks of a session."""
         for key in [key for key, holder in self._holders.items() if holder is session]:
             waiting = self._waiting.get(key)
             if waiting:
@@ -80,9 +80,9 @@
 
 
 class MemberServer:
-    """Accepts connections for a member and keeps its limits.
+    """Accepts connections for a member and enforces its limits.
 
-    :param passwords: by user name
+    :param passwords: passwords by user name
     """
 
     def __init__(
@@ -112,10 +112,10 @@
         member.network.listen(member.process, self._address, self._accept)
 
     def _accept(self, endpoint: Endpoint) -> None:
-        self.member.process.spawn(MemberLink(self, endpoint).serve())
+        self.member.process.spawn(ServerConnection(self, endpoint).serve())
 
-    def take_connection(self) -> bool:
-        """Count a connection of an ordinary user; False when there are too many."""
+    def try_add_connection(self) -> bool:
+        """Count a connection of an ordinary user; return False if the limit is reached."""
         if self.open_connections >= self._connection_limit:
             return False
         self.open_connections += 1
@@ -123,8 +123,8 @@
         return True
 
 
-class MemberLink:
-    """One accepted stream, from its startup packet on."""
+class ServerConnection:
+    """One accepted stream: startup, login and queries."""
 
     def __init__(self, server: MemberServer, endpoint: Endpoint) -> None:
         self._server = server
@@ -133,7 +133,7 @@
         self._framer = ClientFramer(MAXIMUM_MESSAGE_BYTES)
 
     async def serve(self) -> None:
-        """Log the proxy in and serve its queries until the stream ends."""
+        """Authenticate the proxy and serve its queries until the stream ends."""
         try:
             user = await self._log_in()
             if user is None:
@@ -141,16 +141,16 @@
                 return
         except StreamClosed:
             return
-        counted = user != PROMOTER_USER
-        if counted and not self._server.take_connection():
+        is_ordinary_user = user != PROMOTER_USER
+        if is_ordinary_user and not self._server.try_add_connection():
             self._refuse(SqlError(TOO_MANY_CONNECTIONS, "too many connections", fatal=True))
             return
-        await self._serve_queries(counted)
-        if counted:
+        await self._serve_queries(is_ordinary_user)
+        if is_ordinary_user:
             self._server.open_connections -= 1
 
-    async def _serve_queries(self, counted: bool) -> None:
-        session = MemberSession(self._server, self._endpoint, counted)
+    async def _serve_queries(self, is_ordinary_user: bool) -> None:
+        session = MemberSession(self._server, self._endpoint, is_ordinary_user)
         self._server.member.sessions.append(session)
         self._endpoint.send(READY_IDLE)
         try:
@@ -171,7 +171,7 @@
         return self._messages.popleft()
 
     async def _log_in(self) -> str | None:
-        """Return the proved user name, or None when there is none."""
+        """Authenticate and return the user name; None for an unsupported startup packet."""
         startup = StartupFramer()
         packet: bytes | None = None
         while packet is None:
@@ -184,16 +184,16 @@
         await self._server.member.process.sleep(CONNECT_S)
         self._send_authentication(SASL, MECHANISM + b"\0\0")
         scram = self._server.credentials.scram_server(user)
-        body = await self._receive_proof()
+        body = await self._receive_authentication()
         mechanism_end = body.index(b"\0") + 1
         scram.set_client_first(body[mechanism_end + 4 :].decode())
         self._send_authentication(SASL_CONTINUE, scram.get_server_first().encode())
-        scram.set_client_final((await self._receive_proof()).decode())
+        scram.set_client_final((await self._receive_authentication()).decode())
         self._send_authentication(SASL_FINAL, scram.get_server_final().encode())
         self._endpoint.send(AUTHENTICATION_OK)
         return user
 
-    async def _receive_proof(self) -> bytes:
+    async def _receive_authentication(self) -> bytes:
         message = await self._receive()
         if message.kind != ord("p"):
             raise StreamClosed(by_peer=True)
--- a/limedyke_lab/simulator/members/member_session.py
+++ b/limedyke_lab/simulator/members/member_session.py
@@ -1,4 +1,4 @@
-"""A session at a simulated member: queries in order, one transaction at a time."""
+"""A session at a simulated member: serial queries and at most one open transaction."""
 
 from __future__ import annotations
 
@@ -94,22 +94,22 @@
 
 
 class MemberSession:
-    """One logged-in connection.
+    """One authenticated connection.
 
-    :param counted: whether it is an ordinary one, under slots and faults
+    :param is_ordinary_user: whether slots, execution time and faults apply to it
     """
 
-    def __init__(self, server: MemberServer, endpoint: Endpoint, counted: bool) -> None:
+    def __init__(self, server: MemberServer, endpoint: Endpoint, is_ordinary_user: bool) -> None:
         self._server = server
         self._member = server.member
         self._endpoint = endpoint
-        self._counted = counted
+        self._is_ordinary_user = is_ordinary_user
         self._writes: list[Write] = []
         self._status = "I"
         self._aborted: StatementError | None = None
 
     def roll_back(self) -> None:
-        """Forget the open transaction."""
+        """Roll back the open transaction."""
         self._status = "I"
         self._drop_writes()
 
@@ -128,11 +128,11 @@
         """Run one query message and send its answer."""
         server = self._server
         slots = server.slots
-        if self._counted:
+        if self._is_ordinary_user:
             await slots.acquire()
             await self._member.process.sleep(server.execute_s)
         results = await self._execute(parse_sql(text))
-        if self._counted:
+        if self._is_ordinary_user:
             slots.release()
         answer = b"".join(encode_result(result) for result in results)
         self._send(answer + _READY[self._status], results)
@@ -140,12 +140,12 @@
     def _send(self, answer: bytes, results: list[StatementResult]) -> None:
         server = self._server
         is_write = any(isinstance(result, Done) for result in results)
-        if self._counted and is_write and server.drop_answers > 0:
+        if self._is_ordinary_user and is_write and server.drop_answers > 0:
             server.drop_answers -= 1
             self._member.network.break_stream(self._endpoint)
             return
         self._endpoint.send(answer)
-        if self._counted and server.repeat_answers > 0:
+        if self._is_ordinary_user and server.repeat_answers > 0:
             server.repeat_answers -= 1
             self._endpoint.send(command_complete("SELECT 1") + _READY[self._status])
 
@@ -198,8 +198,8 @@
                 return self._read(statement)
             case PositionQuery(mark):
                 member = self._member
-                place = (member.verified_term, not member.is_primary, member.state.position)
-                return Position(mark, *place)
+                state = (member.verified_term, not member.is_primary, member.state.position)
+                return Position(mark, *state)
             case PromiseTerm():
                 return self._promise(statement)
             case PromoteTerm():
@@ -230,9 +230,9 @@
             position=member.disk.end,
             requests=tuple(write.request for write in writes if isinstance(write, Put)),
         )
-        held = await acknowledged
+        majority_acknowledged = await acknowledged
         member.once_locks.release(self)
-        if not held:
+        if not majority_acknowledged:
             return StatementError(OUTCOME_UNKNOWN, "not acknowledged by a majority")
         return Done("COMMIT")
 
@@ -263,7 +263,7 @@
         return Done("UPDATE 1")
 
     def _once_row(self, key: str) -> tuple[str, str] | None:
-        """Return digest and tag of a key as this transaction sees them."""
+        """Return digest and tag of a key as visible to this transaction."""
         row = self._member.state.once_row(key)
         for write in self._writes:
             if isinstance(write, OnceRow) and write.key == key:
--- a/limedyke_lab/simulator/statement_sql.py
+++ b/limedyke_lab/simulator/statement_sql.py
@@ -1,4 +1,4 @@
-"""The SQL text of the simulator's statements: written by clients, read by members."""
+"""Formatting and parsing of the simulator's statements as SQL text."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 )
 
 _STRING = re.compile(r"'((?:[^']|'')*)'")
-_POSITION_MARK = re.compile(r",\s*(\d+)\s*$")
+_TRAILING_NUMBER = re.compile(r",\s*(\d+)\s*$")
 _TERM = re.compile(r"\(\s*(\d+)")
 _COMMENT = re.compile(r"/\*.*?\*/", re.DOTALL)
 _SESSION_WORDS = ("SET", "RESET", "DISCARD", "SHOW")
-KEPT_TEXTS = 256
+PARSE_CACHE_SIZE = 256
 ONCE_TABLE = "limedyke_once"
 
 
 def put_sql(put: Put) -> str:
-    """Return the text of a write."""
+    """Return the SQL of a write."""
     values = f"('{put.request}', '{put.attempt}', '{put.tenant}', '{put.caller}', '{put.key}')"
     return (
         f"INSERT INTO kv (request, attempt, tenant, caller, key) VALUES {values} RETURNING attempt"
@@ -39,7 +39,7 @@
 
 
 def get_sql(get: Get) -> str:
-    """Return the text of a read."""
+    """Return the SQL of a read."""
     return (
         "SELECT attempt, value, holds, member FROM kv "
         f"WHERE request = '{get.request}' AND attempt = '{get.attempt}' "
@@ -49,16 +49,16 @@
 
 
 def parse_sql(text: str) -> list[Statement]:
-    """Return the statements of a query text.
+    """Parse a query into its statements.
 
-    :raises ValueError: on a statement that the simulator does not know
+    :raises ValueError: on a statement that the simulator does not support
     """
     plain = _COMMENT.sub("", text)
     return [_parse(part.strip()) for part in _split(plain) if part.strip()]
 
 
 def _split(text: str) -> list[str]:
-    """Split at semicolons outside string literals."""
+    """Split at semicolons that are outside string literals."""
     if ";" not in text:
         return [text]
     parts = [""]
@@ -88,7 +88,7 @@
     return _parse_other(text)
 
 
-@lru_cache(KEPT_TEXTS)
+@lru_cache(PARSE_CACHE_SIZE)
 def _parse_other(text: str) -> Statement:
     upper = text.upper()
     if "GROUP_PROMISE" in upper:
@@ -97,7 +97,7 @@
     if "GROUP_PROMOTE" in upper:
         return PromoteTerm(int(_TERM.search(text)[1]))
     if "GROUP_TERM()" in upper:
-        mark = _POSITION_MARK.search(text)
+        mark = _TRAILING_NUMBER.search(text)
         return PositionQuery(mark[1] if mark else "")
     word = upper.split()[0]
     if word in ("BEGIN", "START"):
--- a/limedyke_lab/simulator/statements.py
+++ b/limedyke_lab/simulator/statements.py
@@ -1,7 +1,7 @@
 """Statements of simulated clients and proxies, and their results at a member.
 
-A request keeps one name from the client to the member's log, so that checkers can follow
-it; each sending of it has a name of its own.
+A request keeps one name from the client to the member's log, so that checkers can trace it;
+each attempt to send it has its own name.
 """
 
 from __future__ import annotations
@@ -56,9 +56,9 @@
 
 @dataclass(frozen=True, slots=True)
 class OnceRow:
-    """Insert the row of a once-key; it waits for a like row that is not committed yet.
+    """Insert the row of a once-key, after waiting for uncommitted rows with the same key.
 
-    :param skip_if_known: do nothing, instead of failing, when the key was used before
+    :param skip_if_known: if the key was used before, insert nothing instead of failing
     """
 
     key: str
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OnceTag:
-    """Change the command tag in the row of a once-key; None writes the row as it is."""
+    """Set the command tag in the row of a once-key; None rewrites the row unchanged."""
 
     key: str
     tag: str | None
@@ -83,9 +83,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PositionQuery:
-    """Ask for the verified term, the role and the position.
+    """Query the member's verified term, role and log position.
 
-    :param mark: repeated as the last column; empty for none
+    :param mark: value echoed as the last column; empty for no such column
     """
 
     mark: str = ""
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromiseTerm:
-    """Ask for the promise of a term."""
+    """Ask a member to promise a term."""
 
     term: int
     promoter: str
@@ -101,14 +101,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PromoteTerm:
-    """Ask a member to become primary under a promised term."""
+    """Ask a member to become primary in a term that it promised."""
 
     term: int
 
 
 @dataclass(frozen=True, slots=True)
 class SessionCommand:
-    """A command about the connection only, such as SET or DISCARD ALL."""
+    """A command that affects only the connection, such as SET or DISCARD ALL."""
 
     tag: str
 
@@ -133,8 +133,8 @@
 class Done:
     """A statement succeeded.
 
-    :param tag: its command tag
-    :param attempt: sending of the request that it belongs to, or empty
+    :param tag: command tag
+    :param attempt: the request's attempt that it belongs to, or empty
     """
 
     tag: str
@@ -145,7 +145,7 @@
 class Value:
     """The value read: the request that wrote it, or empty.
 
-    :param holds_own_write: whether the member had the write named in ``must_hold``
+    :param holds_own_write: whether the member had applied the write named in ``must_hold``
     """
 
     attempt: str
@@ -174,7 +174,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatementError:
-    """A statement failed with a SQLSTATE; the rest of the batch is skipped."""
+    """A statement failed with an SQLSTATE; the rest of the batch is skipped."""
 
     sqlstate: str
     detail: str = ""
@@ -182,7 +182,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OnceValue:
-    """The row of a once-key, or none."""
+    """The row of a once-key, if there is one."""
 
     digest: str
     tag: str
