--- a/limedyke/controller/call_router.py
+++ b/limedyke/controller/call_router.py
@@ -11,11 +11,11 @@
 
 from limedyke.controller.leading.leader_calls import LeaderCalls, failure_answer
 from limedyke.event_log import EventLog
-from limedyke.link_tasks import until_closed
+from limedyke.in_flight import InFlightCounter
+from limedyke.link_tasks import serve_until_closed
 from limedyke.messages.calls import Call, CallAnswer, ForwardedAnswer, ForwardedCall
 from limedyke.result_codes import Failure, ResultCode
 from limedyke.transport.link import KeyLookup, Link, LinkClosedError, LinkIdentity, dial
-from limedyke.under_way import UnderWay
 
 DIAL_TIMEOUT_S = 0.6
 CALL_TIMEOUT_S = 1.0
@@ -59,7 +59,7 @@
 
     async def _receive_all(self) -> None:
         """Deliver answers until the link closes; then fail the calls that still wait."""
-        reason = await until_closed(self._receive)
+        reason = await serve_until_closed(self._receive)
         self.is_open = False
         for answers in list(self._waiting.values()):
             await answers.put(_unknown_outcome(reason))
@@ -105,7 +105,7 @@
         self._link: _LeaderLink | None = None
         self._dial_lock = curio.Lock()
         self._answer_deadline = float("inf")
-        self._forwarded = UnderWay()
+        self._forwarded = InFlightCounter()
 
     def set_answer_deadline(self, deadline: float) -> None:
         """Answer each call by this time of the monotonic clock; the process ends soon after."""
@@ -167,7 +167,7 @@
         with self._forwarded:
             if calls is not None:
                 answer = await calls.answer_forwarded(message.call)
-            await until_closed(link.send, ForwardedAnswer(message.number, answer))
+            await serve_until_closed(link.send, ForwardedAnswer(message.number, answer))
 
     async def _ask(self, call: Call) -> CallAnswer:
         calls = self._calls()
--- a/limedyke/controller/leading/proxy_sessions.py
+++ b/limedyke/controller/leading/proxy_sessions.py
@@ -22,7 +22,7 @@
 )
 from limedyke.core.control.leader import EARLIER_PROCESS
 from limedyke.event_log import EventLog
-from limedyke.link_tasks import until_closed
+from limedyke.link_tasks import serve_until_closed
 from limedyke.messages.control import (
     ControlTarget,
     ControlUpdate,
@@ -182,8 +182,8 @@
         await proxy_link.notify_update()
         try:
             async with curio.TaskGroup(wait=any) as tasks:
-                await tasks.spawn(until_closed, self._read_all, proxy_link)
-                await tasks.spawn(until_closed, proxy_link.write_all, self._next_update)
+                await tasks.spawn(serve_until_closed, self._read_all, proxy_link)
+                await tasks.spawn(serve_until_closed, proxy_link.write_all, self._next_update)
         finally:
             if self._links.get(hello.name) is proxy_link:
                 del self._links[hello.name]
