--- a/limedyke_lab/agreement_simulation/__init__.py
+++ b/limedyke_lab/agreement_simulation/__init__.py
@@ -1,4 +1,4 @@
-"""Seeded simulation of the controllers' agreement on virtual time, with checkers."""
+"""Seeded simulation of the controllers' consensus protocol on virtual time, with checkers."""
 
 from limedyke_lab.agreement_simulation.run import SimulationReport, simulate
 from limedyke_lab.agreement_simulation.world import SimulationOptions
--- a/limedyke_lab/agreement_simulation/faults.py
+++ b/limedyke_lab/agreement_simulation/faults.py
@@ -1,4 +1,4 @@
-"""Random faults, and the operator who replaces machines that lost their disks."""
+"""Random faults, and the operator that restores machines after a disk loss."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from limedyke_lab.agreement_simulation.world import World
 
 OPERATOR_INTERVAL_S = 0.3
-LONGEST_CUT_S = 3.0
-LONGEST_FREEZE_S = 2.5
-LONGEST_OUTAGE_S = 2.0
+MAXIMUM_CUT_S = 3.0
+MAXIMUM_FREEZE_S = 2.5
+MAXIMUM_OUTAGE_S = 2.0
 
 
 class Operator:
@@ -31,14 +31,14 @@
         self._request_numbers = itertools.count()
 
     def start(self) -> None:
-        """Look after the members from now on."""
-        self._look()
+        """Start to check and repair the membership periodically."""
+        self._check()
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         leader = current_leader(self._machines)
         if leader is not None:
             self._repair(leader)
-        self._world.after(OPERATOR_INTERVAL_S, self._look)
+        self._world.after(OPERATOR_INTERVAL_S, self._check)
 
     def _repair(self, leader: Machine) -> None:
         configuration = leader.agreement.configuration
@@ -48,29 +48,29 @@
                 request_id = f"operator{next(self._request_numbers)}"
                 leader.handle(MembershipChangeRequested(request_id, change))
 
-    def is_whole(self) -> bool:
-        """Tell whether every machine's present incarnation is a voter, and no other one."""
+    def is_fully_repaired(self) -> bool:
+        """Tell whether the voters are exactly the current incarnations of all machines."""
         leader = current_leader(self._machines)
         if leader is None:
             return False
-        present = {machine.identity for machine in self._machines.values()}
+        current_identities = {machine.identity for machine in self._machines.values()}
         voters = set(leader.agreement.configuration.voters)
-        return leader.agreement.membership_settled and voters == present
+        return leader.agreement.membership_settled and voters == current_identities
 
 
 def next_change(machine: Machine, configuration: MemberConfiguration) -> MembershipChange | None:
-    """Return the next step towards making a machine's present incarnation a voter."""
+    """Return the next change that brings a machine's current incarnation closer to voting."""
     identity = machine.identity
     if identity in configuration.voters:
         return None
     if identity not in configuration.learners:
         return AddLearner(identity)
-    namesakes = [voter for voter in configuration.voters if voter.name == identity.name]
-    return PromoteLearner(identity, replaces=namesakes[0] if namesakes else None)
+    same_name_voters = [voter for voter in configuration.voters if voter.name == identity.name]
+    return PromoteLearner(identity, replaces=same_name_voters[0] if same_name_voters else None)
 
 
 def current_leader(machines: dict[str, Machine]) -> Machine | None:
-    """Return the leader of the highest term among the machines that are up."""
+    """Return the leader of the highest term among the running machines, or None."""
     leaders = [
         machine
         for machine in machines.values()
@@ -80,7 +80,7 @@
 
 
 class FaultInjector:
-    """Draws faults until the calm begins, and then ends them all."""
+    """Injects random faults until the fault phase ends, and then ends all of them."""
 
     def __init__(self, world: World, machines: dict[str, Machine], operator: Operator) -> None:
         self._world = world
@@ -105,24 +105,24 @@
         )
 
     def start(self) -> None:
-        """Draw the first fault."""
+        """Schedule the first fault."""
         self._schedule()
 
     def _schedule(self) -> None:
         delay_s = self._world.rng.expovariate(self._world.options.faults_per_s)
-        self._world.after(delay_s, self._draw)
+        self._world.after(delay_s, self._inject)
 
-    def _draw(self) -> None:
-        if self._world.calm:
+    def _inject(self) -> None:
+        if self._world.faults_ended:
             return
         fault = self._world.rng.choice(self._faults)
-        self._world.note(fault.__name__)
+        self._world.record_event(fault.__name__)
         fault()
         self._schedule()
 
     def end_all(self) -> None:
         """End every fault, so that the controllers can recover."""
-        self._world.calm = True
+        self._world.faults_ended = True
         self._world.cuts.clear()
         self._world.slow_pairs.clear()
         for machine in self._machines.values():
@@ -137,7 +137,7 @@
 
     def _cut(self, pairs: set[tuple[str, str]]) -> None:
         self._world.cuts |= pairs
-        duration_s = self._world.rng.uniform(0.1, LONGEST_CUT_S)
+        duration_s = self._world.rng.uniform(0.1, MAXIMUM_CUT_S)
         self._world.after(duration_s, lambda: self._world.cuts.difference_update(pairs))
 
     def _cut_both_ways(self) -> None:
@@ -165,11 +165,11 @@
         if not machine.is_up or machine.frozen:
             return
         machine.freeze()
-        duration_s = self._world.rng.uniform(0.1, LONGEST_FREEZE_S)
+        duration_s = self._world.rng.uniform(0.1, MAXIMUM_FREEZE_S)
         self._world.after(duration_s, lambda: machine.thaw() if machine.frozen else None)
 
     def _restart_later(self, machine: Machine) -> None:
-        duration_s = self._world.rng.uniform(0.01, LONGEST_OUTAGE_S)
+        duration_s = self._world.rng.uniform(0.01, MAXIMUM_OUTAGE_S)
         self._world.after(duration_s, lambda: None if machine.is_up else machine.start())
 
     def _kill_process(self) -> None:
@@ -191,8 +191,8 @@
             self._restart_when_down(machine)
 
     def _restart_when_down(self, machine: Machine) -> None:
-        """Look until the power went; the disk may never have been written to."""
-        if self._world.calm:
+        """Poll until the power loss; it waits for a disk write, which may never come."""
+        if self._world.faults_ended:
             return
         if machine.is_up:
             self._world.after(0.2, lambda: self._restart_when_down(machine))
@@ -206,16 +206,16 @@
                 self._restart_later(machine)
 
     def _lose_disk(self) -> None:
-        """Lose a disk, also right after the repair of another, but not two before it."""
+        """Lose a disk unless an earlier disk loss is still being repaired."""
         machine = self._any_machine()
-        if self._operator.is_whole():
+        if self._operator.is_fully_repaired():
             if machine.is_up:
                 machine.lose_disk()
             self._restart_later(machine)
 
     def _lose_disks_and_power(self) -> None:
-        """All lose power, and as many as a majority can do without lose their disks too."""
-        if not self._operator.is_whole():
+        """Cut the power of all machines, and lose the disks of a minority of them."""
+        if not self._operator.is_fully_repaired():
             return
         machines = list(self._machines.values())
         without_disk = self._world.rng.sample(machines, (len(machines) - 1) // 2)
@@ -233,7 +233,7 @@
 
     def _slow(self, pairs: set[tuple[str, str]]) -> None:
         self._world.slow_pairs |= pairs
-        duration_s = self._world.rng.uniform(0.5, LONGEST_CUT_S)
+        duration_s = self._world.rng.uniform(0.5, MAXIMUM_CUT_S)
         self._world.after(duration_s, lambda: self._world.slow_pairs.difference_update(pairs))
 
     def _slow_sender(self) -> None:
@@ -241,25 +241,25 @@
         self._slow({(machine.name, other) for other in self._machines})
 
     def _late_answers_then_deaf(self) -> None:
-        """Answers to a leader are late, and soon nothing it sends arrives any more."""
+        """Delay the answers to a leader, and soon after cut its outgoing direction."""
         leader = current_leader(self._machines) or self._any_machine()
         others = [name for name in self._machines if name != leader.name]
         self._slow({(other, leader.name) for other in others})
         delay_s = self._world.rng.uniform(0.1, 1.0)
         pairs = {(leader.name, other) for other in others}
-        self._world.after(delay_s, lambda: None if self._world.calm else self._cut(pairs))
+        self._world.after(delay_s, lambda: None if self._world.faults_ended else self._cut(pairs))
 
     def _cut_one_restart_other(self) -> None:
-        """One follower hears the leader no more, and the other restarts at once, repeatedly."""
+        """Cut one follower off from the leader, and restart another one repeatedly."""
         leader = current_leader(self._machines) or self._any_machine()
         others = [machine for machine in self._machines.values() if machine is not leader]
         cut_off, restarted = self._world.rng.sample(others, 2)
         self._cut({(leader.name, cut_off.name), (cut_off.name, leader.name)})
         for _ in range(6):
-            delay_s = self._world.rng.uniform(0.0, LONGEST_CUT_S)
+            delay_s = self._world.rng.uniform(0.0, MAXIMUM_CUT_S)
             self._world.after(delay_s, lambda: self._restart_at_once(restarted))
 
     def _restart_at_once(self, machine: Machine) -> None:
-        if machine.is_up and not self._world.calm:
+        if machine.is_up and not self._world.faults_ended:
             machine.kill_process()
             machine.start()
--- a/limedyke_lab/agreement_simulation/machine.py
+++ b/limedyke_lab/agreement_simulation/machine.py
@@ -1,4 +1,4 @@
-"""One simulated machine: a disk, a drifting clock and a controller that may be down."""
+"""One simulated machine: a disk, a drifting clock and a controller process."""
 
 from __future__ import annotations
 
@@ -46,25 +46,25 @@
 
 @dataclass(slots=True)
 class AppliedState:
-    """The replicated state machine: the digest of all entries applied."""
+    """The replicated state machine, whose state is the digest of all applied entries."""
 
     index: int = 0
     digest: bytes = b""
     since_snapshot: int = 0
 
     def serialise(self) -> bytes:
-        """Return the snapshot's data."""
+        """Return the state as snapshot data."""
         return ormsgpack.packb([self.index, self.digest, bytes(SNAPSHOT_PADDING_BYTES)])
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Take the state from a snapshot."""
+        """Restore the state from a snapshot."""
         self.index = snapshot.index
         self.digest = ormsgpack.unpackb(snapshot.data)[1] if snapshot.data else b""
         self.since_snapshot = 0
 
 
 class Machine:
-    """A machine under a stable name; each disk that it gets has a new incarnation."""
+    """A machine with a stable name; each new disk has a new incarnation."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world = world
@@ -82,28 +82,28 @@
         self._disk_busy_until = 0.0
         self._log: DurableLog | None = None
         self._storage: AgreementStorage | None = None
-        self._held_while_frozen: list[Event] = []
-        self._noted_leader_heard_at = 0.0
+        self._events_while_frozen: list[Event] = []
+        self._saved_leader_contact_at = 0.0
         self.disk = SimulatedDisk(self._rng)
         self.identity = self.new_identity()
 
     def new_identity(self) -> ControllerIdentity:
-        """Return the identity that a new data folder gets."""
+        """Return the identity for a new data folder."""
         self._disk_number += 1
         return ControllerIdentity(self.name, f"{self.name}{self._disk_number}")
 
     @property
     def local_now(self) -> float:
-        """This machine's own clock."""
+        """The time by this machine's own clock, in seconds."""
         return self._clock_offset + self.world.now * self._clock_rate
 
     @property
     def is_up(self) -> bool:
-        """Tell whether the controller's process runs."""
+        """Whether the controller's process runs."""
         return self.agreement is not None
 
     def initialise(self, genesis: Snapshot | None) -> None:
-        """Make the data folder; a founding voter installs the genesis snapshot."""
+        """Create the data folder; an initial voter installs the genesis snapshot."""
         log = self._open_log()
         if genesis is not None:
             log.install_snapshot(genesis, keep_entries=False).unwrap()
@@ -112,27 +112,27 @@
     def _open_log(self) -> DurableLog:
         opened = open_durable_log(FOLDER, self.identity, self.disk, segment_bytes=SEGMENT_BYTES)
         if opened.is_err():
-            self.world.checkers.violate("log-refused", str(opened.unwrap_err()))
+            self.world.checkers.add_violation("log-refused", str(opened.unwrap_err()))
         return opened.unwrap()
 
     def start(self) -> None:
         """Start the controller's process."""
         self._life += 1
         self.frozen = False
-        self._held_while_frozen = []
+        self._events_while_frozen = []
         self.applied = AppliedState()
         self._log = self._open_log()
         self.identity = self._log.identity
         self._storage = AgreementStorage(self._log)
         self.agreement = self.make_agreement()
-        self._noted_leader_heard_at = self.agreement.leader_contact_at
-        self.world.note(f"start {self.identity}")
+        self._saved_leader_contact_at = self.agreement.leader_contact_at
+        self.world.record_event(f"start {self.identity}")
         self.world.checkers.process_started(self.identity)
         self.handle(Started())
         self._tick(self._life)
 
     def make_agreement(self) -> Agreement:
-        """Make the core from what the disk holds."""
+        """Create the protocol core from the state on disk."""
         stored = self._log.take_stored_state()
         rng = random.Random(self._rng.random())
         return Agreement(self.identity, stored, self.world.options.timing, rng, self.local_now)
@@ -145,23 +145,23 @@
         self.world.after(delay_s, lambda: self._tick(life))
 
     def power_loss(self) -> None:
-        """Stop at once; unsynced data is lost or torn."""
+        """Stop at once; unsynced data is lost or partly written."""
         self._end_process()
         self.disk.crash()
 
     def kill_process(self) -> None:
-        """Stop at once; the machine and its disk cache go on."""
+        """Kill the process; the machine and its disk cache keep running."""
         self._end_process()
         self.disk.kill_process()
 
     def _end_process(self) -> None:
-        self.world.note(f"stop {self.identity}")
+        self.world.record_event(f"stop {self.identity}")
         self._life += 1
         self.agreement = None
         self.proposals = {}
 
     def lose_disk(self) -> None:
-        """Lose the machine and its disk; it comes back empty and under a new incarnation."""
+        """Lose the disk; the machine gets an empty one under a new incarnation."""
         self.power_loss()
         self.world.checkers.disk_lost(self.identity)
         self.disk = SimulatedDisk(self._rng)
@@ -169,41 +169,41 @@
         self.initialise(genesis=None)
 
     def freeze(self) -> None:
-        """Stop the process for a while, as SIGSTOP does."""
+        """Freeze the process, as SIGSTOP does."""
         self.frozen = True
 
     def thaw(self) -> None:
-        """Let the process go on and take what has arrived."""
+        """Resume the process and handle the events that arrived meanwhile."""
         self.frozen = False
-        held, self._held_while_frozen = self._held_while_frozen, []
-        for event in held:
+        events, self._events_while_frozen = self._events_while_frozen, []
+        for event in events:
             self.handle(event)
 
     def receive(self, sender: ControllerIdentity, message: AgreementMessage) -> None:
-        """Take a message from the network."""
+        """Handle a message from the network."""
         self.handle(MessageReceived(sender, message))
 
     def handle(self, event: Event) -> None:
-        """Hand an event to the core, unless the process is down or stands still."""
+        """Pass an event to the core; dropped if the process is down, queued while it is frozen."""
         if not self.is_up:
             return
         if self.frozen:
             if not isinstance(event, Tick):
-                self._held_while_frozen.append(event)
+                self._events_while_frozen.append(event)
             return
         commands = self.agreement.handle(event, self.local_now)
-        if self.agreement.leader_contact_at != self._noted_leader_heard_at:
-            self._noted_leader_heard_at = self.agreement.leader_contact_at
-            self._storage.save_leader_contact(self._noted_leader_heard_at)
-        self._carry_out(commands)
+        if self.agreement.leader_contact_at != self._saved_leader_contact_at:
+            self._saved_leader_contact_at = self.agreement.leader_contact_at
+            self._storage.save_leader_contact(self._saved_leader_contact_at)
+        self._execute(commands)
         self._take_snapshot_if_due()
 
-    def _carry_out(self, commands: list[Command]) -> None:
+    def _execute(self, commands: list[Command]) -> None:
         writes = [command for command in commands if isinstance(command, StorageCommand)]
         if writes:
             life = self._life
-            begins_at = max(self.world.now, self._disk_busy_until)
-            self._disk_busy_until = begins_at + self._rng.uniform(0.0005, 0.004)
+            starts_at = max(self.world.now, self._disk_busy_until)
+            self._disk_busy_until = starts_at + self._rng.uniform(0.0005, 0.004)
             delay_s = self._disk_busy_until - self.world.now
             self.world.after(delay_s, lambda: self._write(life, writes))
         for command in commands:
@@ -211,7 +211,7 @@
         self.world.checkers.stamp_shown(self.identity, self.agreement.quorum_stamp)
 
     def _write(self, life: int, writes: Iterable[Command]) -> None:
-        """Carry out storage commands some time after they were given."""
+        """Execute storage commands after their simulated delay, unless the process ended."""
         if life != self._life:
             return
         try:
@@ -239,7 +239,7 @@
                 self.applied.restore(command.snapshot)
                 checkers.state_restored(self.identity, self.applied.index, self.applied.digest)
             case RoleChanged():
-                self.world.note(f"{self.identity} {command.role} {command.term}")
+                self.world.record_event(f"{self.identity} {command.role} {command.term}")
                 if command.role is Role.LEADER:
                     checkers.leader_elected(self.identity, command.term)
                     self.world.elected(self.name)
@@ -259,9 +259,9 @@
         for entry in command.entries:
             if entry.index != self.applied.index + 1:
                 detail = f"{self.identity} applied {entry.index} after {self.applied.index}"
-                self.world.checkers.violate("state-diverged", detail)
+                self.world.checkers.add_violation("state-diverged", detail)
             self.applied.index = entry.index
             self.applied.digest = fold_digest(self.applied.digest, entry)
             self.applied.since_snapshot += 1
             self.world.checkers.entry_applied(self.identity, entry, self.applied.digest)
-        self.world.note(f"{self.identity} applied {self.applied.index}")
+        self.world.record_event(f"{self.identity} applied {self.applied.index}")
--- a/limedyke_lab/agreement_simulation/run.py
+++ b/limedyke_lab/agreement_simulation/run.py
@@ -1,4 +1,4 @@
-"""One seeded run: machines, callers, operator, faults, and then a calm to recover in."""
+"""One seeded run: a phase with faults, followed by one without in which to recover."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from limedyke_lab.agreement_simulation.world import SimulationOptions, World
 
 MACHINE_NAMES = "abcdefg"
-"""Names of the machines, of which a run takes as many as its options say."""
+"""Machine names; a run uses as many as its options say."""
 CLUSTER = "simulated"
-FIRST_PROPOSALS_S = (0.005, 0.03)
-"""How long after its election a new leader gets proposals that waited for it."""
-SECOND_LOOK_S = (0.0, 0.03, 0.15)
-"""How long after an accepted proposal other controllers are asked for a stale read."""
+NEW_LEADER_PROPOSAL_DELAYS_S = (0.005, 0.03)
+"""Seconds after its election at which a new leader gets proposals."""
+STALE_READ_DELAYS_S = (0.0, 0.03, 0.15)
+"""Seconds after an accepted proposal at which other leaders are tested for stale reads."""
 
 
 @dataclass(frozen=True, slots=True)
 class SimulationReport:
-    """What came of one run.
+    """The result of one run.
 
-    :param digest: equal for two runs exactly when they went the same way
+    :param digest: digest of the events of the run; equal for identical runs
     """
 
     seed: int
@@ -39,7 +39,7 @@
 
 
 class Callers:
-    """Propose and read at random controllers, mostly at the leader."""
+    """Send proposals and reads to random controllers, mostly to leaders."""
 
     def __init__(self, world: World, machines: dict[str, Machine]) -> None:
         self._world = world
@@ -47,38 +47,38 @@
         self._numbers = itertools.count()
 
     def start(self) -> None:
-        """Begin to propose and read."""
-        self._world.accepted = self._ask_other_leaders
-        self._world.elected = self._ask_new_leader
+        """Start to propose and read."""
+        self._world.accepted = self._read_from_other_leaders
+        self._world.elected = self._propose_to_new_leader
         self._propose()
         self._read()
 
-    def _ask_other_leaders(self, accepted_by: str) -> None:
-        """Read, soon after a proposal was accepted, at all others that still claim to lead."""
+    def _read_from_other_leaders(self, accepted_by: str) -> None:
+        """Read from all others that consider themselves leaders after a proposal was accepted."""
         for machine in self._machines.values():
             if machine.name != accepted_by:
-                for delay_s in SECOND_LOOK_S:
-                    self._world.after(delay_s, lambda asked=machine: self._read_at_leader(asked))
+                for delay_s in STALE_READ_DELAYS_S:
+                    self._world.after(delay_s, lambda asked=machine: self._read_if_leader(asked))
 
-    def _read_at_leader(self, machine: Machine) -> None:
+    def _read_if_leader(self, machine: Machine) -> None:
         if machine.is_up and machine.agreement.role is Role.LEADER:
             machine.handle(ReadRequested(f"read{next(self._numbers)}"))
 
-    def _target(self) -> Machine:
-        """Mostly ask one that believes it leads, also when another does too."""
-        leading = [
+    def _choose_machine(self) -> Machine:
+        """Choose a machine, mostly one that considers itself the leader; there may be several."""
+        leaders = [
             machine
             for machine in self._machines.values()
             if machine.is_up and machine.agreement.role is Role.LEADER
         ]
-        if leading and self._world.rng.random() < 0.9:
-            return self._world.rng.choice(leading)
+        if leaders and self._world.rng.random() < 0.9:
+            return self._world.rng.choice(leaders)
         return self._world.rng.choice(list(self._machines.values()))
 
-    def _ask_new_leader(self, name: str) -> None:
-        """Propose at a new leader what waited for one."""
+    def _propose_to_new_leader(self, name: str) -> None:
+        """Send proposals to a new leader shortly after its election."""
         machine = self._machines[name]
-        for delay_s in FIRST_PROPOSALS_S:
+        for delay_s in NEW_LEADER_PROPOSAL_DELAYS_S:
             self._world.after(delay_s, lambda: self._propose_at(machine))
 
     def _propose_at(self, machine: Machine) -> None:
@@ -90,12 +90,12 @@
             machine.handle(Proposed(request_id, payload))
 
     def _propose(self) -> None:
-        self._propose_at(self._target())
+        self._propose_at(self._choose_machine())
         delay_s = self._world.rng.expovariate(self._world.options.proposals_per_s)
         self._world.after(delay_s, self._propose)
 
     def _read(self) -> None:
-        machine = self._target()
+        machine = self._choose_machine()
         if machine.is_up and not machine.frozen:
             machine.handle(ReadRequested(f"read{next(self._numbers)}"))
         delay_s = self._world.rng.expovariate(self._world.options.reads_per_s)
@@ -120,7 +120,7 @@
     try:
         _run(world, machines)
     except AgreementInvariantError as error:
-        world.checkers.violate("invariant", str(error))
+        world.checkers.add_violation("invariant", str(error))
     checkers = world.checkers
     return SimulationReport(
         seed=seed,
@@ -150,5 +150,5 @@
         world.checkers.final_state(None, 0)
         return
     world.checkers.final_state(leader.identity, leader.applied.index)
-    if not operator.is_whole():
-        world.checkers.violate("not-repaired", f"{leader.agreement.configuration}")
+    if not operator.is_fully_repaired():
+        world.checkers.add_violation("not-repaired", f"{leader.agreement.configuration}")
--- a/limedyke_lab/agreement_simulation/world.py
+++ b/limedyke_lab/agreement_simulation/world.py
@@ -28,15 +28,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SimulationOptions:
-    """Sizes and chances of one run.
-
-    :param controllers: how many machines found the cluster
-    :param faulty_s: true time with faults, in seconds
-    :param calm_s: true time after them, in which the controllers must recover
-    :param loss: chance that a message is lost; each run draws its own up to this
-    :param duplication: chance that a message arrives twice
-    :param slow: chance that a message is late by up to ``slow_delay_s``
-    :param snapshot_every: applied entries after which a controller takes a snapshot
+    """Parameters of one run.
+
+    :param controllers: number of initial machines of the cluster
+    :param faulty_s: length of the fault phase, in seconds of true time
+    :param calm_s: length of the phase without faults, in which the controllers must recover
+    :param loss: upper bound of the message loss probability, which each run draws at random
+    :param duplication: probability that a message arrives twice
+    :param slow: probability that a message is delayed by up to ``slow_delay_s``
+    :param snapshot_every: number of applied entries after which a controller takes a snapshot
     """
 
     controllers: int = 3
@@ -57,11 +57,11 @@
 
 
 class World:
-    """One run's clock, queue, random choices, network and checkers.
+    """The clock, event queue, random generator, network and checkers of one run.
 
-    ``cuts`` and ``slow_pairs`` hold (sender, recipient) names; ``accepted`` is called with
-    the name of a machine that has just accepted a proposal, ``elected`` with that of one
-    that has just begun to lead.
+    ``cuts`` and ``slow_pairs`` hold (sender, recipient) names.  ``accepted`` is called with
+    the name of a machine that has just accepted a proposal, ``elected`` with the name of one
+    that has just become leader.
     """
 
     def __init__(self, seed: int, options: SimulationOptions) -> None:
@@ -72,7 +72,7 @@
         self.events = 0
         self.digest = 0
         self.cuts: set[tuple[str, str]] = set()
-        self.calm = False
+        self.faults_ended = False
         self.slow_pairs: set[tuple[str, str]] = set()
         self.accepted: Callable[[str], None] = lambda name: None
         self.elected: Callable[[str], None] = lambda name: None
@@ -88,7 +88,7 @@
         heapq.heappush(self._queue, (self.now + delay_s, self._sequence, action))
 
     def run_until(self, end: float) -> None:
-        """Run all actions due before ``end``."""
+        """Run all actions due up to ``end``."""
         while self._queue and self._queue[0][0] <= end:
             self.now, _, action = heapq.heappop(self._queue)
             self.checkers.now = self.now
@@ -96,19 +96,19 @@
             action()
         self.now = end
 
-    def note(self, text: str) -> None:
-        """Fold an occurrence into the digest that identifies the run."""
+    def record_event(self, text: str) -> None:
+        """Add an event to the digest that identifies the run."""
         self.digest = zlib.crc32(f"{self.now:.9f} {text}".encode(), self.digest)
 
     def send(
         self, sender: ControllerIdentity, to: ControllerIdentity, message: AgreementMessage
     ) -> None:
-        """Send a message that may be lost, late, overtaken or doubled."""
+        """Send a message, which may be lost, delayed, reordered or duplicated."""
         self.checkers.message_sent(sender)
-        if not self.calm and self.rng.random() < self._loss:
+        if not self.faults_ended and self.rng.random() < self._loss:
             return
         copies = 1
-        if not self.calm and self.rng.random() < self.options.duplication:
+        if not self.faults_ended and self.rng.random() < self.options.duplication:
             copies = 2
         for _ in range(copies):
             delay_s = self._delay_s(sender.name, to.name)
@@ -116,7 +116,7 @@
 
     def _delay_s(self, sender: str, to: str) -> float:
         delay_s = self._base_delay_s * self.rng.uniform(0.5, 2.0)
-        if self.calm:
+        if self.faults_ended:
             return delay_s
         if (sender, to) in self.slow_pairs:
             return delay_s + self.rng.uniform(0.1, self.options.slow_delay_s)
