--- a/limedyke_lab/agreement_measurements/__init__.py
+++ b/limedyke_lab/agreement_measurements/__init__.py
@@ -1,4 +1,4 @@
-"""Three real controllers on loopback with synced disks, and what their agreement costs.
+"""Benchmarks of consensus between three real controllers on loopback with synced disks.
 
-``python -m limedyke_lab.agreement_measurements`` measures and prints one line a figure.
+``python -m limedyke_lab.agreement_measurements`` prints one line per result.
 """
--- a/limedyke_lab/agreement_measurements/__main__.py
+++ b/limedyke_lab/agreement_measurements/__main__.py
@@ -1,4 +1,4 @@
-"""Prints what syncs, commits and restarts take on this machine."""
+"""Measures and prints the duration of syncs, commits and restarts on this machine."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from limedyke_lab.agreement_measurements.figures import (
     concurrent_commits,
     group_commit,
-    latencies,
     make_changes,
     restart_all,
+    summarize_latencies,
     sync_latencies,
     wait_until_served,
 )
@@ -26,11 +26,11 @@
 
 
 def measure(syncs: int = 2_000, steps: tuple[int, ...] = STEPS, restarts: int = 3) -> None:
-    """Measure, and print one line a figure.
+    """Run all benchmarks and print one line per result.
 
-    :param syncs: single entries to append
-    :param steps: numbers of configuration changes after which to restart
-    :param restarts: restarts at each step
+    :param syncs: number of single entries to append
+    :param steps: total numbers of configuration changes after which to restart
+    :param restarts: number of restarts at each step
     """
     folder = Path(tempfile.mkdtemp(prefix="limedyke-agreement-"))
     try:
@@ -53,7 +53,7 @@
     for step in steps:
         durations = make_changes(trio, made + 1, step - made)
         made = step
-        print(f"commit over three controllers: {latencies(durations)}", flush=True)
+        print(f"commit over three controllers: {summarize_latencies(durations)}", flush=True)
         for _ in range(restarts):
             print(f"restart: {restart_all(trio, made)}", flush=True)
 
--- a/limedyke_lab/agreement_measurements/figures.py
+++ b/limedyke_lab/agreement_measurements/figures.py
@@ -1,4 +1,4 @@
-"""Measures the durable log and three controllers: syncs, commits, restarts."""
+"""Benchmarks of the durable log and three controllers: syncs, commits, restarts."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from limedyke_lab.agreement_measurements.trio import ControllerTrio
 
 ENTRY_BYTES = 200
-MILLISECONDS = 1000.0
-PERCENTILES = 100
+MILLISECONDS_PER_S = 1000.0
+QUANTILE_COUNT = 100
 SERVE_TIMEOUT_S = 30.0
 FIRST_CLIENT_LIMIT = 1_000
 LARGEST_COUNT = 100_000
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Throughput:
-    """Entries a second at one batch size; each batch is synced before the next begins."""
+    """Entries per second at one batch size; each batch is synced before the next starts."""
 
     batch: int
     entries_per_s: float
@@ -51,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Restart:
-    """A restart of all controllers at once, after SIGKILL.
+    """The result of restarting all controllers at once after SIGKILL.
 
-    :param served_s: from the start of the processes to the first status from a leader
-    :param processor_s: the most processor time that one controller had used by then
+    :param served_s: seconds from starting the processes to the first status from a leader
+    :param processor_s: largest CPU time that one controller had used by then, in seconds
     :param revision: the revision in that status
     """
 
@@ -72,10 +72,10 @@
         )
 
 
-def latencies(seconds: Iterable[float]) -> Latencies:
-    """Return the quantiles of some durations."""
-    ordered = sorted(value * MILLISECONDS for value in seconds)
-    quantiles = statistics.quantiles(ordered, n=PERCENTILES)
+def summarize_latencies(seconds: Iterable[float]) -> Latencies:
+    """Return the quantiles of durations given in seconds."""
+    ordered = sorted(value * MILLISECONDS_PER_S for value in seconds)
+    quantiles = statistics.quantiles(ordered, n=QUANTILE_COUNT)
     return Latencies(len(ordered), quantiles[49], quantiles[98], ordered[-1])
 
 
@@ -97,32 +97,32 @@
     log = _open(folder)
     durations = []
     for index in range(1, count + 1):
-        began = time.perf_counter()
+        started = time.perf_counter()
         log.append(_entries(index, 1)).unwrap()
-        durations.append(time.perf_counter() - began)
+        durations.append(time.perf_counter() - started)
     log.close()
-    return latencies(durations)
+    return summarize_latencies(durations)
 
 
 def group_commit(folder: Path, batch: int, seconds: float) -> Throughput:
-    """Append batches of entries, each synced as one, for a while."""
+    """Append batches of entries for a time, with one sync per batch."""
     log = _open(folder)
-    began = time.perf_counter()
-    while time.perf_counter() < began + seconds:
+    started = time.perf_counter()
+    while time.perf_counter() < started + seconds:
         log.append(_entries(log.last_index + 1, batch)).unwrap()
-    elapsed = time.perf_counter() - began
+    elapsed = time.perf_counter() - started
     written = log.last_index
     log.close()
     return Throughput(batch, written / elapsed)
 
 
 def declaration(number: int) -> Declaration:
-    """Return a small declaration that differs from the ones with other numbers."""
+    """Return a small declaration that is unique to its number."""
     return Declaration(tenants=(Tenant("measured", (), client_limit=FIRST_CLIENT_LIMIT + number),))
 
 
 async def change_configuration(operator: MeasuringOperator, first: int, count: int) -> list[float]:
-    """Plan and confirm changes one after the other; return how long each commit took."""
+    """Plan and confirm changes one by one; return the seconds that each commit took."""
     durations = []
     for number in range(first, first + count):
         plan = await operator.plan(declaration(number))
@@ -131,18 +131,18 @@
     return durations
 
 
-async def _serves(operator: MeasuringOperator, deadline: float) -> int:
+async def _wait_for_status(operator: MeasuringOperator, deadline: float) -> int:
     async with curio.timeout_after(deadline - time.monotonic()):
         return (await operator.status()).answer.revision
 
 
 def wait_until_served(trio: ControllerTrio, *names: str) -> int:
-    """Wait until a leader among the named controllers, or all, answers; return its revision."""
+    """Wait for a leader among the named controllers (default: all); return its revision."""
 
     async def ask() -> int:
         operator = trio.operator(*names)
         try:
-            return await _serves(operator, time.monotonic() + SERVE_TIMEOUT_S)
+            return await _wait_for_status(operator, time.monotonic() + SERVE_TIMEOUT_S)
         finally:
             await operator.close()
 
@@ -150,10 +150,7 @@
 
 
 def make_changes(trio: ControllerTrio, first: int, count: int, *names: str) -> list[float]:
-    """Make changes at the named controllers, or all; return how long each commit took.
-
-    :returns: seconds
-    """
+    """Make changes at the named controllers (default: all); return each commit's seconds."""
 
     async def run() -> list[float]:
         operator = trio.operator(*names)
@@ -166,7 +163,7 @@
 
 
 def concurrent_commits(trio: ControllerTrio, operators: int, seconds: float) -> float:
-    """Let several operators record plans at once; return the entries committed a second."""
+    """Record plans from several concurrent operators; return the entries committed per second."""
 
     async def record_plans(number: int, deadline: float) -> int:
         operator = trio.operator()
@@ -197,8 +194,8 @@
     """Kill all controllers, start them again and wait for a leader."""
     trio.kill_all()
     size = log_bytes(trio)
-    began = time.monotonic()
+    started = time.monotonic()
     trio.start_all()
     revision = wait_until_served(trio)
-    served_s = time.monotonic() - began
-    return Restart(changes, served_s, trio.most_processor_seconds(), revision, size)
+    served_s = time.monotonic() - started
+    return Restart(changes, served_s, trio.maximum_cpu_seconds(), revision, size)
--- a/limedyke_lab/agreement_measurements/operator_client.py
+++ b/limedyke_lab/agreement_measurements/operator_client.py
@@ -1,4 +1,4 @@
-"""An operator that plans and confirms over the internal protocol, as the command does."""
+"""An operator client that plans and confirms over the internal protocol, like the command."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Timed:
-    """An answer and when its request was sent and answered; monotonic seconds."""
+class TimedAnswer:
+    """An answer with the times of request and answer, in monotonic seconds."""
 
     answer: object
     sent_at: float
@@ -43,7 +43,7 @@
 
 
 class MeasuringOperator:
-    """Sends requests to whichever controller leads, again until one answers."""
+    """Sends requests to the leading controller, and retries until one answers."""
 
     def __init__(self, controllers: tuple[str, ...], name: str, key: bytes) -> None:
         self._controllers = itertools.cycle(controllers)
@@ -55,11 +55,11 @@
         """Record a plan for a declaration."""
         return (await self._ask(PlanRequest(_request_id(), declaration), Plan)).answer
 
-    async def confirm(self, plan: Plan) -> Timed:
+    async def confirm(self, plan: Plan) -> TimedAnswer:
         """Confirm a plan."""
         return await self._ask(ConfirmRequest(_request_id(), plan.plan_id), Confirmed)
 
-    async def status(self) -> Timed:
+    async def status(self) -> TimedAnswer:
         """Return the state of the whole system."""
         return await self._ask(StatusRequest(_request_id()), Status)
 
@@ -69,28 +69,28 @@
             await self._link.close()
             self._link = None
 
-    async def _ask(self, request: object, expected: type) -> Timed:
+    async def _ask(self, request: object, expected: type) -> TimedAnswer:
         for _ in range(MAXIMUM_ATTEMPTS):
-            answered = await self._ask_once(request)
+            answered = await self._try_request(request)
             if answered is not None and isinstance(answered.answer, expected):
                 return answered
-            if answered is not None and not self._redirected(answered.answer):
+            if answered is not None and not self._should_retry(answered.answer):
                 raise OperatorError(f"{type(request).__name__}: {answered.answer}")
             await self.close()
             await curio.sleep(RETRY_PAUSE_S)
         raise OperatorError(f"{type(request).__name__}: no controller answered")
 
-    def _redirected(self, answer: object) -> bool:
-        """Note where a refusal points; tell whether asking again makes sense."""
+    def _should_retry(self, answer: object) -> bool:
+        """Store the leader that a refusal names; tell whether to send the request again."""
         if not isinstance(answer, Refused):
             return False
         self._redirect = answer.leader
         return bool(answer.leader) or bool(answer.retry_after_ms) or "leader" in answer.detail
 
-    async def _ask_once(self, request: object) -> Timed | None:
+    async def _try_request(self, request: object) -> TimedAnswer | None:
         try:
             async with curio.timeout_after(REQUEST_TIMEOUT_S):
-                link = await self._connected()
+                link = await self._get_link()
                 if link is None:
                     return None
                 before = link.counters.bytes_in
@@ -98,11 +98,11 @@
                 await link.send(request)
                 answer = await link.receive()
                 size = link.counters.bytes_in - before
-                return Timed(answer, sent_at, time.monotonic(), size)
+                return TimedAnswer(answer, sent_at, time.monotonic(), size)
         except (LinkClosedError, curio.TaskTimeout):
             return None
 
-    async def _connected(self) -> Link | None:
+    async def _get_link(self) -> Link | None:
         if self._link is None:
             address, self._redirect = self._redirect or next(self._controllers), ""
             key = self._identity.key
--- a/limedyke_lab/agreement_measurements/trio.py
+++ b/limedyke_lab/agreement_measurements/trio.py
@@ -1,4 +1,4 @@
-"""Three controller processes on loopback, without relays, proxies or members."""
+"""A cluster of three controller processes on loopback, without proxies or members."""
 
 from __future__ import annotations
 
@@ -31,17 +31,17 @@
 END_TIMEOUT_S = 5.0
 COMMAND_TIMEOUT_S = 30.0
 SECRET_FILE_MODE = 0o600
-LEADING = "ready: leader"
+LEADER_READINESS = "ready: leader"
 
 
 class CommandFailedError(Exception):
-    """A command of the operator ended with another code than 0; the text is its output."""
+    """An operator command exited with a non-zero code; the message is its output."""
 
 
 class ControllerTrio:
-    """Use it as a context manager; it ends only the processes that it started.
+    """A context manager that starts three controllers and ends them on exit.
 
-    :param folder: receives the settings, logs and data folders
+    :param folder: directory for the settings, logs and data folders
     """
 
     def __init__(self, folder: Path) -> None:
@@ -51,7 +51,7 @@
         self.addresses: dict[str, str] = {}
 
     def __enter__(self) -> ControllerTrio:
-        """Lay out the files and start all three."""
+        """Write the settings and start all three controllers."""
         plan = self._lock.acquire()
         ips = {
             name: plan.real_ip(ZONE_NUMBER, CONTROLLER_HOST + number)
@@ -63,22 +63,22 @@
         secrets.touch(mode=SECRET_FILE_MODE)
         secrets.write_text(yaml.safe_dump(process_secrets()))
         for name, ip in ips.items():
-            self._prepare(name, ip)
-        self._write("operator", self._operator_settings())
+            self._define_process(name, ip)
+        self._write_settings("operator", self._operator_settings())
         self.start_all()
         return self
 
     def __exit__(self, *_: object) -> None:
-        """End the processes and free the addresses."""
+        """End the processes and release the addresses."""
         end_all(list(self._processes.values()), END_TIMEOUT_S)
         self._lock.release()
 
-    def _prepare(self, name: str, ip: str) -> None:
-        settings = self._write(name, self._controller_settings(name, ip))
+    def _define_process(self, name: str, ip: str) -> None:
+        settings = self._write_settings(name, self._controller_settings(name, ip))
         command = [sys.executable, "-m", "limedyke.cli", "controller", f"--settings={settings}"]
         self._processes[name] = ManagedProcess(name, command, self.folder / f"{name}.log")
 
-    def _write(self, name: str, values: dict[str, object]) -> Path:
+    def _write_settings(self, name: str, values: dict[str, object]) -> Path:
         path = self.folder / f"{name}.yaml"
         path.write_text(yaml.safe_dump(values, sort_keys=False))
         return path
@@ -118,28 +118,28 @@
         return self._processes[name]
 
     def start_all(self) -> None:
-        """Start all that do not run."""
+        """Start all controllers that are not running."""
         for process in self._processes.values():
             process.start()
 
     def kill_all(self) -> None:
-        """End all at once, as a power cut of the place."""
+        """Kill all controllers at once."""
         for process in self._processes.values():
             process.kill()
 
     def lose_disk(self, name: str) -> None:
-        """End a controller at once and remove its data folder."""
+        """Kill a controller and remove its data folder."""
         self.process(name).kill()
         shutil.rmtree(self.data(name))
 
     def leads(self, name: str) -> bool:
-        """Tell whether a controller leads, by its own status page."""
+        """Tell whether a controller leads according to its own readiness page."""
         host, _ = split_address(self.addresses[name])
         _, reason = http_get(f"{host}:{STATUS_PORT}", "/readyz")
-        return reason.strip() == LEADING
+        return reason.strip() == LEADER_READINESS
 
-    def most_processor_seconds(self) -> float:
-        """Return the most processor time that one of the running processes has used."""
+    def maximum_cpu_seconds(self) -> float:
+        """Return the largest CPU time of the running processes, in seconds."""
         times = [
             psutil.Process(process.pid).cpu_times()
             for process in self._processes.values()
@@ -148,14 +148,14 @@
         return max(used.user + used.system for used in times)
 
     def operator(self, *names: str) -> MeasuringOperator:
-        """Return a client that asks the named controllers, or all, over one lasting link."""
+        """Return a client of the named controllers (default: all) that keeps one link open."""
         addresses = tuple(self.addresses[name] for name in names or NAMES)
         return MeasuringOperator(addresses, OPERATOR_NAME, OPERATOR_KEY.encode())
 
     def command(self, *arguments: str) -> str:
-        """Run a command of the operator and return its standard output.
+        """Run an operator command and return its standard output.
 
-        :raises CommandFailedError: when it ends with another code than 0
+        :raises CommandFailedError: if its exit code is not 0
         """
         settings = self.folder / "operator.yaml"
         command = [sys.executable, "-m", "limedyke.cli", *arguments, f"--settings={settings}"]
