--- a/limedyke_lab/checkers/case_counts.py
+++ b/limedyke_lab/checkers/case_counts.py
@@ -1,4 +1,4 @@
-"""How much a history gives each checker to judge; a zero of a checker without any says nothing."""
+"""Counts the cases in a history that each checker judges; without cases its result is void."""
 
 from __future__ import annotations
 
@@ -14,14 +14,18 @@
 
 
 def reads_after_writes(history: History) -> int:
-    """Count reads of a session's own register after a write was acknowledged to it."""
-    wrote: set[str] = set()
+    """Count reads of a session's own register that follow an acknowledged write."""
+    sessions_with_writes: set[str] = set()
     reads = 0
     for operation in sorted(history.operations, key=lambda operation: operation.start_ns):
         if operation.kind is Kind.WRITE and operation.acknowledged_write:
-            wrote.add(operation.session)
+            sessions_with_writes.add(operation.session)
         own = operation.kind is Kind.READ and operation.owner == operation.session
-        reads += own and operation.outcome is ClientOutcome.DONE and operation.session in wrote
+        reads += (
+            own
+            and operation.outcome is ClientOutcome.DONE
+            and operation.session in sessions_with_writes
+        )
     return reads
 
 
@@ -36,7 +40,7 @@
 
 
 def checked_writes(history: History) -> int:
-    """Count acknowledged writes of groups whose rows were read after the end."""
+    """Count acknowledged writes of groups whose final rows were read."""
     groups = {rows.group for rows in history.rows}
     return _count(
         item for item in history.operations if item.acknowledged_write and item.group in groups
@@ -49,7 +53,7 @@
 
 
 def refusals(history: History) -> int:
-    """Count refused requests and failed writes, where members' histories show their number."""
+    """Count refused requests and failed writes that can be traced in the members' histories."""
     return _count(
         item
         for item in history.operations
@@ -76,7 +80,7 @@
 
 
 def operations_while_draining(history: History) -> int:
-    """Count operations in flight at proxies after they were asked to leave."""
+    """Count operations in flight at proxies while they drained."""
     ends = {
         event.target: event.time_ns for event in history.events if event.name == leaving.DRAIN_END
     }
@@ -108,7 +112,7 @@
 
 
 def operations_while_leaving(history: History) -> int:
-    """Count operations of a group that began after one of its members was told to leave."""
+    """Count operations of a group that started after one of its members was told to leave."""
     leaving_ns = {
         group_of(event.target): event.time_ns
         for event in history.events
@@ -121,14 +125,14 @@
     )
 
 
-def seen_revisions(history: History) -> int:
+def observed_revisions(history: History) -> int:
     """Count observations of the revision in force at a proxy."""
     return _count(event for event in history.events if event.name == revisions.REVISION)
 
 
 def confirmed_revisions(history: History) -> int:
-    """Count confirmed revisions, when the proxies were observed at all."""
-    return len(revisions.confirmations(history)) if seen_revisions(history) else 0
+    """Count confirmed revisions; 0 if no revision of a proxy was observed."""
+    return len(revisions.confirmations(history)) if observed_revisions(history) else 0
 
 
 CASE_COUNTS: dict[str, Callable[[History], int]] = {
@@ -143,7 +147,7 @@
     leaving.DRAIN: operations_while_draining,
     leaving.LEAVING_MEMBER: work_before_leaving,
     leaving.MEMBER_STOP: operations_while_leaving,
-    revisions.REVISIONS: seen_revisions,
+    revisions.REVISIONS: observed_revisions,
     revisions.IN_FORCE: confirmed_revisions,
 }
-"""Counts the cases of each checker, by the checker's name."""
+"""Functions that count the cases of each checker, by the name of the checker."""
--- a/limedyke_lab/checkers/consistency.py
+++ b/limedyke_lab/checkers/consistency.py
@@ -1,4 +1,4 @@
-"""Checkers of what sessions see: their own writes, and answers to their own requests."""
+"""Checkers of session guarantees: read-your-writes, and matching answers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def check_read_your_writes(history: History) -> list[Violation]:
-    """Find reads of a session's own register that miss a write acknowledged to it before."""
+    """Find reads of a session's own register that miss an earlier acknowledged write."""
     violations = []
     acknowledged: dict[str, int] = defaultdict(int)
     attempted: dict[str, set[int]] = defaultdict(set)
@@ -38,24 +38,24 @@
 def check_answers(history: History) -> list[Violation]:
     """Find answers that carry another request's number, or none.
 
-    Only the answer to a request sent again may lack its number, when it says that it repeats
-    the answer of an earlier run.
+    An answer may lack the number only if it belongs to a resent request and says that it
+    repeats the answer of an earlier execution.
     """
     return [
         _violation(ANSWERS, operation, f"the answer carries number {operation.echo}")
         for operation in history.operations
         if operation.outcome is ClientOutcome.DONE
         and operation.echo != operation.number
-        and not _repeats_earlier_run(operation)
+        and not _repeats_earlier_answer(operation)
     ]
 
 
-def _repeats_earlier_run(operation: Operation) -> bool:
+def _repeats_earlier_answer(operation: Operation) -> bool:
     return operation.repeated and operation.attempt > 1 and operation.echo is None
 
 
 def check_answered(history: History) -> list[Violation]:
-    """Find operations that got neither answer nor error although nothing befell their proxy."""
+    """Find operations that got neither answer nor error although their proxy had no fault."""
     windows = FaultWindows(history)
     return [
         _violation(ANSWERED, operation, f"{operation.no_answer}: {operation.detail}")
@@ -66,7 +66,7 @@
 
 
 def _in_session_order(history: History) -> list[Operation]:
-    """Return the operations in order of their start; a session runs one at a time."""
+    """Return the operations in order of their start, which is the order within each session."""
     return sorted(history.operations, key=lambda operation: operation.start_ns)
 
 
--- a/limedyke_lab/checkers/damage.py
+++ b/limedyke_lab/checkers/damage.py
@@ -1,4 +1,4 @@
-"""Damaged copies of a sound history, one for each checker, to show that it sees the damage."""
+"""Functions that damage a valid history, one per checker, to show that it detects the damage."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class UnsuitableHistoryError(Exception):
-    """The history holds nothing that the damage could be done to."""
+    """The history contains nothing to which the damage could be applied."""
 
 
 def _first(items, condition, what: str):
@@ -45,7 +45,7 @@
 
 
 def stale_read(history: History) -> History:
-    """Let a session read a register as it was before its own write."""
+    """Make a session read its register without its own earlier write."""
     written = set()
 
     def is_read_after_write(item: Operation) -> bool:
@@ -59,7 +59,7 @@
 
 
 def foreign_answer(history: History) -> History:
-    """Give an operation the answer to the next one."""
+    """Replace the answer of an operation with that of the next one."""
     done = _first(
         history.operations, lambda item: item.outcome is ClientOutcome.DONE, "answered operation"
     )
@@ -67,14 +67,14 @@
 
 
 def lost_answer(history: History) -> History:
-    """Let an operation end without an answer at a proxy that nothing befell."""
+    """Make an operation end without an answer at a proxy without a fault."""
     done = _acknowledged(history, Kind.WRITE)
     lost = replace(done, outcome=ClientOutcome.UNKNOWN, no_answer=NoAnswer.CONNECTION_LOST)
     return _replace_operation(history, done, lost)
 
 
 def lost_write(history: History) -> History:
-    """Take an acknowledged mark out of the rows that the primary holds."""
+    """Remove an acknowledged mark from the primary's rows."""
     mark = _acknowledged(history, Kind.MARK)
     rows = tuple(
         replace(group, marks={n: c for n, c in group.marks.items() if n != mark.number})
@@ -84,7 +84,7 @@
 
 
 def late_acknowledgement(history: History) -> History:
-    """Let a primary acknowledge a commit after one under a higher term."""
+    """Make a primary acknowledge a commit after another one in a higher term."""
     commit = _first(history.members, lambda item: item.outcome == COMMITTED, "commit")
     later = replace(commit, time_ns=commit.time_ns + 1, term=commit.term + 1)
     late = replace(commit, time_ns=commit.time_ns + 2)
@@ -93,14 +93,14 @@
 
 
 def false_refusal(history: History) -> History:
-    """Say of a write that was executed that it did not run."""
+    """Report that a write did not run although it was executed."""
     mark = _acknowledged(history, Kind.MARK)
     refused = replace(mark, outcome=ClientOutcome.DID_NOT_RUN, sqlstate="53300", code="LD3004")
     return _replace_operation(history, mark, refused)
 
 
 def double_run(history: History) -> History:
-    """Let a mark leave two rows."""
+    """Make a mark appear in two rows."""
     mark = _acknowledged(history, Kind.MARK)
     rows = tuple(
         replace(group, marks={**group.marks, mark.number: 2})
@@ -112,7 +112,7 @@
 
 
 def shared_transaction(history: History) -> History:
-    """Put a statement of one request into the transaction of another at a member."""
+    """Move a statement of one request into another request's transaction at a member."""
     commits = [
         entry
         for entry in history.members
@@ -134,7 +134,7 @@
 
 
 def cut_by_drain(history: History) -> History:
-    """Let a request in flight end without an answer while its proxy leaves."""
+    """Make a request in flight end without an answer while its proxy drains."""
     done = _acknowledged(history, Kind.WRITE)
     events = (
         Event(done.start_ns - 1, leaving.DRAIN_START, done.proxy),
@@ -145,7 +145,7 @@
 
 
 def cut_by_member_stop(history: History) -> History:
-    """Let a write end without an answer while a member of its group leaves."""
+    """Make a write end without an answer while a member of its group leaves."""
     done = _acknowledged(history, Kind.WRITE)
     event = Event(done.start_ns - 1, leaving.MEMBER_LEAVING, f"{done.group}-a")
     cut = replace(done, outcome=ClientOutcome.UNKNOWN, detail="connection lost")
@@ -153,7 +153,7 @@
 
 
 def work_while_leaving(history: History) -> History:
-    """Let a member get work long after it was told to leave."""
+    """Make a member receive work long after it was told to leave."""
     entry = _first(
         history.members, lambda item: item.connection and request_of(item) is not None, "work"
     )
@@ -166,7 +166,7 @@
 
 
 def older_revision(history: History) -> History:
-    """Let a proxy go back to an older revision."""
+    """Make a proxy return to an older revision."""
     return _with_events(
         history,
         Event(1, revisions.REVISION, "proxy-1", 7),
@@ -175,7 +175,7 @@
 
 
 def late_revision(history: History) -> History:
-    """Let a proxy still have the older revision half a minute after a confirmation."""
+    """Make a proxy keep the older revision until 30 s after a confirmation."""
     return _with_events(
         history,
         Event(1, revisions.CONFIRMED, "", 7),
@@ -198,4 +198,4 @@
     revisions.REVISIONS: older_revision,
     revisions.IN_FORCE: late_revision,
 }
-"""The damage that each checker must see, by the checker's name."""
+"""The damage that each checker must detect, by the name of the checker."""
--- a/limedyke_lab/checkers/leaving.py
+++ b/limedyke_lab/checkers/leaving.py
@@ -16,29 +16,31 @@
 MEMBER_STOPPED = "member-stopped"
 READ_CUT_CODE = "LD3008"
 DRAINING_CODE = "LD3006"
-ARRIVED_AFTER_S = 0.03
-"""A request sent this long before the stop was at the proxy when it began."""
+ARRIVAL_MARGIN_S = 0.03
+"""A request sent at least this many seconds before the stop had arrived when it began."""
 _NANOSECONDS = 1_000_000_000
 
 
 def _stops(history: History, start: str, end: str) -> list[tuple[Event, Event | None]]:
-    """Return each planned stop with the first end of the same target behind it.
+    """Return each planned stop with the first later end event of the same target.
 
-    One target may be stopped several times in a history.
+    A target may be stopped several times in a history.
     """
     ends = [event for event in history.events if event.name == end]
-    return [(event, _first_behind(event, ends)) for event in history.events if event.name == start]
+    return [
+        (event, _first_end_after(event, ends)) for event in history.events if event.name == start
+    ]
 
 
-def _first_behind(start: Event, ends: list[Event]) -> Event | None:
-    behind = [
+def _first_end_after(start: Event, ends: list[Event]) -> Event | None:
+    later_ends = [
         event for event in ends if event.target == start.target and event.time_ns >= start.time_ns
     ]
-    return min(behind, key=lambda event: event.time_ns, default=None)
+    return min(later_ends, key=lambda event: event.time_ns, default=None)
 
 
 def check_drain(history: History) -> list[Violation]:
-    """Find requests in flight that the planned stop of a proxy cut, and stops that failed."""
+    """Find in-flight requests that a proxy's planned stop cut, and stops that failed."""
     violations = []
     for start, end in _stops(history, DRAIN_START, DRAIN_END):
         proxy = start.target
@@ -50,14 +52,14 @@
             overlaps = operation.end_ns >= start.time_ns and operation.start_ns <= end.time_ns
             if operation.proxy != proxy or not overlaps:
                 continue
-            if _was_cut(operation) or _was_turned_away(operation, start):
+            if _was_cut(operation) or _was_refused_by_drain(operation, start):
                 detail = f"request {operation.number}: {operation.detail or operation.outcome}"
                 violations.append(Violation(DRAIN, proxy, detail))
     return violations
 
 
 def _was_cut(operation: Operation) -> bool:
-    """Tell whether the caller got neither an answer nor a refusal before it ran."""
+    """Tell whether the caller got neither an answer nor a refusal."""
     if operation.outcome is ClientOutcome.UNKNOWN:
         return True
     if operation.outcome is not ClientOutcome.FAILED:
@@ -65,14 +67,14 @@
     return not operation.sqlstate or operation.code == READ_CUT_CODE
 
 
-def _was_turned_away(operation: Operation, start: Event) -> bool:
-    """Tell whether a request that the proxy had when it was asked to leave was refused for it."""
-    sent_before_ns = start.time_ns - int(ARRIVED_AFTER_S * _NANOSECONDS)
+def _was_refused_by_drain(operation: Operation, start: Event) -> bool:
+    """Tell whether a request was refused because of a drain that began after it arrived."""
+    sent_before_ns = start.time_ns - int(ARRIVAL_MARGIN_S * _NANOSECONDS)
     return operation.code == DRAINING_CODE and operation.start_ns < sent_before_ns
 
 
 def check_member_stop(history: History) -> list[Violation]:
-    """Find requests of a group that were cut while one of its members left as planned."""
+    """Find requests of a group that were cut during the planned stop of one of its members."""
     violations = []
     for event, end in _stops(history, MEMBER_LEAVING, MEMBER_STOPPED):
         for operation in history.operations:
@@ -86,7 +88,7 @@
 
 
 def check_leaving_member(history: History) -> list[Violation]:
-    """Find work that a leaving member received later than a few seconds after the order."""
+    """Find work that a member received more than 2 s after it was told to leave."""
     violations = []
     for event, end in _stops(history, MEMBER_LEAVING, MEMBER_STOPPED):
         limit_ns = event.time_ns + int(NO_NEW_WORK_AFTER_S * _NANOSECONDS)
--- a/limedyke_lab/checkers/measures.py
+++ b/limedyke_lab/checkers/measures.py
@@ -1,4 +1,4 @@
-"""Measures worked out from a history: replica read share with its ceiling, failover gap."""
+"""Measures derived from a history: share of replica reads and its ceiling, failover gaps."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 class ReadShare:
     """Share of the reads that replicas served.
 
-    :param reads: reads done outside of transactions
-    :param by_replica: of these, served by a replica
-    :param possible: of these, such that some replica held all the session's writes before the
-        answer came; the ceiling that the history allowed
+    :param reads: number of completed reads outside of transactions
+    :param by_replica: number of these that a replica served
+    :param possible: number of these that a replica could have served, because some replica had
+        applied the session's writes before the answer arrived
     """
 
     reads: int
@@ -32,12 +32,12 @@
 
     @property
     def share(self) -> float:
-        """Part of the reads that replicas served, 0 to 1."""
+        """Share of the reads that replicas served, from 0 to 1."""
         return self.by_replica / self.reads if self.reads else 0.0
 
     @property
     def ceiling(self) -> float:
-        """Part of the reads that replicas could have served, 0 to 1."""
+        """Share of the reads that replicas could have served, from 0 to 1."""
         return self.possible / self.reads if self.reads else 0.0
 
 
@@ -53,9 +53,9 @@
 def read_share(history: History) -> ReadShare:
     """Return the share of reads served by replicas, and its ceiling.
 
-    The ceiling counts reads of sessions whose last acknowledged write a replica had applied
-    by the end of the read; a write whose number the members' histories do not show counts
-    as applied.
+    The ceiling counts reads of sessions whose last acknowledged write had been applied by some
+    replica at the end of the read.  A write that cannot be traced in the members' histories
+    counts as applied.
     """
     applied = _first_applied_ns(history)
     last_write: dict[str, int] = {}
@@ -74,7 +74,7 @@
 
 
 def _first_applied_ns(history: History) -> dict[int, int]:
-    """Return when the first replica had applied each request."""
+    """Return the time at which the first replica had applied each request."""
     first: dict[int, int] = {}
     for number, entry in traced_entries(history):
         if entry.outcome == APPLIED:
@@ -86,7 +86,7 @@
 class FailoverGap:
     """Longest time without a completed write in a group around one fault.
 
-    :param gap_ms: infinite when no write completed after the fault
+    :param gap_ms: infinite if no write completed after the fault
     """
 
     group: str
@@ -109,7 +109,7 @@
 
 
 def _gap_ms(ends_ns: list[int], fault_ns: int) -> float:
-    """Return the longest pause between completed writes from shortly before the fault on."""
+    """Return the longest pause between completed writes in a window around the fault."""
     first = fault_ns - int(GAP_LEAD_S * _NANOSECONDS)
     last = fault_ns + int(GAP_WINDOW_S * _NANOSECONDS)
     near = [end for end in ends_ns if first <= end <= last]
@@ -122,12 +122,12 @@
 
 
 def count_done_operations(history: History) -> int:
-    """Return how many operations were answered as done."""
+    """Return how many operations completed successfully."""
     return sum(operation.outcome is ClientOutcome.DONE for operation in history.operations)
 
 
 def outcome_counts(history: History) -> dict[str, int]:
-    """Return how many operations ended in each outcome, by code, SQLSTATE or lack of an answer."""
+    """Count operations by outcome and by code, SQLSTATE or reason for a missing answer."""
     counts: dict[str, int] = defaultdict(int)
     for operation in history.operations:
         reason = operation.code or operation.sqlstate or operation.no_answer
--- a/limedyke_lab/checkers/report.py
+++ b/limedyke_lab/checkers/report.py
@@ -1,4 +1,4 @@
-"""All checkers over one history, and their report."""
+"""Runs all checkers on a history and reports the results."""
 
 from __future__ import annotations
 
@@ -41,19 +41,19 @@
     writes.AT_MOST_ONCE,
     transactions.TRANSACTIONS,
 )
-"""Checkers that any load of the ready profiles gives something to judge."""
+"""Checkers for which every predefined load profile must produce cases."""
 SHOWN_VIOLATIONS = 20
 EXIT_OK = 0
 EXIT_VIOLATION = 1
 
 
 def check_all(history: History) -> list[Violation]:
-    """Return what every checker finds."""
+    """Return the violations that all checkers find."""
     return [violation for checker in CHECKERS.values() for violation in checker(history)]
 
 
 def count_by_checker(violations: list[Violation]) -> dict[str, int]:
-    """Return how many violations each checker found, with zeros."""
+    """Return the number of violations per checker, including zeros."""
     counts = dict.fromkeys(CHECKERS, 0)
     for violation in violations:
         counts[violation.checker] += 1
@@ -61,7 +61,7 @@
 
 
 def describe(history: History, violations: list[Violation]) -> list[str]:
-    """Return the report's lines: outcomes, measures, violations."""
+    """Return the lines of the report: outcomes, measures, violations."""
     lines = [f"outcome {label}: {n}" for label, n in measures.outcome_counts(history).items()]
     share = measures.read_share(history)
     lines.append(f"replica reads: {share.share:.4f} of {share.reads}, ceiling {share.ceiling:.4f}")
@@ -74,7 +74,7 @@
 
 
 def checkers_without_cases(history: History, checkers: Iterable[str]) -> list[str]:
-    """Return those of some checkers that found nothing to judge, whose zeros mean nothing."""
+    """Return the checkers without cases in the history, whose zero violations prove nothing."""
     return [name for name in checkers if not CASE_COUNTS[name](history)]
 
 
--- a/limedyke_lab/checkers/revisions.py
+++ b/limedyke_lab/checkers/revisions.py
@@ -1,4 +1,4 @@
-"""Checkers of the configuration in force: never an older one, and everywhere within seconds."""
+"""Checkers of configuration revisions: never going back, in force everywhere within seconds."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 REVISIONS = "revisions"
 IN_FORCE = "in-force"
 REVISION = "revision"
-"""Event: a proxy was seen to have a revision in force."""
+"""Event: a proxy was observed with a revision in force."""
 CONFIRMED = "confirmed"
-"""Event: an operator was told that a revision is confirmed."""
+"""Event: an operator received the confirmation of a revision."""
 IN_FORCE_WITHIN_S = 5.0
 _NANOSECONDS = 1_000_000_000
 
 
 def check_revisions(history: History) -> list[Violation]:
-    """Find proxies whose revision in force went back, over restarts too."""
+    """Find proxies whose revision in force decreased, even across restarts."""
     highest: dict[str, int] = defaultdict(int)
     violations = []
     for event in history.events:
@@ -34,20 +34,22 @@
 
 
 def check_in_force(history: History) -> list[Violation]:
-    """Find proxies that some seconds after a confirmation still had an older revision.
+    """Find proxies that still had an older revision 5 s after a confirmation.
 
-    A proxy that was under a fault, or left, within these seconds is not judged.
+    Proxies that had a fault or began to drain within these 5 s are skipped.
     """
     windows = FaultWindows(history)
-    left_ns = {event.target: event.time_ns for event in history.events if event.name == DRAIN_START}
-    seen = _by_proxy(history)
+    drain_started_ns = {
+        event.target: event.time_ns for event in history.events if event.name == DRAIN_START
+    }
+    events_by_proxy = _by_proxy(history)
     violations = []
     for confirmed in confirmations(history):
         limit_ns = confirmed.time_ns + int(IN_FORCE_WITHIN_S * _NANOSECONDS)
-        for proxy, events in seen.items():
+        for proxy, events in events_by_proxy.items():
             if windows.overlaps(proxy, confirmed.time_ns, limit_ns):
                 continue
-            if confirmed.time_ns <= left_ns.get(proxy, 0) <= limit_ns:
+            if confirmed.time_ns <= drain_started_ns.get(proxy, 0) <= limit_ns:
                 continue
             late = [event for event in events if event.time_ns > limit_ns]
             if late and late[0].value < confirmed.value:
@@ -62,8 +64,8 @@
 
 
 def _by_proxy(history: History) -> dict[str, list[Event]]:
-    seen: dict[str, list[Event]] = defaultdict(list)
+    events_by_proxy: dict[str, list[Event]] = defaultdict(list)
     for event in history.events:
         if event.name == REVISION:
-            seen[event.target].append(event)
-    return seen
+            events_by_proxy[event.target].append(event)
+    return events_by_proxy
--- a/limedyke_lab/checkers/trace.py
+++ b/limedyke_lab/checkers/trace.py
@@ -1,4 +1,4 @@
-"""Which request each line of the members' histories belongs to."""
+"""Maps entries of the members' histories to requests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from limedyke_lab.history import History, MemberEntry
 
 COMMITTED = "commit"
-"""A majority holds it and the member acknowledged it."""
+"""Outcome: a majority holds the commit and the member acknowledged it."""
 COMMITTED_UNACKNOWLEDGED = "unknown"
 APPLIED = "apply"
 EXECUTED_OUTCOMES = frozenset({COMMITTED, COMMITTED_UNACKNOWLEDGED})
@@ -28,10 +28,10 @@
 
 
 def transaction_of(entry: MemberEntry) -> TransactionId:
-    """Return what names a transaction of a member.
+    """Return the unique identity of a transaction at a member.
 
-    A member counts its transactions anew when it is started again, and takes writes only under
-    a higher term then.
+    It includes the term because a restarted member numbers its transactions from the start
+    again, and accepts writes only in a higher term.
     """
     return (entry.member, entry.term, entry.transaction)
 
@@ -42,13 +42,13 @@
 
 
 def request_of(entry: MemberEntry) -> int | None:
-    """Return the number of the writing request that an entry shows, or None."""
+    """Return the number of the write request in an entry's statement, or None."""
     found = _NUMBER.search(entry.statement)
     return int(found.group(2)) if found else None
 
 
 def executed_reads(history: History) -> dict[int, list[MemberEntry]]:
-    """Return the executions of each read whose number the members' histories show."""
+    """Return the executions of each read that can be traced by its number."""
     by_number: dict[int, list[MemberEntry]] = defaultdict(list)
     for entry in history.members:
         found = _READ_NUMBER.match(entry.statement) if entry.outcome == READ else None
@@ -58,7 +58,7 @@
 
 
 def traced_entries(history: History) -> Iterator[tuple[int, MemberEntry]]:
-    """Return the members' entries that show a request's number."""
+    """Yield the members' entries that carry a request number, with that number."""
     for entry in history.members:
         number = request_of(entry)
         if number is not None:
--- a/limedyke_lab/checkers/transactions.py
+++ b/limedyke_lab/checkers/transactions.py
@@ -1,4 +1,4 @@
-"""Checkers of transactions: whole or not at all, and never with another's statements."""
+"""Checkers of transaction atomicity and isolation."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 def check_transactions(history: History) -> list[Violation]:
-    """Find transactions that shared statements, stood in part, or read foreign rows."""
-    return [*_shared_at_members(history), *_in_part(history), *_wrong_reads(history)]
+    """Find transactions with foreign statements, partial commits, or wrong reads of own rows."""
+    return [*_mixed_transactions(history), *_partial_commits(history), *_wrong_reads(history)]
 
 
-def _shared_at_members(history: History) -> list[Violation]:
-    """A transaction at a member shows the statements of one request of one user only."""
+def _mixed_transactions(history: History) -> list[Violation]:
+    """Find transactions at a member with statements of more than one request or user."""
     requests: dict[TransactionId, set[int]] = defaultdict(set)
     users: dict[TransactionId, set[str]] = defaultdict(set)
     for entry in history.members:
@@ -43,7 +43,7 @@
     return violations
 
 
-def _in_part(history: History) -> list[Violation]:
+def _partial_commits(history: History) -> list[Violation]:
     return [
         Violation(TRANSACTIONS, str(number), f"{count} rows of {len(LEDGER_STEPS)} stand")
         for rows in history.rows
--- a/limedyke_lab/checkers/violation.py
+++ b/limedyke_lab/checkers/violation.py
@@ -1,4 +1,4 @@
-"""What a checker reports."""
+"""The result type of the checkers."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One breach of what must always hold.
+    """One violation of a rule.
 
     :param checker: name of the checker that found it
-    :param subject: request number, session or process it is about
+    :param subject: request number, session or process concerned
     """
 
     checker: str
--- a/limedyke_lab/checkers/writes.py
+++ b/limedyke_lab/checkers/writes.py
@@ -1,4 +1,4 @@
-"""Checkers of writes: none lost, none by a replaced primary, none against the word given."""
+"""Checkers of writes: durability, replaced primaries, truthful refusals, at-most-once."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def check_acknowledged_writes(history: History) -> list[Violation]:
-    """Find acknowledged writes that the primary does not hold after the end."""
+    """Find acknowledged writes that the primary lacks at the end."""
     rows_by_group = _rows_by_group(history)
     violations = []
     for operation in history.operations:
@@ -40,7 +40,7 @@
 
 
 def _missing(operation: Operation, rows: GroupRows) -> str:
-    """Return what of an acknowledged write is missing, or an empty string."""
+    """Describe what is missing of an acknowledged write; empty if nothing is."""
     match operation.kind:
         case Kind.WRITE:
             held = rows.registers.get(operation.owner, 0)
@@ -53,17 +53,17 @@
 
 
 def check_replaced_primary(history: History) -> list[Violation]:
-    """Find writes that a primary took after a higher term of its group was in use.
+    """Find writes that a primary accepted after its group had used a higher term.
 
-    Judged twice: by the order in which members ran what they committed, and by what callers
-    saw, so that an acknowledgement is wrong when another write had been acknowledged under a
-    higher term before this one was sent.  The answer to a request sent again may repeat that
-    of its first run, so only first attempts count.
+    Members and callers are checked separately.  Members must acknowledge commits in the order
+    of their terms.  For callers, a write must not be acknowledged in a lower term than another
+    one that was acknowledged before it was sent; only first attempts count, since the answer
+    to a resent request may repeat that of its first execution.
     """
-    return [*_late_at_members(history), *_late_at_callers(history)]
+    return [*_stale_commits_at_members(history), *_stale_acknowledgements_to_callers(history)]
 
 
-def _late_at_callers(history: History) -> list[Violation]:
+def _stale_acknowledgements_to_callers(history: History) -> list[Violation]:
     term_of = {
         number: max(entry.term for entry in entries)
         for number, entries in executions(history).items()
@@ -87,7 +87,7 @@
     return violations
 
 
-def _late_at_members(history: History) -> list[Violation]:
+def _stale_commits_at_members(history: History) -> list[Violation]:
     violations = []
     highest: dict[str, int] = defaultdict(int)
     for entry in history.members:
@@ -102,15 +102,15 @@
 
 
 def check_did_not_run(history: History) -> list[Violation]:
-    """Find requests that were said not to have run, or to have failed, but left an effect.
+    """Find requests reported as not run, or writes reported as failed, that had an effect.
 
-    A request sent again under its key is judged by all its attempts together.  A read that
-    failed may have run; one that was said not to have run may not.
+    All attempts of a resent request are judged together.  A read that failed may have run; a
+    read reported as not run may not.
     """
-    return [*_writes_that_ran(history), *_reads_that_ran(history)]
+    return [*_executed_writes(history), *_executed_refused_reads(history)]
 
 
-def _reads_that_ran(history: History) -> list[Violation]:
+def _executed_refused_reads(history: History) -> list[Violation]:
     executed = executed_reads(history)
     return [
         Violation(
@@ -123,7 +123,7 @@
     ]
 
 
-def _writes_that_ran(history: History) -> list[Violation]:
+def _executed_writes(history: History) -> list[Violation]:
     rows_by_group = _rows_by_group(history)
     executed = executions(history)
     violations = []
@@ -162,7 +162,7 @@
 
 
 def check_at_most_once(history: History) -> list[Violation]:
-    """Find requests that ran more than once: two rows, or two acknowledged commits."""
+    """Find requests that ran more than once, by duplicate rows or acknowledged commits."""
     violations = [
         Violation(AT_MOST_ONCE, str(number), f"left {count} marks")
         for rows in history.rows
