--- a/features/checkers.feature
+++ b/features/checkers.feature
@@ -1,10 +1,10 @@
 Feature: Checkers of a recorded history
-  A checker says nothing about a sound history, and finds the damage it is made for.
+  A checker reports nothing for a valid history, and detects violations of its rule.
 
-  Scenario: checkers: a history recorded from a fleet is sound
+  Scenario: checkers: a history recorded from a fleet is valid
     Given checkers: the trace "sound"
     When checkers: all checkers run
-    Then checkers: nothing is found
+    Then checkers: no violations are reported
 
   Scenario Outline: checkers: each checker sees its own damage
     Given checkers: the trace "sound"
@@ -27,7 +27,7 @@
       | revisions           |
       | in-force            |
 
-  Scenario Outline: checkers: a checker sees each way in which its rule is broken: <damage>
+  Scenario Outline: checkers: a checker detects each kind of violation of its rule: <damage>
     Given checkers: the trace "sound"
     When checkers: it is damaged by "<damage>" and all checkers run
     Then checkers: "<checker>" finds something
@@ -60,18 +60,18 @@
       | excused by a cut     | cut    | 50    | 120    | 0     |
       | a violation, earlier | kill   | 300   | 400    | 1     |
 
-  Scenario: checkers: zeros over a history that gives nothing to judge fail the demonstration
+  Scenario: checkers: the demonstration fails on a history without cases for some checkers
     Given checkers: the trace "sound"
     When checkers: the demonstration concludes from it
     Then checkers: it fails, with "too little to judge: revisions, in-force"
 
-  Scenario: checkers: the demonstration passes on a sound history with all its material
+  Scenario: checkers: the demonstration passes on a valid history with cases for all checkers
     Given checkers: the trace "sound"
     And checkers: a confirmed revision that came into force at a proxy
     When checkers: the demonstration concludes from it
     Then checkers: it passes
 
-  Scenario Outline: checkers: the demonstration fails when a zero is not zero
+  Scenario Outline: checkers: the demonstration fails on any violation
     Given checkers: the trace "sound"
     And checkers: a confirmed revision that came into force at a proxy
     When checkers: it is damaged for "<checker>" and the demonstration concludes from it
@@ -86,9 +86,9 @@
       | at-most-once        | violations=1               |
       | revisions           | violations=1               |
 
-  Scenario Outline: checkers: what a caller knows after an error
+  Scenario Outline: checkers: an error determines the outcome that a caller concludes
     When checkers: a statement fails with "<sqlstate>" and "<message>"
-    Then checkers: the caller knows "<outcome>"
+    Then checkers: the caller concludes "<outcome>"
 
     Examples:
       | sqlstate | message                              | outcome     |
@@ -99,7 +99,7 @@
       | 23505    | duplicate key                        | failed      |
       |          | connection lost                      | unknown     |
 
-  Scenario Outline: checkers: the failover gap is the longest pause of completed writes
+  Scenario Outline: checkers: the failover gap is the longest pause between completed writes
     Given checkers: writes completed at "<completed>" ms and a kill at <kill> ms
     Then checkers: the failover gap is "<gap>" ms
 
--- a/features/mutants/lab_checkers.py
+++ b/features/mutants/lab_checkers.py
@@ -1,4 +1,4 @@
-"""Checkers that look away: the damaged histories have to show each of them."""
+"""Mutants that disable one checker each; the damaged histories must reveal them."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from limedyke_lab.checkers.report import CHECKERS
 from limedyke_lab.history import read_records
 
-SOUND_TRACE = Path(__file__).resolve().parents[1] / "traces" / "sound.jsonl"
+VALID_TRACE = Path(__file__).resolve().parents[1] / "traces" / "sound.jsonl"
 
 
-def _notices_damage(name: str, checker) -> bool:
-    """Tell whether a checker says nothing of the sound history and something of its damage."""
-    history = read_records([SOUND_TRACE])
+def _detects_damage(name: str, checker) -> bool:
+    """Tell whether a checker accepts the valid history and reports its damaged copy."""
+    history = read_records([VALID_TRACE])
     return not checker(history) and bool(checker(DAMAGES[name](history)))
 
 
 def _is_caught(name: str) -> bool:
-    if not _notices_damage(name, CHECKERS[name]):
-        raise AssertionError(f"the checker {name} itself does not see its damage")
-    return not _notices_damage(name, lambda _history: [])
+    if not _detects_damage(name, CHECKERS[name]):
+        raise AssertionError(f"the checker {name} does not detect its damage")
+    return not _detects_damage(name, lambda _history: [])
 
 
 MUTANTS = tuple(
--- a/features/steps/checkers_steps.py
+++ b/features/steps/checkers_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the checkers and of the replay of traces."""
+"""Steps for the checkers and for replaying traces."""
 
 from __future__ import annotations
 
@@ -59,8 +59,8 @@
     context.violations = check_all(context.history)
 
 
-@then("checkers: nothing is found")
-def then_nothing(context):
+@then("checkers: no violations are reported")
+def then_no_violations(context):
     assert not context.violations, [str(violation) for violation in context.violations]
 
 
@@ -72,7 +72,7 @@
 @then('checkers: "{checker}" finds something')
 def then_found(context, checker):
     assert set(DAMAGES) == set(CHECKERS), "each checker needs a damage"
-    assert count_by_checker(context.violations)[checker] > 0, "the damage was not seen"
+    assert count_by_checker(context.violations)[checker] > 0, "the damage was not detected"
 
 
 @when('checkers: a statement fails with "{sqlstate:Anything}" and "{message}"')
@@ -80,8 +80,8 @@
     context.meaning = meaning_of_answer(sqlstate, message)
 
 
-@then('checkers: the caller knows "{outcome}"')
-def then_knows(context, outcome):
+@then('checkers: the caller concludes "{outcome}"')
+def then_concludes(context, outcome):
     assert context.meaning.outcome == ClientOutcome(outcome), context.meaning
 
 
--- a/features/support/history_damage.py
+++ b/features/support/history_damage.py
@@ -1,4 +1,4 @@
-"""Further damages to a sound history: other ways to break the rule of a checker."""
+"""Further damages to a valid history: other ways to violate the rule of a checker."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     return next(o for o in history.operations if o.kind is kind and o.acknowledged_write)
 
 
-def _swap(history: History, old: Operation, new: Operation) -> History:
+def _replace_operation(history: History, old: Operation, new: Operation) -> History:
     return replace(history, operations=tuple(new if o is old else o for o in history.operations))
 
 
@@ -25,7 +25,7 @@
 
 
 def acknowledged_under_old_term(history: History) -> History:
-    """Let the first write of a group have been acknowledged under a higher term."""
+    """Move the commit of the first mark to a higher term and to the end of the history."""
     first = _first_write(history, Kind.MARK)
     members = tuple(
         replace(entry, term=HIGHER_TERM, time_ns=1 << 60)
@@ -37,7 +37,7 @@
 
 
 def lost_register(history: History) -> History:
-    """Take a written register out of the rows that the primary holds."""
+    """Remove a written register from the primary's rows."""
     write = _first_write(history, Kind.WRITE)
 
     def without(rows: GroupRows) -> GroupRows:
@@ -49,20 +49,20 @@
 
 
 def half_a_transaction(history: History) -> History:
-    """Let one row of a transaction be missing, whose caller was told that it is unknown."""
+    """Remove rows of a transaction whose outcome was reported as unknown."""
     done = _first_write(history, Kind.TRANSACTION)
-    history = _swap(history, done, replace(done, outcome=ClientOutcome.UNKNOWN))
+    history = _replace_operation(history, done, replace(done, outcome=ClientOutcome.UNKNOWN))
 
-    def halved(rows: GroupRows) -> GroupRows:
+    def remove_rows(rows: GroupRows) -> GroupRows:
         if done.number not in rows.ledger:
             return rows
         return replace(rows, ledger={**rows.ledger, done.number: 1})
 
-    return _with_rows(history, halved)
+    return _with_rows(history, remove_rows)
 
 
 def transaction_of_two_users(history: History) -> History:
-    """Let the second statement of a transaction belong to another login."""
+    """Change the user of a transaction's second statement."""
     commits = [entry for entry in history.members if entry.outcome == COMMITTED]
     for entry in commits:
         others = [e for e in commits if e is not entry and e.transaction == entry.transaction]
@@ -75,7 +75,7 @@
 
 
 def committed_twice(history: History) -> History:
-    """Let a request be committed in a second transaction."""
+    """Commit a request in a second transaction."""
     commit = next(
         e for e in history.members if e.outcome == COMMITTED and request_of(e) is not None
     )
@@ -84,28 +84,30 @@
 
 
 def failed_but_left_a_row(history: History) -> History:
-    """Say of a mark that left a row that it failed."""
+    """Report a mark as failed although it left a row."""
     mark = _first_write(history, Kind.MARK)
-    return _swap(history, mark, replace(mark, outcome=ClientOutcome.FAILED, sqlstate="23505"))
+    return _replace_operation(
+        history, mark, replace(mark, outcome=ClientOutcome.FAILED, sqlstate="23505")
+    )
 
 
 def refused_but_read(history: History) -> History:
-    """Say of a read that a member's history shows that it did not run."""
+    """Report a read as not run although a member's history contains it."""
     read = next(o for o in history.operations if o.kind is Kind.READ)
     statement = f"SELECT {read.number}::bigint AS request, 1 AS value"
     entry = replace(history.members[0], statement=statement, outcome=READ, transaction=0)
     history = replace(history, members=(*history.members, entry))
-    return _swap(history, read, replace(read, outcome=ClientOutcome.DID_NOT_RUN))
+    return _replace_operation(history, read, replace(read, outcome=ClientOutcome.DID_NOT_RUN))
 
 
-def left_with_an_error(history: History) -> History:
-    """Let a proxy end its planned stop with a code."""
+def drain_ended_with_error(history: History) -> History:
+    """Make a proxy end its planned stop with a non-zero exit code."""
     events = (Event(1, DRAIN_START, "proxy-1"), Event(2, DRAIN_END, "proxy-1", 1))
     return replace(history, events=(*history.events, *events))
 
 
-def turned_away(history: History) -> History:
-    """Refuse a request because its proxy leaves that it had before it was asked to."""
+def refused_by_drain(history: History) -> History:
+    """Refuse a request for draining although it arrived before the drain began."""
     mark = _first_write(history, Kind.MARK)
     late_ns = mark.start_ns + 100_000_000
     refused = replace(
@@ -115,11 +117,11 @@
         Event(late_ns, DRAIN_START, mark.proxy),
         Event(late_ns + 2, DRAIN_END, mark.proxy),
     )
-    return replace(_swap(history, mark, refused), events=(*history.events, *events))
+    return replace(_replace_operation(history, mark, refused), events=(*history.events, *events))
 
 
 def cut_by_first_stop(history: History) -> History:
-    """Cut a request in the first of two planned stops of its proxy."""
+    """Cut a request during the first of two planned stops of its proxy."""
     mark = _first_write(history, Kind.MARK)
     cut = replace(mark, outcome=ClientOutcome.UNKNOWN)
     first = (mark.start_ns + 1, mark.end_ns + 1)
@@ -129,23 +131,23 @@
         for stop in (first, second)
         for name, time_ns in zip((DRAIN_START, DRAIN_END), stop, strict=True)
     )
-    return replace(_swap(history, mark, cut), events=(*history.events, *events))
+    return replace(_replace_operation(history, mark, cut), events=(*history.events, *events))
 
 
 def never_written(history: History) -> History:
-    """Let a session read a number from its register that it never wrote."""
+    """Make a session read a number from its register that it never wrote."""
     read = next(
         o
         for o in history.operations
         if o.kind is Kind.READ and o.outcome is ClientOutcome.DONE and o.owner == o.session
     )
-    return _swap(history, read, replace(read, value=1 << 50))
+    return _replace_operation(history, read, replace(read, value=1 << 50))
 
 
-def repetition_at_first_sending(history: History) -> History:
-    """Answer a request that was sent once as if it repeated an earlier run."""
+def repeated_answer_to_first_attempt(history: History) -> History:
+    """Mark the answer to a request's first attempt as a repetition of an earlier execution."""
     mark = _first_write(history, Kind.MARK)
-    return _swap(history, mark, replace(mark, echo=None, repeated=True, attempt=1))
+    return _replace_operation(history, mark, replace(mark, echo=None, repeated=True, attempt=1))
 
 
 MORE_DAMAGES: dict[str, Callable[[History], History]] = {
@@ -156,9 +158,9 @@
     "committed twice": committed_twice,
     "failed but left a row": failed_but_left_a_row,
     "refused but read": refused_but_read,
-    "proxy left with an error": left_with_an_error,
-    "turned away by a drain": turned_away,
+    "proxy left with an error": drain_ended_with_error,
+    "turned away by a drain": refused_by_drain,
     "cut by the first of two stops": cut_by_first_stop,
     "never written": never_written,
-    "repetition at a first sending": repetition_at_first_sending,
+    "repetition at a first sending": repeated_answer_to_first_attempt,
 }
