--- a/features/mutants/simulator_safeguards.py
+++ b/features/mutants/simulator_safeguards.py
@@ -1,4 +1,4 @@
-"""Safeguards patched out in the simulator: each has to break its rule within a few seeds."""
+"""Mutants that disable one safeguard each; a simulated run must then violate a rule."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from features.support.simulator_scripts import (
     CUT_OFF_PROXIES,
     DRAINED_PROXIES,
-    LAGGARD,
-    LONE_LAGGARD,
+    LAGGING_REPLICA,
     LOST_ANSWERS,
     MUTED_PRIMARY,
+    ONLY_LAGGING_REPLICA,
     POWER_CUTS,
     RACES,
     SPLIT_LEADER,
@@ -47,11 +47,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SimulatedMutant:
-    """A safeguard and what it is replaced by.
+    """A safeguard and the code that replaces it.
 
-    :param checker: name of the rule that has to break
-    :param script: the failure that the safeguard is for; None for the seeds' own faults
-    :param seeds: tried in their order until it breaks
+    :param checker: name of the rule that must be violated
+    :param script: faults that the safeguard protects against; None for the faults of the seed
+    :param seeds: seeds to try in order until the rule is violated
     """
 
     name: str
@@ -62,9 +62,9 @@
     seeds: tuple[int, ...] = (1, 3, 5, 7, 9, 11)
 
     def run(self) -> bool:
-        """Tell whether the rule breaks without the safeguard.
+        """Tell whether the rule is violated without the safeguard.
 
-        :raises AssertionError: when it breaks with the safeguard too
+        :raises AssertionError: if it is violated with the safeguard too
         """
         for seed in self.seeds:
             if self.checker in self.broken_rules(seed, self.patch()):
@@ -74,23 +74,23 @@
         return False
 
     def broken_rules(self, seed: int, replacements: tuple[Replacement, ...]) -> set[str]:
-        """Return the names of the rules that a run breaks."""
+        """Return the names of the rules that a run violates."""
         result = run_seed(RunOptions(seed, script=self.script), replacements)
         return {violation.checker for violation in result.violations}
 
     def as_mutant(self) -> Mutant:
-        """Return it as the runner of all mutants takes it."""
+        """Return it in the form that the mutation runner expects."""
         return Mutant(self.name, self.safeguard, f"simulator {self.checker}", self.run)
 
 
-def _ignored_token() -> tuple[Replacement, ...]:
+def _token_ignored() -> tuple[Replacement, ...]:
     async def find_required(read: UnitRead) -> Ok:
         return Ok(LogPosition())
 
     return ((UnitRead, "_find_required", find_required),)
 
 
-def _position_of_another_connection() -> tuple[Replacement, ...]:
+def _positions_of_other_connections_accepted() -> tuple[Replacement, ...]:
     def accepts_replica(read: UnitRead, answer: object) -> bool:
         return answer.is_replica
 
@@ -110,11 +110,11 @@
     )
 
 
-def _promise_of_one() -> tuple[Replacement, ...]:
+def _majority_of_one() -> tuple[Replacement, ...]:
     return ((Promotion, "majority", property(lambda promotion: 1)),)
 
 
-def _least_advanced() -> tuple[Replacement, ...]:
+def _least_advanced_promoted() -> tuple[Replacement, ...]:
     def choose(promotion: Promotion) -> str:
         counting = promotion._counting()
         if len(counting) < promotion.majority:
@@ -128,12 +128,12 @@
     return ((lease_table, "reissue_after_s", lambda duration_s: duration_s * 0.3),)
 
 
-def _lease_kept() -> tuple[Replacement, ...]:
+def _lease_never_expires() -> tuple[Replacement, ...]:
     return ((HeldLeases, "expire", lambda held, now: False),)
 
 
 def _stamp_without_quorum() -> tuple[Replacement, ...]:
-    """A leader counts its own heartbeat rounds as answered by a majority."""
+    """Make a leader count its own heartbeat rounds as answered by a majority."""
 
     def own_round(lease: LeaderLease) -> int:
         return lease._replication.round_number
@@ -154,8 +154,8 @@
     return ((DurableLog, "write", write_unsynced),)
 
 
-def _older_state_taken() -> tuple[Replacement, ...]:
-    """Controllers lose what they confirmed, and proxies follow them back."""
+def _older_state_applied() -> tuple[Replacement, ...]:
+    """Let controllers lose confirmed revisions, and proxies accept the older state."""
 
     async def apply_snapshot(intake: ControlStateReceiver, snapshot: ControlSnapshot) -> None:
         intake._unsaved_snapshot = True
@@ -179,15 +179,15 @@
     return ((UnitWrite, "_execute", execute),)
 
 
-def _unknown_called_did_not_run() -> tuple[Replacement, ...]:
+def _unknown_reported_as_did_not_run() -> tuple[Replacement, ...]:
     def failure_of(write: UnitWrite, exchange: object, failure: Failure) -> Failure:
         return Failure(ResultCode.NO_PRIMARY, failure.detail)
 
     return ((UnitWrite, "_failure_of", failure_of),)
 
 
-def _stray_answer_taken() -> tuple[Replacement, ...]:
-    """Neither what came while a connection was idle nor the check behind a read is looked at."""
+def _stray_answer_accepted() -> tuple[Replacement, ...]:
+    """Skip the check for data on idle connections and the check after a read."""
 
     def plan(read: UnitRead, decision: object, connection: BackendConnection) -> ExchangePlan:
         return ExchangePlan(None, check_after=False, is_write=False)
@@ -214,15 +214,15 @@
     return ((ControlState, "_decide_plan", confirm_any),)
 
 
-def _first_answer_forgotten() -> tuple[Replacement, ...]:
+def _first_answer_not_stored() -> tuple[Replacement, ...]:
     return (
         (ControlState, "first_answer", lambda state, operator, request_id: None),
         (PlanStore, "outcome", lambda book, plan_id: None),
     )
 
 
-def plan_in_force_at_once() -> tuple[Replacement, ...]:
-    """Return the replacement that brings each plan into force as soon as it is recorded."""
+def plan_in_force_before_confirmation() -> tuple[Replacement, ...]:
+    """Return a replacement that brings each plan into force as soon as it is recorded."""
     apply = ControlState.apply
 
     def apply_plan(state: ControlState, index: int, entry: object) -> ApplyResult:
@@ -256,18 +256,18 @@
     return ((drain, "_wait_for_clients", cut),)
 
 
-_SIMULATED = (
+_SIMULATED_MUTANTS = (
     SimulatedMutant(
         "reads ignore the token",
         "UnitRead._find_required",
         "read-your-writes",
-        _ignored_token,
+        _token_ignored,
     ),
     SimulatedMutant(
         "positions of other connections count",
         "UnitRead._accepts_replica",
         "read-your-writes",
-        _position_of_another_connection,
+        _positions_of_other_connections_accepted,
     ),
     SimulatedMutant(
         "acknowledgements of any term are relayed",
@@ -280,15 +280,15 @@
         "one promise is enough",
         "Promotion.majority",
         "acknowledged-writes",
-        _promise_of_one,
-        LONE_LAGGARD,
+        _majority_of_one,
+        ONLY_LAGGING_REPLICA,
     ),
     SimulatedMutant(
         "the least advanced member is promoted",
         "Promotion.choose",
         "acknowledged-writes",
-        _least_advanced,
-        LAGGARD,
+        _least_advanced_promoted,
+        LAGGING_REPLICA,
     ),
     SimulatedMutant(
         "leases are reissued early",
@@ -308,7 +308,7 @@
         "a holder keeps its lease for ever",
         "HeldLeases.expire",
         "lease-outlived",
-        _lease_kept,
+        _lease_never_expires,
         CUT_OFF_PROXIES,
     ),
     SimulatedMutant(
@@ -322,7 +322,7 @@
         "a proxy takes an older state",
         "ControlStateReceiver.apply_snapshot",
         "revision-monotonic",
-        _older_state_taken,
+        _older_state_applied,
         POWER_CUTS,
     ),
     SimulatedMutant(
@@ -343,14 +343,14 @@
         "unknown is called did not run",
         "UnitWrite._failure_of",
         "did-not-run",
-        _unknown_called_did_not_run,
+        _unknown_reported_as_did_not_run,
         LOST_ANSWERS,
     ),
     SimulatedMutant(
         "a stray answer is taken for the next one",
         "BackendConnection.check_idle",
         "answers",
-        _stray_answer_taken,
+        _stray_answer_accepted,
         STRAY_ANSWERS,
     ),
     SimulatedMutant(
@@ -370,14 +370,14 @@
         "first answers are forgotten",
         "ControlState.first_answer",
         "first-answer",
-        _first_answer_forgotten,
+        _first_answer_not_stored,
         RACES,
     ),
     SimulatedMutant(
         "a plan is in force at once",
         "ControlState.apply",
         "only-confirmed",
-        plan_in_force_at_once,
+        plan_in_force_before_confirmation,
     ),
     SimulatedMutant(
         "a leaving member is used",
@@ -394,4 +394,4 @@
     ),
 )
 
-MUTANTS = tuple(mutant.as_mutant() for mutant in _SIMULATED)
+MUTANTS = tuple(mutant.as_mutant() for mutant in _SIMULATED_MUTANTS)
--- a/features/simulator.feature
+++ b/features/simulator.feature
@@ -1,14 +1,14 @@
-Feature: The simulator repeats itself, holds the product to its promises and shows what broke one
+Feature: The simulator is deterministic, checks the product's guarantees and reports violations
 
-  Scenario: simulator: a seed gives the same trace in another process, after other runs and with other hashes
-    When simulator: processes run seeds "1" and "2,1" with different hashes of strings
+  Scenario: simulator: a seed gives the same trace in another process, after other runs and with another hash seed
+    When simulator: processes run seeds "1" and "2,1" with different hash seeds
     Then simulator: seed 1 has the same trace in both
 
-  Scenario: simulator: the fixed seeds hold every promise and exercise every path
+  Scenario: simulator: the fixed seeds violate no rule and exercise every path
     When simulator: the command runs seeds "1-8,24,35,42,48" on 4 cores
     Then simulator: it exits with 0
-    And simulator: its last line tells the seeds "1-8,24,35,42,48", the events and 0 violations
-    And simulator: it tells that nothing was left out
+    And simulator: its last line gives the seeds "1-8,24,35,42,48", the number of events and 0 violations
+    And simulator: it reports that everything was exercised
     And simulator: it exercised every kind of fault
     And simulator: it exercised these paths
       | path                |
@@ -23,21 +23,21 @@
       | proxy-drained       |
       | confirm-resent      |
 
-  Scenario: simulator: a primary that restarts right after its promotion is replaced in its turn
+  Scenario: simulator: a primary that crashes right after its promotion is replaced again
     When simulator: seed 1 runs with the script "NEW_PRIMARY_LOST"
-    Then simulator: no promise is broken
-    And simulator: the group "catchup-1" had a third primary before the failures were over
+    Then simulator: no rule is violated
+    And simulator: the group "catchup-1" had a third primary before the faults ended
 
-  Scenario: simulator: a broken promise is told with its seed, and its trace is run again
-    When simulator: the command runs a seed in which plans are in force at once
+  Scenario: simulator: a violation is reported with its seed, and its trace can be replayed
+    When simulator: the command runs a seed with plans in force before their confirmation
     Then simulator: it exits with 1
-    And simulator: it tells "violation: seed=1" and "only-confirmed"
-    And simulator: the written trace breaks "only-confirmed" when it is run again
+    And simulator: it prints "violation: seed=1" and "only-confirmed"
+    And simulator: replaying the written trace violates "only-confirmed" again
 
-  Scenario Outline: simulator: only the faults that matter are kept of <faults>
-    Given simulator: a rule that breaks when the faults <needed> come together
+  Scenario Outline: simulator: the faults <faults> are reduced to those needed for the violation
+    Given simulator: a rule that is violated if the faults <needed> are all injected
     When simulator: the run with faults <faults> is shortened
-    Then simulator: the faults <needed> are left
+    Then simulator: the faults <needed> remain
 
     Examples:
       | faults            | needed |
@@ -46,23 +46,23 @@
       | 0,1,2,3,4,5,6,7,8 | 2,7    |
       | 4                 | 4      |
 
-  Scenario Outline: simulator: seeds given as <text> are <seeds>, told as <told>
-    When simulator: the seeds "<text>" are read
-    Then simulator: they are "<seeds>" and told as "<told>"
+  Scenario Outline: simulator: seeds given as <text> are parsed as <seeds> and formatted as <formatted>
+    When simulator: the seeds "<text>" are parsed
+    Then simulator: they are "<seeds>", formatted as "<formatted>"
 
     Examples:
-      | text    | seeds     | told  |
-      | 3       | 3         | 3     |
-      | 3-5     | 3 4 5     | 3-5   |
-      | 1,7-8   | 1 7 8     | 1,7-8 |
-      | 2,3,4   | 2 3 4     | 2-4   |
-      | x       | not valid | none  |
-      | 5-      | not valid | none  |
+      | text    | seeds     | formatted |
+      | 3       | 3         | 3         |
+      | 3-5     | 3 4 5     | 3-5       |
+      | 1,7-8   | 1 7 8     | 1,7-8     |
+      | 2,3,4   | 2 3 4     | 2-4       |
+      | x       | not valid | none      |
+      | 5-      | not valid | none      |
 
-  Scenario Outline: simulator: the checker <checker> sees <damage>
+  Scenario Outline: simulator: the checker <checker> detects <damage>
     Given simulator: a history with <damage>
     When simulator: the checkers run
-    Then simulator: "<checker>" alone finds something
+    Then simulator: only "<checker>" reports violations
 
     Examples:
       | checker                  | damage                                       |
@@ -91,7 +91,7 @@
       | drain                    | a request cut by a drain                     |
       | drain                    | a request in flight refused by a drain       |
 
-  Scenario: simulator: the checkers say nothing of a sound history
+  Scenario: simulator: the checkers report nothing for a valid history
     Given simulator: a history with nothing wrong
     When simulator: the checkers run
-    Then simulator: nothing is found
+    Then simulator: no violations are reported
--- a/features/steps/simulator_steps.py
+++ b/features/steps/simulator_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the simulator: repetition, the command, shortening, and its checkers."""
+"""Steps for the simulator: determinism, the command, fault reduction and the checkers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from behave import given, then, when
 
-from features.mutants.simulator_safeguards import plan_in_force_at_once
+from features.mutants.simulator_safeguards import plan_in_force_before_confirmation
 from features.support import simulator_scripts
 from features.support.simulator_histories import history_with
 from limedyke_lab.simulator import command
@@ -46,7 +46,7 @@
     return finished
 
 
-@when('simulator: processes run seeds "{one}" and "{other}" with different hashes of strings')
+@when('simulator: processes run seeds "{one}" and "{other}" with different hash seeds')
 def when_processes(context, one, other):
     def digests(seeds, hash_seed):
         finished = run_python(["-c", DIGEST_PROGRAM, seeds], hash_seed)
@@ -76,7 +76,7 @@
     assert context.status == status, context.output
 
 
-@then('simulator: its last line tells the seeds "{seeds}", the events and 0 violations')
+@then('simulator: its last line gives the seeds "{seeds}", the number of events and 0 violations')
 def then_last_line(context, seeds):
     last = context.output.splitlines()[-1]
     assert re.fullmatch(rf"simulate: seeds={seeds} events=\d{{5,}} violations=0", last), last
@@ -88,8 +88,8 @@
     return set(lines[0].split()[2:])
 
 
-@then("simulator: it tells that nothing was left out")
-def then_nothing_left_out(context):
+@then("simulator: it reports that everything was exercised")
+def then_everything_exercised(context):
     missing = not_exercised(context)
     assert missing == {"none"}, missing
 
@@ -113,12 +113,12 @@
     context.result = run_seed(RunOptions(seed, script=script))
 
 
-@then("simulator: no promise is broken")
-def then_sound(context):
+@then("simulator: no rule is violated")
+def then_no_rule_violated(context):
     assert not context.result.violations, [str(found) for found in context.result.violations]
 
 
-@then('simulator: the group "{group}" had a third primary before the failures were over')
+@then('simulator: the group "{group}" had a third primary before the faults ended')
 def then_third_primary(context, group):
     events = [line for line in context.result.trace if not line.startswith("fault=")]
     until = next(number for number, line in enumerate(events) if " event=healed " in line)
@@ -128,22 +128,22 @@
 
 
 class InlinePool:
-    """Runs in this process, where parts of the product can be replaced."""
+    """A pool that runs in this process, so that product code can be replaced."""
 
     def __enter__(self):
         return self
 
     def __exit__(self, *arguments):
-        """Nothing to end."""
+        """No effect."""
 
     def map(self, function, options):
-        """Return what the function makes of each."""
+        """Apply the function to each item."""
         return map(function, options)
 
 
 @contextmanager
-def plans_at_once():
-    mutated = functools.partial(run_seed, mutations=plan_in_force_at_once())
+def plans_in_force_before_confirmation():
+    mutated = functools.partial(run_seed, mutations=plan_in_force_before_confirmation())
     with (
         mock.patch.object(command, "make_pool", lambda workers: InlinePool()),
         mock.patch.object(command, "run_seed", mutated),
@@ -151,34 +151,34 @@
         yield
 
 
-@when("simulator: the command runs a seed in which plans are in force at once")
-def when_mutated(context):
+@when("simulator: the command runs a seed with plans in force before their confirmation")
+def when_unconfirmed_plans(context):
     context.trace = context.folder / "trace"
     output = io.StringIO()
-    with plans_at_once(), redirect_stdout(output):
+    with plans_in_force_before_confirmation(), redirect_stdout(output):
         context.status = command.simulate(
             "1", workers=1, trace=str(context.trace), seconds=SHORT_FAULTS_S
         )
     context.output = output.getvalue()
 
 
-@then('simulator: it tells "{one}" and "{other}"')
-def then_tells(context, one, other):
+@then('simulator: it prints "{one}" and "{other}"')
+def then_prints(context, one, other):
     assert one in context.output, context.output
     assert other in context.output, context.output
 
 
-@then('simulator: the written trace breaks "{rule}" when it is run again')
+@then('simulator: replaying the written trace violates "{rule}" again')
 def then_replayed(context, rule):
     options = command.read_replay(context.trace)
     written = context.trace.read_text().splitlines()[1:]
-    with plans_at_once():
+    with plans_in_force_before_confirmation():
         again = command.run_quietly(options)
     assert rule in again.rules, again.violations
     assert written == [*again.violations, *again.trace]
 
 
-def numbers(text):
+def parse_numbers(text):
     return tuple(int(part) for part in text.split(","))
 
 
@@ -197,25 +197,25 @@
     )
 
 
-@given("simulator: a rule that breaks when the faults {needed} come together")
+@given("simulator: a rule that is violated if the faults {needed} are all injected")
 def given_rule(context, needed):
-    context.needed = numbers(needed)
+    context.needed = parse_numbers(needed)
 
 
 @when("simulator: the run with faults {faults} is shortened")
 def when_shortened(context, faults):
     run = functools.partial(outcome_of, needed=context.needed)
-    whole = run(RunOptions(1, only_faults=numbers(faults)))
+    whole = run(RunOptions(1, only_faults=parse_numbers(faults)))
     with mock.patch.object(command, "run_quietly", run):
         context.shortened = command.shorten(InlinePool(), whole, SHORT_FAULTS_S)
 
 
-@then("simulator: the faults {needed} are left")
-def then_left(context, needed):
-    assert context.shortened.faults == numbers(needed), context.shortened
+@then("simulator: the faults {needed} remain")
+def then_remaining(context, needed):
+    assert context.shortened.faults == parse_numbers(needed), context.shortened
 
 
-@when('simulator: the seeds "{text}" are read')
+@when('simulator: the seeds "{text}" are parsed')
 def when_seeds(context, text):
     try:
         seeds = command.parse_seeds(text)
@@ -225,9 +225,9 @@
         context.seeds = (" ".join(map(str, seeds)), command.format_seeds(seeds))
 
 
-@then('simulator: they are "{seeds}" and told as "{told}"')
-def then_seeds(context, seeds, told):
-    assert context.seeds == (seeds, told), context.seeds
+@then('simulator: they are "{seeds}", formatted as "{formatted}"')
+def then_seeds(context, seeds, formatted):
+    assert context.seeds == (seeds, formatted), context.seeds
 
 
 @given("simulator: a history with {damage}")
@@ -240,12 +240,12 @@
     context.violations = check_all(context.record)
 
 
-@then('simulator: "{checker}" alone finds something')
+@then('simulator: only "{checker}" reports violations')
 def then_found(context, checker):
     found = {violation.checker for violation in context.violations}
     assert found == {checker}, [str(violation) for violation in context.violations]
 
 
-@then("simulator: nothing is found")
+@then("simulator: no violations are reported")
 def then_nothing(context):
     assert not context.violations, [str(violation) for violation in context.violations]
--- a/features/support/simulator_histories.py
+++ b/features/support/simulator_histories.py
@@ -1,4 +1,4 @@
-"""Hand-made histories for the simulator's checkers: one sound, the others damaged in one way."""
+"""Hand-written histories for the simulator's checkers: a valid one, and ones with one damage."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from limedyke_lab.simulator.statements import Put
 
 GROUP = "group"
-SECOND = 1.0
+EVENT_INTERVAL_S = 1.0
 
 
-class Story:
-    """A history that is told event by event, and the logs at its end."""
+class HistoryBuilder:
+    """Builds a history event by event, and the final logs."""
 
     def __init__(self) -> None:
         self.kernel = Kernel(1)
@@ -27,20 +27,20 @@
         self.healed_at = 0.0
 
     def add(self, kind: str, **fields: Any) -> None:
-        """Tell an event, a second after the one before."""
-        self.kernel.now += SECOND
+        """Add an event, one second after the previous one."""
+        self.kernel.now += EVENT_INTERVAL_S
         self.history.add(kind, **fields)
 
     def log(self, *requests: str, callers: tuple[str, ...] = ("caller",)) -> None:
-        """Put a record with writes into the group's final log."""
+        """Append a record with writes to the group's final log."""
         puts = [
             Put(name, f"{name}#1", "tenant", callers[number % len(callers)], "key")
             for number, name in enumerate(requests)
         ]
         self.logs.append(Record(1, "member", tuple(puts)))
 
-    def ask(self, name: str, operation: str, **fields: Any) -> None:
-        """Tell a request."""
+    def request(self, name: str, operation: str, **fields: Any) -> None:
+        """Add a request."""
         self.add(
             "request",
             request=name,
@@ -54,7 +54,7 @@
         )
 
     def answer(self, name: str, operation: str, **changes: Any) -> None:
-        """Tell the answer to a request; done, with its own results, unless said otherwise."""
+        """Add the answer to a request; by default it is done, with the request's own results."""
         fields = {
             "request": name,
             "attempt": 1,
@@ -77,13 +77,13 @@
         self.add("answer", **fields | changes)
 
     def write(self, name: str, **changes: Any) -> None:
-        """Tell a write and its answer, and keep it in the log."""
-        self.ask(name, "write")
+        """Add a write and its answer, and append the write to the log."""
+        self.request(name, "write")
         self.log(name)
         self.answer(name, "write", **changes)
 
     def in_force(self, index: int, revision: int, **changes: Any) -> None:
-        """Tell that a proxy took a view into force."""
+        """Add the event that a proxy applied a control view."""
         fields = {
             "proxy": "proxy-1",
             "control_index": index,
@@ -96,7 +96,7 @@
         self.add("in-force", **fields | changes)
 
     def revise(self, revision: int, confirmed: bool = True) -> None:
-        """Tell that a controller applied a revision, asked for unless said otherwise."""
+        """Add a revision that a controller applied, by default after an operator confirmed it."""
         digest = f"content-{revision}"
         self.digests.setdefault(revision, digest)
         if confirmed:
@@ -110,7 +110,7 @@
         )
 
     def confirmed(self, revision: int, **changes: Any) -> None:
-        """Tell the answer to a confirmation."""
+        """Add the answer to a confirmation."""
         fields = {
             "operator": "operator",
             "request": f"request-{revision}",
@@ -124,7 +124,7 @@
         self.add("confirm-answer", **fields | changes)
 
     def record(self) -> RunRecord:
-        """Return what the checkers read."""
+        """Return the finished record for the checkers."""
         return RunRecord(
             history=self.history,
             final_logs={GROUP: tuple(self.logs)},
@@ -136,145 +136,147 @@
         )
 
 
-def _sound(story: Story) -> None:
-    story.add("proxy-started", proxy="proxy-1")
-    story.add("controller-leads", controller="controller-1", term=1)
-    story.add("primary", member="member", group=GROUP, term=1)
-    story.revise(1)
-    story.in_force(10, 1)
-    story.confirmed(1)
-    story.confirmed(1)
-    story.add("lease", proxy="proxy-1", holdings=((GROUP, "tenant", 8),), expires=1e9)
-    story.write("caller.1")
-    story.ask("caller.2", "read")
-    story.answer("caller.2", "read", must_hold="caller.1")
-    story.add("proxy-at-end", proxy="proxy-1")
+def _add_valid_history(builder: HistoryBuilder) -> None:
+    builder.add("proxy-started", proxy="proxy-1")
+    builder.add("controller-leads", controller="controller-1", term=1)
+    builder.add("primary", member="member", group=GROUP, term=1)
+    builder.revise(1)
+    builder.in_force(10, 1)
+    builder.confirmed(1)
+    builder.confirmed(1)
+    builder.add("lease", proxy="proxy-1", holdings=((GROUP, "tenant", 8),), expires=1e9)
+    builder.write("caller.1")
+    builder.request("caller.2", "read")
+    builder.answer("caller.2", "read", must_hold="caller.1")
+    builder.add("proxy-at-end", proxy="proxy-1")
 
 
-def _stale_read(story: Story) -> None:
-    story.ask("caller.3", "read")
-    story.answer("caller.3", "read", must_hold="caller.1", holds_own_write=False)
+def _stale_read(builder: HistoryBuilder) -> None:
+    builder.request("caller.3", "read")
+    builder.answer("caller.3", "read", must_hold="caller.1", holds_own_write=False)
 
 
-def _lost_write(story: Story) -> None:
-    story.ask("caller.3", "write")
-    story.answer("caller.3", "write")
+def _lost_write(builder: HistoryBuilder) -> None:
+    builder.request("caller.3", "write")
+    builder.answer("caller.3", "write")
 
 
-def _old_acknowledgement(story: Story) -> None:
-    story.in_force(11, 1, terms=((GROUP, 2),))
-    story.add("acknowledged", proxy="proxy-1", group=GROUP, member="member", term=1)
+def _old_acknowledgement(builder: HistoryBuilder) -> None:
+    builder.in_force(11, 1, terms=((GROUP, 2),))
+    builder.add("acknowledged", proxy="proxy-1", group=GROUP, member="member", term=1)
 
 
-def _late_commit(story: Story) -> None:
-    story.add("primary", member="member-2", group=GROUP, term=2)
-    story.add("committed", member="member", group=GROUP, term=1, position=9, requests=("caller.3",))
-    story.write("caller.3")
+def _late_commit(builder: HistoryBuilder) -> None:
+    builder.add("primary", member="member-2", group=GROUP, term=2)
+    builder.add(
+        "committed", member="member", group=GROUP, term=1, position=9, requests=("caller.3",)
+    )
+    builder.write("caller.3")
 
 
-def _mixed_record(story: Story) -> None:
-    story.ask("caller.3", "write")
-    story.ask("caller.4", "write")
-    story.log("caller.3", "caller.4", callers=("caller", "other"))
+def _mixed_record(builder: HistoryBuilder) -> None:
+    builder.request("caller.3", "write")
+    builder.request("caller.4", "write")
+    builder.log("caller.3", "caller.4", callers=("caller", "other"))
 
 
-def _half_record(story: Story) -> None:
+def _half_record(builder: HistoryBuilder) -> None:
     for name in ("caller.3", "caller.4"):
-        story.ask(name, "put-in-transaction", transaction="caller.3")
-        story.answer(name, "put-in-transaction", transaction="caller.3", in_transaction=True)
-    story.log("caller.3")
+        builder.request(name, "put-in-transaction", transaction="caller.3")
+        builder.answer(name, "put-in-transaction", transaction="caller.3", in_transaction=True)
+    builder.log("caller.3")
 
 
-def _foreign_answer(story: Story) -> None:
-    story.ask("caller.3", "read")
-    story.answer("caller.3", "read", results=("caller.9#1",))
+def _foreign_answer(builder: HistoryBuilder) -> None:
+    builder.request("caller.3", "read")
+    builder.answer("caller.3", "read", results=("caller.9#1",))
 
 
-def _stray_answer(story: Story) -> None:
-    story.add("stray-answer", session="caller", proxy="proxy-1")
+def _stray_answer(builder: HistoryBuilder) -> None:
+    builder.add("stray-answer", session="caller", proxy="proxy-1")
 
 
-def _refused_but_ran(story: Story) -> None:
-    story.ask("caller.3", "read")
-    story.add("executed", member="member", attempt="caller.3#1")
-    story.answer("caller.3", "read", outcome=Outcome.DID_NOT_RUN.value, code="LD3003")
+def _refused_but_ran(builder: HistoryBuilder) -> None:
+    builder.request("caller.3", "read")
+    builder.add("executed", member="member", attempt="caller.3#1")
+    builder.answer("caller.3", "read", outcome=Outcome.DID_NOT_RUN.value, code="LD3003")
 
 
-def _committed_twice(story: Story) -> None:
-    story.write("caller.3")
-    story.log("caller.3")
+def _committed_twice(builder: HistoryBuilder) -> None:
+    builder.write("caller.3")
+    builder.log("caller.3")
 
 
-def _went_back(story: Story) -> None:
-    story.in_force(20, 1)
-    story.in_force(19, 1)
+def _older_revision(builder: HistoryBuilder) -> None:
+    builder.in_force(20, 1)
+    builder.in_force(19, 1)
 
 
-def _other_content(story: Story) -> None:
-    story.in_force(20, 1, digest="other")
+def _other_content(builder: HistoryBuilder) -> None:
+    builder.in_force(20, 1, digest="other")
 
 
-def _stayed_behind(story: Story) -> None:
-    story.revise(2)
-    story.confirmed(2)
+def _revision_not_applied(builder: HistoryBuilder) -> None:
+    builder.revise(2)
+    builder.confirmed(2)
 
 
-def _above_limit(story: Story) -> None:
+def _above_limit(builder: HistoryBuilder) -> None:
     holdings = ((GROUP, "tenant", 3),)
-    story.add("lease", proxy="proxy-2", holdings=holdings, expires=1e9)
+    builder.add("lease", proxy="proxy-2", holdings=holdings, expires=1e9)
 
 
-def _lease_too_long(story: Story) -> None:
-    story.add("lease", proxy="proxy-1", holdings=((GROUP, "tenant", 1),), expires=0.0)
-    story.add("lease", proxy="proxy-1", holdings=(), expires=0.0)
+def _lease_too_long(builder: HistoryBuilder) -> None:
+    builder.add("lease", proxy="proxy-1", holdings=((GROUP, "tenant", 1),), expires=0.0)
+    builder.add("lease", proxy="proxy-1", holdings=(), expires=0.0)
 
 
-def _two_winners(story: Story) -> None:
-    story.confirmed(1, plan="plan-other", request="request-other")
+def _two_winners(builder: HistoryBuilder) -> None:
+    builder.confirmed(1, plan="plan-other", request="request-other")
 
 
-def _two_answers(story: Story) -> None:
-    story.confirmed(1, answer="Refused")
+def _two_answers(builder: HistoryBuilder) -> None:
+    builder.confirmed(1, answer="Refused")
 
 
-def _no_winner(story: Story) -> None:
+def _no_winner(builder: HistoryBuilder) -> None:
     conflict = ResultCode.REVISION_CONFLICT.value.number
-    story.confirmed(2, answer="Refused", refused=conflict)
+    builder.confirmed(2, answer="Refused", refused=conflict)
 
 
-def _unconfirmed(story: Story) -> None:
-    story.revise(2, confirmed=False)
-    story.in_force(20, 2)
-    story.healed_at = story.kernel.now
+def _unconfirmed(builder: HistoryBuilder) -> None:
+    builder.revise(2, confirmed=False)
+    builder.in_force(20, 2)
+    builder.healed_at = builder.kernel.now
 
 
-def _two_leaders(story: Story) -> None:
-    story.add("controller-leads", controller="controller-2", term=1)
+def _two_leaders(builder: HistoryBuilder) -> None:
+    builder.add("controller-leads", controller="controller-2", term=1)
 
 
-def _two_primaries(story: Story) -> None:
-    story.add("primary", member="member-2", group=GROUP, term=1)
+def _two_primaries(builder: HistoryBuilder) -> None:
+    builder.add("primary", member="member-2", group=GROUP, term=1)
 
 
-def _work_for_leaving(story: Story) -> None:
-    story.in_force(11, 1, leaving=("member-2",))
+def _work_for_leaving(builder: HistoryBuilder) -> None:
+    builder.in_force(11, 1, leaving=("member-2",))
     for _ in range(4):
-        story.add("work-sent", proxy="proxy-1", member="member-2", in_transaction=False)
+        builder.add("work-sent", proxy="proxy-1", member="member-2", in_transaction=False)
 
 
-def _cut_by_drain(story: Story) -> None:
-    story.add("request-cut", request="caller.3", proxy="proxy-1", by_proxy=True)
+def _cut_by_drain(builder: HistoryBuilder) -> None:
+    builder.add("request-cut", request="caller.3", proxy="proxy-1", by_proxy=True)
 
 
-def _refused_by_drain(story: Story) -> None:
-    story.ask("caller.3", "read")
-    story.add("drain-asked", proxy="proxy-1")
+def _refused_by_drain(builder: HistoryBuilder) -> None:
+    builder.request("caller.3", "read")
+    builder.add("drain-asked", proxy="proxy-1")
     label = ResultCode.DRAINING.label
-    story.answer("caller.3", "read", outcome=Outcome.DID_NOT_RUN.value, code=label)
+    builder.answer("caller.3", "read", outcome=Outcome.DID_NOT_RUN.value, code=label)
 
 
-DAMAGES: dict[str, Callable[[Story], None]] = {
-    "nothing wrong": lambda story: None,
+DAMAGES: dict[str, Callable[[HistoryBuilder], None]] = {
+    "nothing wrong": lambda builder: None,
     "a read without the session's own write": _stale_read,
     "an acknowledged write that is in no log": _lost_write,
     "an acknowledgement under a term known as old": _old_acknowledgement,
@@ -285,9 +287,9 @@
     "an answer without a request": _stray_answer,
     "a refused request that ran": _refused_but_ran,
     "a write that is in the log twice": _committed_twice,
-    "a proxy that went back": _went_back,
+    "a proxy that went back": _older_revision,
     "another content under the same number": _other_content,
-    "a proxy that stayed behind": _stayed_behind,
+    "a proxy that stayed behind": _revision_not_applied,
     "leases above the limit": _above_limit,
     "a lease held too long": _lease_too_long,
     "two plans confirmed from one revision": _two_winners,
@@ -303,8 +305,8 @@
 
 
 def history_with(damage: str) -> RunRecord:
-    """Return a run whose history is sound but for one damage."""
-    story = Story()
-    _sound(story)
-    DAMAGES[damage](story)
-    return story.record()
+    """Return a run whose history is valid except for one damage."""
+    builder = HistoryBuilder()
+    _add_valid_history(builder)
+    DAMAGES[damage](builder)
+    return builder.record()
