--- a/limedyke_lab/database/__init__.py
+++ b/limedyke_lab/database/__init__.py
@@ -1,16 +1,16 @@
 """Stand-in for one member of a PostgreSQL-speaking database group.
 
-One process is one member, on curio, with PostgreSQL's protocol version 3 towards clients, SQLite
-as SQL engine and a replicated log of its own. It exists to test the product against failures;
-it is no database to keep data in.
+Each process runs one member. It uses curio, speaks PostgreSQL protocol version 3 to clients,
+executes SQL with SQLite and keeps its own replicated log. It exists to test the product against
+failures and is not meant for storing real data.
 
 SQL functions
 -------------
 | function | type | answer |
 |---|---|---|
-| ``group_term()`` | int8 | term under whose primary the applied log was last verified; a primary's own term; 0 = not verified since start |
-| ``group_role()`` | text | primary, replica, promised (takes part in no term yet, or is being promoted), removed |
-| ``pg_is_in_recovery()`` | bool | false only on a primary that takes writes |
+| ``group_term()`` | int8 | term under whose primary the applied log was last verified; on a primary, its own term; 0 = not verified since start |
+| ``group_role()`` | text | primary, replica, promised (follows no primary in the promised term yet, or is being promoted), removed |
+| ``pg_is_in_recovery()`` | bool | false only on a primary that accepts writes |
 | ``pg_current_wal_lsn()`` | text | primary: position of the last local commit; elsewhere error 55000 |
 | ``pg_last_wal_replay_lsn()`` | text | replica: position of the last applied record; NULL on a primary |
 | ``group_promise(T [, 'promoter'])`` | text | lab_admin, limedyke_admin: promises T; answers 'term of last record,X/Y end of log'; 55000 with the promised term in the detail when T is not higher; the same T from the same named promoter answers again |
@@ -32,11 +32,12 @@
 A primary executes, syncs the transaction's record to its log, commits locally and answers the
 client only when a majority of the group has synced the record under the current term. Replicas
 apply majority-committed records after the lag. A member follows one primary per term, refuses
-lower terms than it promised, and cuts a tail of its log that the new primary does not have; when
-SQLite stood beyond the cut it is rebuilt from the log and all sessions end with 57P01. A restarted
+terms lower than the one it promised, and truncates records that the new primary does not have; when
+SQLite had applied records beyond the cut, it is rebuilt from the log and all sessions end with
+57P01. A restarted
 member is a replica of term 0 until a primary contacts it. As with PostgreSQL's synchronous
 replication, readers on a primary may see a local commit that is not acknowledged yet. A commit
-whose acknowledgement can no longer come answers 40003. Writes elsewhere answer 25006.
+that can no longer be acknowledged fails with 40003. Writes on any other member fail with 25006.
 
 Limits
 ------
@@ -44,8 +45,8 @@
 ``random()`` are logged with the transaction. Writes are serial (one lock per member, taken at the
 first write). Reads see the newest commit per statement; REPEATABLE READ keeps one snapshot.
 Results are held in memory. The log is never compacted, and a member whose data folder was emptied
-counts as an ordinary member at once: it has forgotten its promises. No COPY, LISTEN, cursors,
+counts as an ordinary member at once, although it has lost its promises. No COPY, LISTEN, cursors,
 SQL-level PREPARE, data-modifying CTEs or replicated writes that read temporary tables.
-SQLite's typing applies: a column has the type of its first value that is not NULL, booleans of
-columns are 0 and 1, division by zero is NULL.
+SQLite's typing applies: a column has the type of its first non-NULL value, boolean columns
+contain 0 and 1, and division by zero yields NULL.
 """  # noqa: E501
--- a/limedyke_lab/database/command.py
+++ b/limedyke_lab/database/command.py
@@ -10,7 +10,7 @@
 
 _USAGE_ERROR = 2
 _SERVE = "limedyke_lab.database.server:serve"
-"""Resolved when a member runs, so that the lab's other commands start quickly."""
+"""Imported only when a member runs, so that the lab's other commands start quickly."""
 
 
 def run_database(
--- a/limedyke_lab/database/errors.py
+++ b/limedyke_lab/database/errors.py
@@ -7,12 +7,12 @@
 
 @dataclass(eq=False)
 class SqlError(Exception):
-    """An error answered to the client as ErrorResponse.
+    """An error sent to the client as an ErrorResponse.
 
     :param sqlstate: the five characters of PostgreSQL's error code
     :param message: primary message
     :param detail: optional detail field
-    :param fatal: whether the connection is closed after the answer
+    :param fatal: whether the connection is closed after the response
     """
 
     sqlstate: str
@@ -25,7 +25,7 @@
 
 
 class ConnectionCutError(Exception):
-    """The connection has to be closed without a further answer."""
+    """Closes the connection without a further response."""
 
 
 _SQLITE_PATTERNS = (
@@ -63,12 +63,12 @@
 
 
 def read_only() -> SqlError:
-    """Return the error of a write on a member that is not the primary."""
+    """Return the error for a write on a member that is not the primary."""
     message = "cannot execute a write in a read-only transaction: this member is not the primary"
     return SqlError("25006", message)
 
 
 def outcome_unknown() -> SqlError:
-    """Return the error of a commit whose majority was never confirmed."""
+    """Return the error for a commit that a majority never confirmed."""
     message = "the commit was not acknowledged by a majority of the group"
     return SqlError("40003", message, "The transaction may or may not survive.")
--- a/limedyke_lab/database/execution.py
+++ b/limedyke_lab/database/execution.py
@@ -62,7 +62,7 @@
             raise
 
     def _raise_abort(self) -> None:
-        """Raise the error of a transaction that the member rolled back."""
+        """Raise the pending error if the member rolled back the transaction."""
         transaction = self._session.transaction
         if transaction.abort_error is None:
             return
@@ -113,11 +113,14 @@
             session.context.clear()
         if not is_temporary:
             transaction.log_statement(statement.sql, parameters[: statement.parameter_count])
-        session.runner.note_executed(statement.text)
+        session.runner.record_executed(statement.text)
         return result
 
     def _is_temporary(self, statement: Statement) -> bool:
-        """Whether a write goes to a temporary table; refuses replicated writes that read one."""
+        """Return whether a write targets a temporary table.
+
+        Rejects replicated writes that read a temporary table.
+        """
         tables = self._session.temporary_tables
         if statement.temporary_table:
             tables.add(statement.temporary_table)
--- a/limedyke_lab/database/history.py
+++ b/limedyke_lab/database/history.py
@@ -1,4 +1,4 @@
-"""History of what a member executed, as JSON lines for the lab's checkers.
+"""History of the statements a member executed, written as JSON lines for the lab's checkers.
 
 Each line: ``time_ns`` (CLOCK_MONOTONIC), ``member``, ``connection``, ``user``, ``application``,
 ``statement`` (at most 200 characters), ``transaction`` (this member's number), ``outcome``,
@@ -36,7 +36,7 @@
         position: str = "",
         time_ns: int = 0,
     ) -> None:
-        """Buffer one line; nothing when no history was asked for."""
+        """Buffer one line; does nothing when history is disabled."""
         if not self.enabled:
             return
         entry = {
--- a/limedyke_lab/database/measure.py
+++ b/limedyke_lab/database/measure.py
@@ -1,7 +1,7 @@
 """Measures one member: ``python -m limedyke_lab.database.measure``.
 
-Starts a member of its own on loopback, and drives it from this process over raw sockets, so
-that the client costs little beside it.
+Starts a member on loopback and drives it from this process over raw sockets, so that the client
+uses little CPU compared with the member.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Measured:
-    """Statements a second, latency in milliseconds, and the member's processor share."""
+    """Statements per second, latency in milliseconds, and the member's share of one processor."""
 
     statements_per_s: float
     p50_ms: float
@@ -50,9 +50,9 @@
 
 @dataclass(slots=True)
 class _Client:
-    """One raw connection with a statement under way.
+    """One raw connection with at most one statement in flight.
 
-    :param received: the end of the answer so far
+    :param received: the last bytes of the response received so far
     """
 
     sock: socket.socket
@@ -67,7 +67,7 @@
 
 
 class MeasuredMember:
-    """A member process with a filled table; a context manager."""
+    """Context manager that runs a member process with a filled table."""
 
     def __init__(self, slots: int, connection_limit: int) -> None:
         self._folder = tempfile.TemporaryDirectory(prefix="limedyke-member-")
@@ -87,12 +87,12 @@
         deadline = time.monotonic() + START_TIMEOUT_S
         while not self._is_filled():
             if time.monotonic() > deadline:
-                raise TimeoutError("the member does not start")
+                raise TimeoutError("the member did not start in time")
             time.sleep(POLL_S)
         return self
 
     def __exit__(self, *_: object) -> None:
-        """End the member."""
+        """Stop the member."""
         self._process.terminate()
         self._process.wait(END_TIMEOUT_S)
         self._folder.cleanup()
@@ -118,7 +118,7 @@
         )
 
     def processor_seconds(self) -> float:
-        """Return the processor time that the member has used."""
+        """Return the CPU time in seconds that the member has used."""
         times = psutil.Process(self._process.pid).cpu_times()
         return times.user + times.system
 
@@ -129,7 +129,7 @@
 
 
 def drive(member: MeasuredMember, statements: list[str], clients: int, seconds: float) -> Measured:
-    """Keep one statement under way on each connection for a while."""
+    """Keep one statement in flight on each connection for the given time."""
     messages = [_query(statement) for statement in statements]
     connections = [member.connect() for _ in range(clients)]
     selector = selectors.DefaultSelector()
@@ -158,7 +158,7 @@
 def _exchange(
     selector: selectors.BaseSelector, messages: list[bytes], deadline: float
 ) -> list[float]:
-    """Send the statements in turn; return how long each answer took, in seconds."""
+    """Send the statements in rotation; return the latency of each in seconds."""
     durations: list[float] = []
     sent = 0
     under_way = 0
@@ -209,10 +209,10 @@
 
 
 def measure(seconds: float = 3.0, clients: tuple[int, ...] = (1, 5, 16)) -> None:
-    """Measure reads, writes and connections, and print one line a figure.
+    """Measure reads, writes and connections, and print one line per result.
 
     :param seconds: how long each load lasts
-    :param clients: numbers of connections with one statement under way each
+    :param clients: numbers of connections to measure with, each with one statement in flight
     """
     same = ["SELECT id, text FROM item WHERE id = 7"]
     changing = [f"SELECT id, text FROM item WHERE id = {key}" for key in range(1, KEYS_IN_TURN)]
--- a/limedyke_lab/database/member.py
+++ b/limedyke_lab/database/member.py
@@ -22,7 +22,7 @@
 
 
 class Role(enum.Enum):
-    """What a member does in its group."""
+    """Role of a member in its group."""
 
     REPLICA = "replica"
     PROMISED = "promised"
@@ -33,12 +33,11 @@
 class Member:
     """One member of a group.
 
-    All changes of term, role and log happen without awaiting in between, so a task never sees
-    them half done.
+    Changes of term, role and log do not await in between, so no other task sees a partial change.
 
     :ivar verified_term: term under whose primary the applied log was last verified
-    :ivar committed: position known to be held by a majority
-    :ivar applied: position SQLite stands at
+    :ivar committed: position known to be stored by a majority
+    :ivar applied: log position up to which SQLite has applied records
     """
 
     def __init__(self, options: DatabaseOptions) -> None:
@@ -74,7 +73,7 @@
         self._recover()
 
     def _recover(self) -> None:
-        """Bring role and SQLite in line with what the folder holds."""
+        """Restore the role and SQLite from the data folder."""
         if self.log.torn_bytes:
             _events.warning("log.torn_tail_cut", bytes=self.log.torn_bytes)
         promise = self.promise_file.current
@@ -84,7 +83,7 @@
             self.engine.rebuild(())
             self.applied = 0
 
-    # ----- what SQL functions show -----
+    # ----- state shown by SQL functions -----
 
     @property
     def name(self) -> str:
@@ -93,7 +92,7 @@
 
     @property
     def promised_term(self) -> int:
-        """Highest term this member accepts nothing below of."""
+        """Highest term the member promised; it rejects lower terms."""
         return self.promise_file.current.term
 
     @property
@@ -114,7 +113,7 @@
         return self.role.value
 
     def is_in_recovery(self) -> bool:
-        """Return whether the member takes no writes."""
+        """Return whether the member rejects writes."""
         return self.role is not Role.PRIMARY
 
     def current_lsn(self) -> str:
@@ -153,14 +152,14 @@
             raise SqlError("58030", f"could not sync the log: {error}") from error
         return self.log.end
 
-    async def log_grew(self) -> None:
-        """Tell the senders of new records and count a group of one."""
+    async def notify_log_appended(self) -> None:
+        """Notify the senders of new records; a group of one reaches its majority here."""
         if self.on_log_change is not None:
             await self.on_log_change()
         await self.count_majority()
 
     async def wait_acknowledged(self, position: int, term: int, session) -> None:
-        """Wait until a majority holds the record; raises 40003 when that cannot be known."""
+        """Wait until a majority stores the record; raises 40003 when it cannot be confirmed."""
         if self.switches.lose_acknowledged:
             return
         if self.is_leading and self.promised_term == term and self.committed >= position:
@@ -179,7 +178,7 @@
             raise outcome_unknown()
 
     async def count_majority(self) -> None:
-        """Advance the committed position to what a majority of the group holds."""
+        """Advance the committed position to the position stored by a majority."""
         if not self.is_leading:
             return
         held = sorted([self.log.end, *self.matched.values()], reverse=True)
@@ -198,7 +197,7 @@
     # ----- leading -----
 
     async def lead(self, term: int, promoter: str) -> None:
-        """Open a term with an empty record and start sending."""
+        """Start a term with an empty record and start the senders."""
         record = LogRecord(term, self.name, self.next_transaction(), timestamp_now(), 0, ())
         self.term_start = self.append_record(record)
         self.promise_file.store(Promise(term, promoter, self.name))
@@ -209,14 +208,14 @@
             await self.on_lead()
         await self.count_majority()
 
-    def opening(self) -> Waiter:
-        """Return a waiter that resolves once the member takes writes, or leads no more."""
+    def open_waiter(self) -> Waiter:
+        """Return a waiter that resolves when the member accepts writes or stops leading."""
         waiter = Waiter()
         self._role_waiters.append(waiter)
         return waiter
 
     async def _open_for_writes(self) -> None:
-        """Apply the whole committed log and take writes."""
+        """Apply the whole committed log and start accepting writes."""
         self.apply_until(self.committed)
         self.verified_term = self.promised_term
         self.role = Role.PRIMARY
@@ -224,8 +223,8 @@
         _events.info("primary.open", member=self.name, term=self.verified_term, position=position)
         await self._resolve_role_waiters(Outcome.DONE)
 
-    def give_up_leading(self) -> None:
-        """Stop leading at once: open writes roll back, an unconfirmed tail is unverified."""
+    def stop_leading(self) -> None:
+        """Stop leading: roll back open writes, mark unconfirmed records as unverified."""
         if not self.is_leading:
             return
         if self.applied > self.committed:
@@ -234,8 +233,8 @@
         for session in self.sessions.values():
             session.abort_write(read_only())
 
-    async def settle(self) -> None:
-        """Tell those who wait that leadership was given up."""
+    async def notify_leadership_ended(self) -> None:
+        """Resolve all waiters as superseded after the member stopped leading."""
         if self.is_leading:
             return
         waiters, self._commit_waiters = self._commit_waiters, []
@@ -253,13 +252,13 @@
             await waiter.resolve(outcome)
 
     async def step_down(self, higher_term: int) -> None:
-        """Stop leading because a member promised a higher term."""
+        """Stop leading because a peer promised a higher term."""
         if not self.is_leading:
             return
         _events.warning("primary.superseded", member=self.name, higher_term=higher_term)
-        self.give_up_leading()
+        self.stop_leading()
         self.role = Role.REPLICA
-        await self.settle()
+        await self.notify_leadership_ended()
 
     # ----- applying -----
 
--- a/limedyke_lab/database/member_session.py
+++ b/limedyke_lab/database/member_session.py
@@ -1,4 +1,4 @@
-"""What a member asks of the sessions of its clients."""
+"""Interface of a client session as seen by its member."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class MemberSession(Protocol):
-    """What a member asks of its sessions."""
+    """Session operations that a member calls."""
 
     def abort_write(self, error: SqlError) -> None:
         """Roll back an open write transaction; the client's next statement gets the error."""
 
     async def release_locks(self) -> None:
-        """Give back the locks of an aborted write transaction."""
+        """Release the locks of an aborted write transaction."""
 
     async def cancel(self) -> None:
         """End the current wait."""
--- a/limedyke_lab/database/postgres/__init__.py
+++ b/limedyke_lab/database/postgres/__init__.py
@@ -1,1 +1,1 @@
-"""PostgreSQL's protocol towards the clients of a stand-in member."""
+"""PostgreSQL protocol between a stand-in member and its clients."""
--- a/limedyke_lab/database/postgres/answer_buffer.py
+++ b/limedyke_lab/database/postgres/answer_buffer.py
@@ -1,4 +1,4 @@
-"""The answers to one batch of messages, gathered until they are sent together."""
+"""Buffer for the responses to one batch of messages, which are sent together."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class AnswerBuffer:
-    """Gathers the answers of one session.
+    """Buffers the responses of one session.
 
-    :ivar another_follows: whether a further whole batch was received already
+    :ivar another_follows: whether another complete batch has already been received
     """
 
     def __init__(self, session: Session) -> None:
@@ -23,7 +23,7 @@
         self._messages.append(message)
 
     def complete(self, tag: str) -> None:
-        """Append a CommandComplete; what follows the last one is the batch's tail."""
+        """Append a CommandComplete; the tail of a batch starts at its last one."""
         self._tail_index = len(self._messages)
         self._messages.append(wire.command_complete(tag))
 
@@ -42,7 +42,7 @@
         await self.send()
 
     async def send(self) -> None:
-        """Send what was gathered."""
+        """Send the buffered messages."""
         messages, self._messages = self._messages, []
         tail_index, self._tail_index = self._tail_index, -1
         answer = b"".join(messages)
--- a/limedyke_lab/database/postgres/answer_faults.py
+++ b/limedyke_lab/database/postgres/answer_faults.py
@@ -1,4 +1,4 @@
-"""Faults injected into the answers of a session by the member's switches."""
+"""Faults that the member's switches inject into the responses of a session."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class AnswerFaults:
-    """Delays, cuts, repeats and swaps the answers of one session."""
+    """Delays, drops, repeats and swaps the responses of one session."""
 
     def __init__(self, session) -> None:
         self._session = session
@@ -18,16 +18,16 @@
         self._cut = False
 
     def committed(self) -> None:
-        """Note a commit; the connection is cut instead of answering when so switched."""
+        """Note a commit; depending on the switch, the connection closes without a response."""
         if self._switches.drop_connection_after_execute > 0 and not self._session.is_admin:
             self._switches.drop_connection_after_execute -= 1
             self._cut = True
 
     async def send(self, answer: bytes, tail_start: int, another_follows: bool) -> None:
-        """Send one answer batch.
+        """Send one response batch.
 
-        :param tail_start: offset of the last CommandComplete within the answer
-        :param another_follows: whether a further whole batch was received already
+        :param tail_start: offset of the last CommandComplete within the batch, -1 without one
+        :param another_follows: whether another complete batch has already been received
         """
         session, switches = self._session, self._switches
         if self._cut:
--- a/limedyke_lab/database/postgres/authentication.py
+++ b/limedyke_lab/database/postgres/authentication.py
@@ -1,4 +1,4 @@
-"""SCRAM-SHA-256 towards clients, with scramp as the server side."""
+"""SCRAM-SHA-256 authentication of clients, using scramp."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 MECHANISM = "SCRAM-SHA-256"
 ADMIN_USER = "lab_admin"
-"""Superuser: exempt from the connection limit and slots, may set switches."""
+"""Superuser: exempt from the connection limit and slots, and allowed to set switches."""
 
 PROMOTER_USER = "limedyke_admin"
-"""May call group_promise and group_promote."""
+"""User allowed to call group_promise and group_promote, besides the superuser."""
 
 _mechanism = ScramMechanism(MECHANISM)
 
 
 class Credentials:
-    """Users with the keys derived from their passwords."""
+    """Users and the SCRAM keys derived from their passwords."""
 
     def __init__(self, passwords: dict[str, str]) -> None:
         self._keys = {
--- a/limedyke_lab/database/postgres/portals.py
+++ b/limedyke_lab/database/postgres/portals.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class Portal:
-    """A bound statement; its result is kept once it has executed."""
+    """A bound statement, with its result once it has executed."""
 
     statement: Statement | None
     parameters: tuple[object, ...]
@@ -29,7 +29,7 @@
     def take_rows(self, limit: int) -> list[tuple[object, ...]] | tuple:
         """Return the next rows of an executed portal.
 
-        :param limit: how many at most; 0 for all
+        :param limit: maximum number of rows; 0 means all
         """
         rows = self.result.rows
         if self.sent_rows or limit:
--- a/limedyke_lab/database/postgres/protocol.py
+++ b/limedyke_lab/database/postgres/protocol.py
@@ -59,7 +59,7 @@
                     raise SqlError("08P01", "message too large", fatal=True)
             if self._session.end_error is not None:
                 raise self._session.end_error
-            # curio goes on at once when data is there already: let the other sessions run too.
+            # recv does not yield when data is already available; let the other sessions run.
             await curio.sleep(0)
             data = await recv(_READ_BYTES)
             if not data:
@@ -68,7 +68,7 @@
                 return
 
     async def _handle_all(self, messages: list[tuple[bytes, bytes]]) -> bool:
-        """Handle messages in order; False when the client said goodbye."""
+        """Handle messages in order; return False after a Terminate message."""
         ends = sum(1 for kind, _ in messages if kind in _ENDS_OF_BATCH)
         for kind, body in messages:
             if kind == b"X":
@@ -101,7 +101,7 @@
             self._skip_to_sync = kind != b"Q"
 
     async def _fail(self, error: SqlError) -> None:
-        """Answer an error and fail or end the transaction."""
+        """Add an ErrorResponse; mark an explicit transaction as failed, or roll back."""
         self._answers.add(wire.error_response(error))
         transaction = self._session.transaction
         if transaction.explicit:
@@ -125,11 +125,11 @@
             await self._fail(error)
         except sqlite3.Error as error:
             await self._fail(from_sqlite(error))
-        await self._end_if_told()
+        await self._raise_if_terminated()
         await self._answers.send_ready()
 
-    async def _end_if_told(self) -> None:
-        """End the session after what is known was answered, when it was told to end."""
+    async def _raise_if_terminated(self) -> None:
+        """End the session if it was terminated, after sending the buffered responses."""
         if self._session.end_error is not None:
             await self._answers.send()
             raise self._session.end_error
@@ -144,7 +144,7 @@
         self._answers.complete(result.tag)
 
     async def _commit_implicit(self) -> None:
-        """Commit what ran outside of an explicit transaction."""
+        """Commit the implicit transaction, if any."""
         transaction = self._session.transaction
         if transaction.explicit:
             return
@@ -263,5 +263,5 @@
             await self._fail(error)
         if not self._session.transaction.explicit:
             self._portals.clear()
-        await self._end_if_told()
+        await self._raise_if_terminated()
         await self._answers.send_ready()
--- a/limedyke_lab/database/postgres/statement_result.py
+++ b/limedyke_lab/database/postgres/statement_result.py
@@ -1,4 +1,4 @@
-"""What executing one statement answers."""
+"""Result of one executed statement."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @dataclass(slots=True)
 class Result:
-    """Answer of a statement.
+    """Result of a statement.
 
     :param tag: text of CommandComplete
-    :param columns: column names, None when no row description is answered
+    :param columns: column names; None when no RowDescription is sent
     :param types: type OIDs of the columns
     """
 
@@ -27,7 +27,7 @@
 
 
 def position_columns(statement: Statement) -> tuple[tuple[str, ...], tuple[int, ...]]:
-    """Return names and types of a position query's columns; the fourth is a number as sent."""
+    """Return column names and types of a position query; a fourth column is optional."""
     if statement.tokens[-2] == ",":
         return (*_POSITION_COLUMNS, "?column?"), (*_POSITION_TYPES, wire.OID_INT4)
     return _POSITION_COLUMNS, _POSITION_TYPES
@@ -36,7 +36,7 @@
 def write_tag(statement: Statement, count: int) -> str:
     """Return the text of a write's CommandComplete.
 
-    :param count: how many rows it changed; below 0 when SQLite does not say
+    :param count: number of changed rows; negative when SQLite does not report it
     """
     if statement.tag == "INSERT":
         return f"INSERT 0 {max(count, 0)}"
--- a/limedyke_lab/database/postgres/wire.py
+++ b/limedyke_lab/database/postgres/wire.py
@@ -1,4 +1,4 @@
-"""Answers of the PostgreSQL protocol, version 3, built with py-postgresql's elements."""
+"""Server messages of the PostgreSQL protocol, version 3, built with py-postgresql's elements."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     }
     if error.detail:
         fields[b"D"] = error.detail.encode()
-    # element3 leaves out the zero byte that ends the list of fields.
+    # element3 omits the zero byte that terminates the list of fields.
     fields[b"R"] = b"limedyke_lab\x00"
     return element3.Error(fields).bytes()
 
@@ -70,7 +70,7 @@
 
 
 def column_types(rows: Sequence[Sequence[object]], width: int) -> tuple[int, ...]:
-    """Return type OIDs by the first value that is not NULL in each column."""
+    """Return the type OID of each column, taken from its first non-NULL value."""
     types = []
     for index in range(width):
         oid = OID_TEXT
@@ -88,7 +88,7 @@
 def row_description(
     names: tuple[str, ...], types: tuple[int, ...], formats: tuple[bytes, ...]
 ) -> bytes:
-    """Return a RowDescription; formats hold none, one or one per column."""
+    """Return a RowDescription; formats has no entry, one for all columns, or one per column."""
     key = (names, types, formats)
     found = _descriptions.get(key)
     if found is None:
@@ -109,7 +109,7 @@
 
 
 def column_formats(formats: Sequence[bytes], width: int) -> tuple[bool, ...]:
-    """Return for each column whether it is answered in binary form."""
+    """Return for each column whether its values are sent in binary format."""
     if not formats:
         return (False,) * width
     if len(formats) == 1:
--- a/limedyke_lab/database/replication/__init__.py
+++ b/limedyke_lab/database/replication/__init__.py
@@ -1,1 +1,1 @@
-"""The log of a stand-in member, and how members follow, promise and promote."""
+"""Replicated log of a stand-in member, and following, promises and promotion."""
--- a/limedyke_lab/database/replication/follower.py
+++ b/limedyke_lab/database/replication/follower.py
@@ -1,4 +1,4 @@
-"""How a member follows a primary: verifies, stores and applies its records."""
+"""Replica side of replication: verifies, stores and applies the primary's records."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def _rebuilt_error() -> SqlError:
-    message = "terminating connection: this member is rebuilt after a change of primary"
+    message = "terminating connection: this member is being rebuilt after a change of primary"
     return SqlError("57P01", message, fatal=True)
 
 
@@ -41,7 +41,7 @@
 
 
 class Follower:
-    """The replica's side of a member."""
+    """Handles appends from the primary and applies committed records."""
 
     def __init__(self, member: Member) -> None:
         self._member = member
@@ -52,23 +52,23 @@
         self._random = random.Random(member.options.seed)
 
     async def accept(self, append: Append) -> AppendReply:
-        """Take an append: check the term, verify, store, and note what is committed."""
+        """Check the term, verify and store the records, and update the commit position."""
         member = self._member
         refusal = self._refusal(append)
         if refusal is not None:
             return refusal
         was_leading = self._follow(append)
-        reply = self._take(append)
+        reply = self._verify_and_store(append)
         if was_leading:
-            await member.settle()
+            await member.notify_leadership_ended()
         evicted, self._evicted = self._evicted, []
         for session in evicted:
             await session.terminate(_rebuilt_error())
         await self._changed.set()
         return reply
 
-    def _take(self, append: Append) -> AppendReply:
-        """Verify and store, without awaiting in between."""
+    def _verify_and_store(self, append: Append) -> AppendReply:
+        """Verify and store the records; does not await, so no task sees a partial change."""
         member = self._member
         if member.log.term_at(append.previous_position) != append.previous_term:
             position = self._position_to_try(append.previous_position)
@@ -81,7 +81,7 @@
         return AppendReply(Answer.ACCEPTED, append.term, matched)
 
     def _refusal(self, append: Append) -> AppendReply | None:
-        """Refuse a lower term, and a second primary of the same term."""
+        """Return a refusal for a lower term or a second primary of the same term, else None."""
         promise = self._member.promise_file.current
         if append.term < promise.term:
             return AppendReply(Answer.REFUSED, promise.term, 0)
@@ -98,7 +98,7 @@
         return None
 
     def _follow(self, append: Append) -> bool:
-        """Bind the member to the primary of this term; True when it led until now."""
+        """Follow the primary of this term; return True if the member was leading until now."""
         member = self._member
         promise = member.promise_file.current
         if promise.term != append.term or promise.primary != append.primary:
@@ -107,7 +107,7 @@
         if member.role is Role.REPLICA:
             return False
         was_leading = member.is_leading
-        member.give_up_leading()
+        member.stop_leading()
         member.role = Role.REPLICA
         _events.info(
             "replica.follows", member=member.name, term=append.term, primary=append.primary
@@ -115,7 +115,7 @@
         return was_leading
 
     def _position_to_try(self, position: int) -> int:
-        """Return the end of the record before a conflicting term, or of the whole log."""
+        """Return the end of the last record before a conflicting term, or the end of the log."""
         log = self._member.log
         if position > log.end:
             return log.end
@@ -126,7 +126,7 @@
         return position
 
     def _store(self, append: Append) -> None:
-        """Skip records held already, cut a divergent tail, and append the rest."""
+        """Skip records already stored, truncate a divergent tail, and append the rest."""
         log = self._member.log
         start = append.previous_position
         for entry in split_records(append.data, start):
@@ -144,7 +144,7 @@
         log.append(remaining, sync_fails=self._member.switches.fail_fsync)
 
     def _cut_tail(self, position: int, term: int) -> None:
-        """Truncate the log; rebuild SQLite when it stood beyond the cut."""
+        """Truncate the log; rebuild SQLite if it had applied truncated records."""
         member = self._member
         _events.warning(
             "log.truncated",
@@ -161,7 +161,7 @@
             self._rebuild()
 
     def _rebuild(self) -> None:
-        """Replay the log into a new SQLite file; sessions that saw the old one end."""
+        """Replay the log into a new SQLite file; sessions on the old file are terminated."""
         member = self._member
         member.verified_term = 0
         self._evicted = list(member.sessions.values())
@@ -184,11 +184,11 @@
         self._due.append(entry)
 
     def lag_changed(self) -> None:
-        """Start the slope of the lag anew."""
+        """Restart the slope of the lag."""
         self._slope_since = time.monotonic()
 
     async def wake(self) -> None:
-        """Look at the queue again."""
+        """Wake the applier to re-evaluate the queue."""
         await self._changed.set()
 
     def _due_at(self, entry: _CommittedAt) -> float:
@@ -210,7 +210,7 @@
         return position, _IDLE_SECONDS
 
     async def run_applier(self) -> None:
-        """Apply committed records as they become due, for ever."""
+        """Apply committed records as they become due; runs until cancelled."""
         member = self._member
         target = 0
         while True:
--- a/limedyke_lab/database/replication/log.py
+++ b/limedyke_lab/database/replication/log.py
@@ -1,7 +1,8 @@
 """The replicated log of a member: one checksummed record per committed write transaction.
 
 A record's position is the byte position of its end in the log file; all members of a group
-hold identical bytes up to the position they agree on, so positions compare across members.
+hold identical bytes up to the position they agree on, so positions are comparable across
+members.
 """
 
 from __future__ import annotations
@@ -30,11 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LogRecord:
-    """One committed write transaction; without statements it only opens a term.
+    """One committed write transaction; a record without statements only starts a term.
 
     :param term: the term of the primary that wrote it
     :param origin: name of that primary
-    :param transaction: the primary's number of the transaction
+    :param transaction: transaction number assigned by the primary
     :param now: value of ``now()`` for its statements
     :param seed: seed of ``random()`` for its statements
     """
@@ -55,7 +56,7 @@
 
     @classmethod
     def decode(cls, payload: bytes) -> LogRecord:
-        """Return the record of a payload without its header."""
+        """Decode a record from its payload (without the header)."""
         term, origin, transaction, now, seed, statements = ormsgpack.unpackb(payload)
         logged = tuple(LoggedStatement(sql, tuple(values)) for sql, values in statements)
         return cls(term, origin, transaction, now, seed, logged)
@@ -70,7 +71,7 @@
 
 
 def split_records(data: bytes, start: int = 0) -> Iterator[PositionedRecord]:
-    """Yield the whole, intact records at the beginning of the data; stop at the first other."""
+    """Yield intact records from the start of the data; stop at the first torn or corrupt one."""
     offset = 0
     while offset + _HEADER.size <= len(data):
         length, checksum = _HEADER.unpack_from(data, offset)
@@ -82,7 +83,7 @@
 
 
 def read_log(folder: Path) -> list[PositionedRecord]:
-    """Return the records of a member's data folder, for checkers, also after its death."""
+    """Return the records in a member's data folder; works for stopped members too."""
     return list(split_records((Path(folder) / RecordLog.FILE_NAME).read_bytes()))
 
 
@@ -127,7 +128,7 @@
         return self._ends[index - 1] if index else 0
 
     def boundary_within(self, start: int, size: int) -> int:
-        """Return the last record end within size bytes of start, at least one record."""
+        """Return the last record end within size bytes of start, after at least one record."""
         index = bisect_left(self._ends, start + size + 1) - 1
         if index >= 0 and self._ends[index] > start:
             return self._ends[index]
@@ -139,7 +140,7 @@
         return self._ends[min(index, len(self._ends) - 1)] if self._ends else start
 
     def append(self, data: bytes, sync_fails: bool = False) -> None:
-        """Write whole records at the end and sync them; on OSError nothing is kept."""
+        """Write whole records at the end and sync them; on OSError the log is left unchanged."""
         start = self.end
         try:
             os.pwrite(self._descriptor, data, start)
--- a/limedyke_lab/database/replication/promise.py
+++ b/limedyke_lab/database/replication/promise.py
@@ -1,4 +1,4 @@
-"""The highest term a member promised, kept across restarts."""
+"""Durable storage of the highest term a member promised."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """A promise to accept nothing of a lower term.
+    """A promise to reject all lower terms.
 
     :param term: the promised term, 0 when none was ever given
-    :param promoter: who asked for it; empty when a primary's contact raised the term
-    :param primary: the only member followed, or promoted, under the term; empty when none was yet
+    :param promoter: who requested it; empty when an append from a primary raised the term
+    :param primary: the primary of the term as far as this member knows; empty when none yet
     """
 
     term: int = 0
--- a/limedyke_lab/database/replication/promotion.py
+++ b/limedyke_lab/database/replication/promotion.py
@@ -1,4 +1,4 @@
-"""Promises of terms and promotion, as asked for by a promoter through SQL."""
+"""Term promises and promotion, requested by a promoter through SQL."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
 
 
 def promise(member: Member, term: int, promoter: str) -> str:
-    """Promise a term; returns ``last term,end of log``. The caller then calls settle()."""
+    """Promise a term; returns ``last term,end of log``.
+
+    The caller must call ``Member.notify_leadership_ended`` afterwards.
+    """
     current = member.promise_file.current
     repeated = term == current.term and promoter == current.promoter and promoter != ""
     if member.switches.removed:
@@ -24,14 +27,14 @@
             detail = f"promised term {current.term}"
             raise SqlError("55000", f"term {term} is not above the promised term", detail)
         member.promise_file.store(Promise(term, promoter))
-        member.give_up_leading()
+        member.stop_leading()
         member.role = Role.PROMISED
         _events.info("term.promised", member=member.name, term=term, promoter=promoter or "-")
     return f"{member.log.last_term},{format_position(member.log.end)}"
 
 
 async def promote(member: Member, term: int, session) -> str:
-    """Become primary under a promised term; returns once a majority holds its first record."""
+    """Become primary in a promised term; returns once a majority stores its first record."""
     current = member.promise_file.current
     if current.term != term:
         detail = f"promised term {current.term}"
@@ -39,7 +42,7 @@
     if member.role is Role.PROMISED and not current.primary:
         await member.lead(term, current.promoter)
     if member.role is Role.PROMOTING:
-        await session.wait(member.opening())
+        await session.wait(member.open_waiter())
     if member.role is not Role.PRIMARY or member.promised_term != term:
         raise SqlError("55000", f"this member is not the primary of term {term}")
     return f"{member.log.last_term},{format_position(member.log.end)}"
--- a/limedyke_lab/database/replication/replication.py
+++ b/limedyke_lab/database/replication/replication.py
@@ -27,7 +27,7 @@
 
 
 class Sender:
-    """Sends the log of a primary to one peer for the length of one term."""
+    """Sends a primary's log to one peer for the duration of one term."""
 
     def __init__(self, member: Member, peer: str, address: Address) -> None:
         self._member = member
@@ -41,17 +41,17 @@
 
     @property
     def is_current(self) -> bool:
-        """Whether the member still leads the term of this sender."""
+        """Whether the member is still the leader of this sender's term."""
         return self._member.is_leading and self._member.promised_term == self._term
 
     async def run(self) -> None:
         """Connect and send until the term is over; reconnect after failures."""
         while self.is_current:
             with suppress(OSError, EOFError, curio.TaskTimeout):
-                await self._converse()
+                await self._run_connection()
             await curio.sleep(_RECONNECT_SECONDS)
 
-    async def _converse(self) -> None:
+    async def _run_connection(self) -> None:
         source = (self._member.options.listen.host, 0)
         connect = curio.open_connection(self._address.host, self._address.port, source_addr=source)
         sock = await curio.timeout_after(_CONNECT_TIMEOUT_SECONDS, connect)
@@ -60,8 +60,8 @@
             self._is_probing = True
             self._sent_committed = -1
             async with curio.TaskGroup(wait=any) as tasks:
-                await tasks.spawn(_until_broken, self._send_appends, sock)
-                await tasks.spawn(_until_broken, self._read_replies, sock)
+                await tasks.spawn(_ignore_disconnect, self._send_appends, sock)
+                await tasks.spawn(_ignore_disconnect, self._read_replies, sock)
 
     async def _send_appends(self, sock) -> None:
         member = self._member
@@ -95,21 +95,21 @@
                 await curio.sleep(_FROZEN_POLL_SECONDS)
                 continue
             reply = await curio.timeout_after(_REPLY_TIMEOUT_SECONDS, reader.reply)
-            await self._take(reply)
+            await self._handle_reply(reply)
 
-    async def _take(self, reply: AppendReply) -> None:
+    async def _handle_reply(self, reply: AppendReply) -> None:
         member = self._member
         if reply.term > self._term:
             await member.step_down(reply.term)
         elif not self.is_current:
             return
         elif reply.answer is Answer.ACCEPTED:
-            await self._accepted(reply.position)
+            await self._record_progress(reply.position)
         elif reply.answer is Answer.MISMATCH:
-            self._look_back(reply.position)
+            self._move_back_to(reply.position)
             await self.wake.set()
 
-    async def _accepted(self, position: int) -> None:
+    async def _record_progress(self, position: int) -> None:
         member = self._member
         if self._is_probing:
             self._is_probing = False
@@ -118,8 +118,8 @@
             member.matched[self._peer] = position
             await member.count_majority()
 
-    def _look_back(self, position: int) -> None:
-        """Try an earlier record, one that ends in this log too."""
+    def _move_back_to(self, position: int) -> None:
+        """Continue from an earlier position that is a record end in this log too."""
         log = self._member.log
         self._is_probing = True
         if log.term_at(position) is None:
@@ -127,14 +127,14 @@
         self._next = min(position, self._next)
 
 
-async def _until_broken(converse, sock) -> None:
-    """Run one direction of a conversation; a broken connection just ends it."""
+async def _ignore_disconnect(run_direction, sock) -> None:
+    """Run one direction of a connection; a broken connection ends it without an error."""
     with suppress(OSError, EOFError, curio.TaskTimeout):
-        await converse(sock)
+        await run_direction(sock)
 
 
 class Replication:
-    """Runs senders while the member leads, and the receiver and applier always."""
+    """Runs the applier and serves appends; runs senders while the member leads."""
 
     def __init__(self, member: Member) -> None:
         self._member = member
@@ -145,7 +145,7 @@
         member.on_log_change = self._wake_senders
 
     async def run(self) -> None:
-        """Apply committed records; senders run in a group of their own."""
+        """Run the applier; cancel the senders, which have their own task group, when it ends."""
         try:
             await self._follower.run_applier()
         finally:
@@ -162,13 +162,13 @@
             await sender.wake.set()
 
     async def switches_changed(self, name: str) -> None:
-        """Let a changed switch take effect."""
+        """Apply a changed switch."""
         if name.startswith("lag_"):
             self._follower.lag_changed()
         await self._follower.wake()
 
     async def serve_primary(self, sock) -> None:
-        """Answer the appends of one primary's connection."""
+        """Reply to the appends received on one connection from a primary."""
         reader = FrameReader(sock)
         member = self._member
         while not member.switches.removed:
--- a/limedyke_lab/database/replication/replication_messages.py
+++ b/limedyke_lab/database/replication/replication_messages.py
@@ -1,4 +1,4 @@
-"""Messages from a primary to its replicas and back, framed by a length."""
+"""Length-prefixed messages between a primary and its replicas."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import ormsgpack
 
 REPLICATION_CODE = b"LMDK"
-"""Takes the place of the protocol version in a replication connection's startup packet."""
+"""Marks a replication connection; sent in place of the startup packet's protocol version."""
 
 STARTUP_PACKET = b"\x00\x00\x00\x08" + REPLICATION_CODE
 _LENGTH = Struct("!I")
@@ -17,7 +17,7 @@
 
 
 class Answer(enum.IntEnum):
-    """How a replica took an append."""
+    """Result of an append on a replica."""
 
     ACCEPTED = 0
     MISMATCH = 1
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """Records following a known position; without records a heartbeat.
+    """Records that follow a given position; a message without records is a heartbeat.
 
     :param term: the primary's term
     :param primary: the primary's name
     :param previous_position: end of the record before the data
     :param previous_term: term of that record
     :param data: whole framed records
-    :param committed: position the primary knows a majority holds
+    :param committed: position that the primary knows a majority has stored
     """
 
     term: int
@@ -57,10 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendReply:
-    """Answer to an append.
+    """Reply to an append.
 
     :param term: the highest term the replica promised
-    :param position: end of what it verified; on a mismatch, where to look next
+    :param position: end of the verified log; on a mismatch, the position to try next
     """
 
     answer: Answer
@@ -101,10 +101,10 @@
         return ormsgpack.unpackb(await self._fill(size))
 
     async def append(self) -> Append:
-        """Return the next append; EOFError at the end."""
+        """Return the next append; raises EOFError when the connection is closed."""
         return Append(*await self._fields())
 
     async def reply(self) -> AppendReply:
-        """Return the next reply; EOFError at the end."""
+        """Return the next reply; raises EOFError when the connection is closed."""
         answer, term, position = await self._fields()
         return AppendReply(Answer(answer), term, position)
--- a/limedyke_lab/database/server.py
+++ b/limedyke_lab/database/server.py
@@ -1,4 +1,4 @@
-"""Listening socket, start-up of connections and the life of the process."""
+"""Listening socket, connection start-up, and start and stop of the process."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
         _events.info("database.stopped", member=self.member.name)
 
     async def set_switch(self, name: str, value: str) -> None:
-        """Set a switch and let it take effect."""
+        """Set a switch and apply it."""
         member = self.member
         member.switches.set(name, value)
         member.slots.limit = member.switches.slots
@@ -195,8 +195,8 @@
             raise SqlError("28P01", message, fatal=True) from error
         return element3.Authentication(12, server.get_server_final().encode()).bytes()
 
-    def shut_idle(self, session: Session) -> None:
-        """Wake a session that waits for its client, so that it ends."""
+    def wake_idle_session(self, session: Session) -> None:
+        """Shut down the read side of the socket so that an idle session wakes up and ends."""
         with suppress(OSError):
             session.sock._socket.shutdown(socket_module.SHUT_RD)
 
@@ -249,6 +249,6 @@
 
 
 def serve(options: DatabaseOptions) -> None:
-    """Run a member in this process until it is told to stop."""
+    """Run a member in this process until SIGTERM or SIGINT."""
     start_logging(options.log_level)
     curio.run(DatabaseServer(options).run)
--- a/limedyke_lab/database/session.py
+++ b/limedyke_lab/database/session.py
@@ -1,4 +1,4 @@
-"""One back-end session: state, waiting and SQLite connection."""
+"""One server-side session: state, waiting and SQLite connection."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 
 class Session:
-    """State of one connection of a client.
+    """State of one client connection.
 
-    :ivar number: connection number, also the process number shown to the client
+    :ivar number: connection number, also the backend process ID reported to the client
     :ivar user: authenticated user
     :ivar prepared: prepared statements by name
     :ivar advisory: advisory locks held, as (key, released at the end of the transaction)
@@ -88,7 +88,7 @@
     async def wait(
         self, waiter: Waiter, seconds: float | None = None, raises: bool = True
     ) -> Outcome:
-        """Wait for an outcome, a cancel request, the end of the session or of the client."""
+        """Wait for an outcome, a cancel request, the end of the session or a client disconnect."""
         self._waiter = waiter
         try:
             outcome = await self._wait_watching_client(waiter, seconds)
@@ -117,11 +117,11 @@
                 return outcome
             if remaining is not None:
                 remaining -= step
-            if self.end_error is None and self._client_has_gone():
+            if self.end_error is None and self._client_disconnected():
                 raise ConnectionCutError
         return Outcome.TIMEOUT
 
-    def _client_has_gone(self) -> bool:
+    def _client_disconnected(self) -> bool:
         try:
             return self.sock._socket.recv(1, socket.MSG_PEEK) == b""
         except BlockingIOError:
@@ -130,13 +130,13 @@
             return True
 
     def must_queue(self) -> bool:
-        """Whether a statement has to take a slot with waiting involved."""
+        """Return whether a statement must wait, for a free slot or while it holds one."""
         if self.is_admin:
             return False
         return self.member.switches.execute_ms > 0 or self.member.slots.is_full
 
     async def hold_slot(self, seconds: float) -> None:
-        """Take a slot, hold it for a time, and give it back."""
+        """Take a slot, hold it for the given time, and release it."""
         if self.is_admin:
             await sleep(self, seconds)
             return
@@ -173,7 +173,7 @@
             self.end_error = error
         if self._waiter is not None:
             await self._waiter.resolve(Outcome.TERMINATED)
-        self.server.shut_idle(self)
+        self.server.wake_idle_session(self)
 
     def discard_sqlite(self, error: SqlError) -> None:
         """Close SQLite at once; the session will end with the error."""
@@ -186,14 +186,14 @@
             self.runner.abort(error)
 
     async def release_locks(self) -> None:
-        """Give back the locks of an aborted write transaction."""
+        """Release the locks of an aborted write transaction."""
         if self.transaction.abort_error is not None:
             await self.member.write_lock.release(self)
 
     # ----- state -----
 
     def show(self, name: str) -> str:
-        """Return the value SHOW answers."""
+        """Return the value that SHOW reports."""
         lowered = name.lower()
         if lowered == "in_hot_standby":
             return "on" if self.member.is_in_recovery() else "off"
@@ -205,7 +205,7 @@
         return self.settings.require(name)
 
     async def discard_all(self) -> None:
-        """Forget all session state."""
+        """Reset all session state (DISCARD ALL)."""
         self.settings.reset("all")
         self.prepared.clear()
         for table in sorted(self.temporary_tables):
@@ -214,7 +214,7 @@
         await self.release_advisory_locks(of_transaction=False)
 
     async def release_advisory_locks(self, of_transaction: bool) -> None:
-        """Release advisory locks, only those of the transaction or all of the session."""
+        """Release the transaction's advisory locks, or all advisory locks of the session."""
         if not self.advisory:
             return
         released = [entry for entry in self.advisory if entry[1] or not of_transaction]
@@ -223,7 +223,7 @@
             await self.release_unheld_advisory_lock(key)
 
     async def release_unheld_advisory_lock(self, key: tuple[int, ...]) -> None:
-        """Release a lock the session holds no entry of any more."""
+        """Release the lock if the session has no remaining entry for it."""
         if any(entry[0] == key for entry in self.advisory):
             return
         lock = self.member.advisory_locks.get(key)
@@ -280,7 +280,7 @@
 
 
 def _startup_options(options: str) -> dict[str, str]:
-    """Return settings of ``-c name=value`` in the startup packet's options."""
+    """Return the settings given as ``-c name=value`` in the startup packet's options."""
     settings = {}
     words = options.split()
     for index, word in enumerate(words):
--- a/limedyke_lab/database/settings.py
+++ b/limedyke_lab/database/settings.py
@@ -33,7 +33,7 @@
     "transaction_read_only": "off",
     "work_mem": "4MB",
 }
-"""Settings that exist without having been set; names with a dot may always be set."""
+"""Settings with a default value. Names that contain a dot can be set without being listed."""
 
 _REPORTED = {
     "application_name": "application_name",
@@ -52,7 +52,7 @@
 
 
 class Settings:
-    """Values of one session, with the undo needed by transactions.
+    """Setting values of one session, including rollback with transactions.
 
     :param initial: values from the startup packet, kept by RESET
     """
@@ -65,12 +65,12 @@
         self.changed: set[str] = set()
 
     def begin(self) -> None:
-        """Remember the values an explicit transaction started with."""
+        """Save the values at the start of an explicit transaction."""
         self._before = dict(self._values)
         self._local_before = {}
 
     def end(self, committed: bool) -> None:
-        """Take back local changes, or all changes of a rolled-back transaction."""
+        """Undo SET LOCAL changes; after a rollback, undo all changes of the transaction."""
         if self._before is None:
             return
         if not committed:
@@ -118,7 +118,7 @@
         self._assign(name, value)
 
     def reset(self, name: str) -> None:
-        """Go back to the value of the start; ALL resets each setting."""
+        """Restore the value at session start; ALL resets every setting."""
         name = name.lower()
         if name == "all":
             self._replace(self._initial)
@@ -127,7 +127,7 @@
         self._assign(name, self._initial.get(name, ""))
 
     def take_reports(self) -> list[tuple[str, str]]:
-        """Return (name, value) of changed settings the client has to be told of."""
+        """Return (name, value) of changed settings to report to the client."""
         if not self.changed:
             return []
         reports = [
@@ -142,7 +142,7 @@
 
 
 def parse_name(tokens: tuple[Token, ...]) -> tuple[str, int]:
-    """Return a possibly dotted setting name and the number of tokens it takes."""
+    """Return a setting name, which may contain dots, and the number of tokens it spans."""
     name = tokens[0].text.strip('"')
     used = 1
     while used + 1 < len(tokens) and tokens[used].text == ".":
--- a/limedyke_lab/database/sql/__init__.py
+++ b/limedyke_lab/database/sql/__init__.py
@@ -1,1 +1,1 @@
-"""SQL of the stand-in member: read, translated for SQLite, and its functions."""
+"""SQL of the stand-in member: tokenizing, translation to SQLite, and functions."""
--- a/limedyke_lab/database/sql/columns.py
+++ b/limedyke_lab/database/sql/columns.py
@@ -1,4 +1,4 @@
-"""Names and types of result columns as PostgreSQL would give them."""
+"""Names and types of result columns, following PostgreSQL."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def declared_types(connection: sqlite3.Connection, statement: Statement) -> dict[str, int]:
-    """Return type OIDs by column name of the tables a statement mentions."""
+    """Return type OIDs by column name for the tables that a statement mentions."""
     names = {token.text.strip('"').lower() for token in statement.values}
     types: dict[str, int] = {}
     tables = connection.execute("SELECT name FROM sqlite_master WHERE type='table'").fetchall()
--- a/limedyke_lab/database/sql/dialect.py
+++ b/limedyke_lab/database/sql/dialect.py
@@ -45,7 +45,7 @@
 
 
 def locking_clause(keys: tuple[str, ...]) -> int | None:
-    """Return the index of ``FOR UPDATE|SHARE|NO KEY UPDATE|KEY SHARE``."""
+    """Return the token index of ``FOR UPDATE|SHARE|NO KEY UPDATE|KEY SHARE``, None without one."""
     for index in range(1, len(keys) - 1):
         if keys[index] == "FOR" and keys[index + 1] in ("UPDATE", "SHARE", "NO", "KEY"):
             return index
@@ -53,7 +53,7 @@
 
 
 def write_target(tokens: list[Token]) -> str:
-    """Return the lower-case name of the table a write names first, or nothing."""
+    """Return the lower-case name of the table that a write targets, empty when there is none."""
     keys = [token.key for token in tokens]
     for index, key in enumerate(keys):
         before_name = _WORD_BEFORE_TARGET.get(key)
@@ -71,7 +71,7 @@
 
 
 def translate(tokens: list[Token]) -> str:
-    """Write the tokens of one statement in SQLite's dialect."""
+    """Translate the tokens of one statement to SQLite's dialect."""
     if tokens[0].key in ("SELECT", "WITH"):
         tokens = tokens[: locking_clause(tuple(token.key for token in tokens))]
     if tokens[0].key == "TRUNCATE":
@@ -113,14 +113,14 @@
 
 
 def _bytes_literal(text: str) -> str:
-    """Return SQLite's form of a bytea literal, hexadecimal or plain."""
+    """Return the SQLite literal for a bytea literal in hexadecimal or plain form."""
     if text.startswith("\\x"):
         return f"X'{text[2:]}'"
     return f"X'{text.encode().hex()}'"
 
 
 def _apply_cast(pieces: list[str], before: Token | None, cast: Token) -> None:
-    """Turn ``literal::type`` into CAST; a cast of anything else is left out."""
+    """Translate ``literal::type`` to CAST; casts of other expressions are dropped."""
     if before is None or before.kind not in ("parameter", "string", "number"):
         return
     name = re.split(r"[\s(\[]", cast.text[2:].strip().lower())[0]
--- a/limedyke_lab/database/sql/engine.py
+++ b/limedyke_lab/database/sql/engine.py
@@ -20,8 +20,8 @@
 class Engine:
     """Owns the SQLite file and applies log records to it.
 
-    The file holds the position it was written up to; the log is what is durable, so SQLite
-    itself does not sync.
+    The file stores the log position it reflects. Durability comes from the log, so SQLite itself
+    does not sync.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -49,11 +49,11 @@
         return writer
 
     def stored_position(self) -> int:
-        """Return the log position the file stands at."""
+        """Return the log position stored in the file."""
         return self._writer.execute(f"SELECT position FROM {_META_TABLE}").fetchone()[0]
 
     @staticmethod
-    def note_position(connection: sqlite3.Connection, position: int) -> None:
+    def store_position(connection: sqlite3.Connection, position: int) -> None:
         """Record the position within the connection's open transaction."""
         connection.execute(_UPDATE_META, (position,))
 
@@ -63,7 +63,7 @@
         writer.execute("BEGIN IMMEDIATE")
         try:
             self._execute(writer, entry.record)
-            self.note_position(writer, entry.position)
+            self.store_position(writer, entry.position)
         except BaseException:
             writer.execute("ROLLBACK")
             raise
@@ -75,9 +75,9 @@
             writer.execute(statement.sql, statement.parameters).fetchall()
 
     def rebuild(self, entries: Iterable[PositionedRecord]) -> None:
-        """Replace the file by one built from the records.
+        """Replace the file with one built from the records.
 
-        Connections opened before see the old file and must be closed by the caller.
+        Existing connections still use the old file; the caller must close them.
         """
         self._writer.close()
         for suffix in ("", "-wal", "-shm"):
--- a/limedyke_lab/database/sql/functions.py
+++ b/limedyke_lab/database/sql/functions.py
@@ -1,7 +1,7 @@
 """SQL functions registered on each SQLite connection.
 
-``now()``, ``random()`` and their kin take their values from the context, so that a replica
-replaying a statement gets the values of the primary.
+``now()``, ``random()`` and similar functions take their values from the context, so that a
+replica replaying a statement gets the same values as the primary.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
         "pg_terminate_backend",
     }
 )
-"""Functions whose column is answered as bool."""
+"""Functions whose result column has type bool."""
 
 VERSION = "PostgreSQL 16.0 (limedyke lab stand-in on SQLite)"
 
@@ -35,9 +35,9 @@
 
 
 class StatementContext:
-    """Values that functions take from the statement being executed.
+    """Per-statement values used by the nondeterministic functions.
 
-    :ivar now: text of ``now()`` for the transaction; empty means the clock
+    :ivar now: text of ``now()`` for the transaction; empty means the current time
     :ivar random_key: seed of ``random()``; empty means unseeded
     """
 
@@ -50,13 +50,13 @@
         self._random_key = ""
 
     def begin_statement(self, now: str, seed: int, index: int) -> None:
-        """Fix the values for statement number index of a write transaction."""
+        """Set the values for the statement at an index of a write transaction."""
         self.now = now
         self.random_key = f"{seed}:{index}"
         self._random_key = ""
 
     def clear(self) -> None:
-        """Go back to the clock and unseeded numbers."""
+        """Return to the current time and unseeded random numbers."""
         self.now = ""
         self.random_key = ""
 
@@ -75,13 +75,13 @@
 
 
 class SessionFunctions(Protocol):
-    """What the functions ask of a session."""
+    """Session data that the functions read or change."""
 
     def backend_id(self) -> str:
         """Return member name and connection number."""
 
     def backend_pid(self) -> int:
-        """Return the connection's process number."""
+        """Return the connection number, used as the backend process ID."""
 
     def current_user(self) -> str:
         """Return the authenticated user."""
@@ -97,7 +97,7 @@
 
 
 class MemberFunctions(Protocol):
-    """What the functions ask of the member."""
+    """Member state that the functions read."""
 
     def group_term(self) -> int:
         """Return the verified term."""
@@ -116,7 +116,7 @@
 
 
 class FunctionErrors:
-    """Keeps the SqlError a function raised, because SQLite hides the exception."""
+    """Keeps the SqlError raised by a function, because SQLite replaces the exception."""
 
     __slots__ = ("error",)
 
@@ -136,13 +136,13 @@
         return call
 
     def take(self) -> SqlError | None:
-        """Return the kept error once."""
+        """Return the kept error and clear it."""
         error, self.error = self.error, None
         return error
 
 
 def register_clock_and_random(connection: sqlite3.Connection, context: StatementContext) -> None:
-    """Replace SQLite's nondeterministic functions by ones that follow the context."""
+    """Replace SQLite's nondeterministic functions with ones that use the context."""
 
     def uuid() -> str:
         bits = context.generator().getrandbits(128)
--- a/limedyke_lab/database/sql/special_functions.py
+++ b/limedyke_lab/database/sql/special_functions.py
@@ -40,7 +40,7 @@
 async def _group_promise(session, term, promoter="") -> _Value:
     _require(session, ADMIN_USER, PROMOTER_USER)
     answer = promotion.promise(session.member, _integer(term), str(promoter))
-    await session.member.settle()
+    await session.member.notify_leadership_ended()
     return answer, wire.OID_TEXT
 
 
@@ -76,11 +76,11 @@
 
 
 async def _acquire(session, key: tuple[int, ...], of_transaction: bool, wait: bool) -> bool:
-    """Take an advisory lock, also once more by its holder.
+    """Take an advisory lock; its holder may take it again.
 
-    :param of_transaction: whether it ends with the transaction, and not with the session
+    :param of_transaction: whether to release it at the end of the transaction, not of the session
     :param wait: whether to wait while another session holds it
-    :returns: whether it is held now
+    :returns: whether the lock was taken
     """
     locks = session.member.advisory_locks
     lock = locks.setdefault(key, FairLock())
@@ -148,7 +148,7 @@
 
 
 async def sleep(session, seconds: float) -> None:
-    """Wait; a cancel request or the end of the session ends it early."""
+    """Sleep; a cancel request or the end of the session interrupts it."""
     if seconds > 0:
         await session.wait(Waiter(), seconds)
 
--- a/limedyke_lab/database/sql/sql_text.py
+++ b/limedyke_lab/database/sql/sql_text.py
@@ -1,6 +1,6 @@
-"""Statements of a query text: classified, translated and cached by text.
+"""Splits a query text into statements, classifies and translates them, and caches the result.
 
-Lexical only: SQLite parses.
+Works on tokens only; SQLite does the parsing.
 """
 
 from __future__ import annotations
@@ -46,11 +46,11 @@
         "pg_terminate_backend",
     }
 )
-"""Functions answered outside SQLite, in the form ``SELECT function(arguments)`` only."""
+"""Functions executed outside SQLite, only as ``SELECT function(arguments)``."""
 
 
 class Kind(enum.Enum):
-    """What a statement asks of a session."""
+    """Kind of a statement."""
 
     READ = "read"
     LOCKING_READ = "locking read"
@@ -95,11 +95,11 @@
     :param sql: in SQLite's dialect
     :param tag: first word(s) of the CommandComplete tag
     :param tokens: upper-case keys of its tokens without comments and spaces
-    :param values: tokens themselves, for statements that are read word by word
+    :param values: the tokens, for statements that are interpreted token by token
     :param parameter_count: highest ``$n``
-    :param returning: a write that answers rows
+    :param returning: whether a write returns rows
     :param temporary_table: name of the table a CREATE TEMP defines
-    :param target: table a write names, lower case
+    :param target: lower-case name of the table that a write targets
     """
 
     kind: Kind
@@ -116,7 +116,7 @@
 
     @property
     def answers_rows(self) -> bool:
-        """Whether the statement answers a row description."""
+        """Whether the statement returns rows."""
         if self.kind is Kind.WRITE:
             return self.returning
         return self.kind in _ROW_KINDS
@@ -247,7 +247,7 @@
 
 
 def _arguments(tokens: tuple[Token, ...]) -> tuple[object, ...] | None:
-    """Return the values between the parentheses of a call; None when one is no plain value."""
+    """Return the values between the parentheses of a call; None if one is not a plain value."""
     arguments: list[object] = []
     sign = 1
     for token in tokens:
@@ -270,7 +270,7 @@
     "SELECT group_term(), pg_is_in_recovery(), CASE WHEN pg_is_in_recovery() "
     "THEN pg_last_wal_replay_lsn() ELSE pg_current_wal_lsn() END"
 )
-"""The product's query for term and position, answered without SQLite."""
+"""The product's query for term and position, executed without SQLite."""
 
 _POSITION_KEYS = [token.key for token in split_statements(POSITION_QUERY)[0][1]]
 
--- a/limedyke_lab/database/sql/tokens.py
+++ b/limedyke_lab/database/sql/tokens.py
@@ -29,7 +29,7 @@
     """One lexical token.
 
     :param key: the upper-case text of a word, else the text
-    :param is_spaced: whether spaces or comments stand before it
+    :param is_spaced: whether whitespace or a comment precedes it
     """
 
     kind: str
@@ -39,7 +39,7 @@
 
 
 def split_statements(text: str) -> list[tuple[str, list[Token]]]:
-    """Cut the text at semicolons outside of strings and comments."""
+    """Split the text at semicolons outside of strings and comments."""
     parts = []
     tokens: list[Token] = []
     start = 0
--- a/limedyke_lab/database/stop_signal.py
+++ b/limedyke_lab/database/stop_signal.py
@@ -13,7 +13,7 @@
 
 
 class StopSignal:
-    """Catches SIGTERM and SIGINT from its construction on."""
+    """Catches SIGTERM and SIGINT from construction onwards."""
 
     def __init__(self) -> None:
         receiving, self._sending = socket.socketpair()
@@ -25,9 +25,9 @@
             signal.signal(number, _ignore)
 
     async def wait(self) -> None:
-        """Return once a signal came."""
+        """Return once a signal has arrived."""
         await self._receiving.recv(1)
 
 
 def _ignore(_number: int, _frame: object) -> None:
-    """Let the wake-up descriptor report the signal."""
+    """Do nothing; the wake-up descriptor reports the signal."""
--- a/limedyke_lab/database/switches.py
+++ b/limedyke_lab/database/switches.py
@@ -2,26 +2,26 @@
 
 | switch | unit | effect |
 |---|---|---|
-| lag_ms | ms | a replica applies a majority-committed record this long after it learned of it |
+| lag_ms | ms | delay before a replica applies a record it knows to be majority-committed |
 | lag_jitter_ms | ms | uniform random addition to the lag |
 | lag_slope_ms_per_s | ms/s | the lag grows by this much each second since the switch was set |
 | execute_ms | ms | each SQL statement holds its slot for this long before it executes |
 | connect_delay_ms | ms | pause before a connection is accepted as authenticated |
-| slots | count | statements executing at once; more wait in the order of arrival |
-| connection_limit | count | connections of ordinary users; more get 53300 |
-| freeze_replication | on/off | neither sends nor takes log records (a primary or a replica) |
-| freeze_apply | on/off | a replica takes and acknowledges records but applies none |
-| delay_answers_ms | ms | each answer batch is held this long |
-| drop_connection_after_execute | count | the next N commits are cut off instead of answered |
-| duplicate_answer_tail | count | next N answers repeat what follows their last row |
-| swap_answers | count | next N pairs of batches received together are answered crossed |
-| fail_fsync | on/off | syncing the log fails: commits answer 58030 and roll back |
+| slots | count | statements executing at once; further ones wait in order of arrival |
+| connection_limit | count | connections of ordinary users; further ones get 53300 |
+| freeze_replication | on/off | a primary stops sending and a replica stops accepting log records |
+| freeze_apply | on/off | a replica stores and acknowledges records but applies none |
+| delay_answers_ms | ms | delay before each response batch is sent |
+| drop_connection_after_execute | count | the next N commits close the connection without a response |
+| duplicate_answer_tail | count | the next N responses send everything after their last row twice |
+| swap_answers | count | the next N pairs of batches received together get swapped responses |
+| fail_fsync | on/off | syncing the log fails: commits fail with 58030 and roll back |
 | refuse_connections | off/on/error | new connections are closed at once (on) or get 57P03 (error) |
 | lose_acknowledged | on/off | MISBEHAVING: commits are acknowledged before a majority holds them |
-| removed | on/off | the member takes no part in its group any more |
+| removed | on/off | the member no longer takes part in its group |
 
 A counting switch also takes ``on`` (1) and ``off`` (0). ``lab_admin`` is exempt from slots,
-connection limit, refusal and the answer faults, so that it can always restore the member.
+connection limit, refusal and the response faults, so that it can always restore the member.
 """
 
 from __future__ import annotations
@@ -78,7 +78,7 @@
 
 
 def _parse(kind: str, value: str) -> object:
-    """Parse the text of one switch by the kind of its field."""
+    """Parse the text of one switch according to the type of its field."""
     if kind == "bool":
         return _parse_bool(value)
     if kind == "str":
--- a/limedyke_lab/database/transaction.py
+++ b/limedyke_lab/database/transaction.py
@@ -1,4 +1,4 @@
-"""State of a session's transaction and its commit through the log."""
+"""Transaction state of a session, and commit through the replicated log."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class Transaction:
-    """The transaction of one session; also stands for "none open".
+    """Transaction state of one session, also when no transaction is open.
 
     :ivar explicit: opened by BEGIN
-    :ivar failed: a statement failed; only ROLLBACK goes on
+    :ivar failed: a statement failed; only COMMIT, ROLLBACK and ROLLBACK TO are accepted
     :ivar writing: holds the member's write lock and an open SQLite write transaction
     :ivar snapshot: holds an open SQLite read transaction (repeatable read)
     """
@@ -55,7 +55,7 @@
         self.explicit = explicit
 
     def log_statement(self, sql: str, parameters: tuple[object, ...]) -> None:
-        """Add a statement to the record."""
+        """Add a statement to the transaction's log record."""
         self.logged.append(LoggedStatement(sql, parameters))
 
 
@@ -104,7 +104,7 @@
             transaction.log_statement(sql, ())
 
     async def commit(self) -> None:
-        """Commit: log synced, SQLite committed, then a majority awaited."""
+        """Sync the log record, commit SQLite, then wait for a majority."""
         session, member = self._session, self._member
         transaction = session.transaction
         if transaction.abort_error is not None:
@@ -125,11 +125,11 @@
             raise
         transaction.writing = False
         await member.write_lock.release(session)
-        await member.log_grew()
+        await member.notify_log_appended()
         await self._await_majority(transaction, position)
 
     def _commit_locally(self, transaction: Transaction) -> int:
-        """Append the record, commit SQLite and move the position on, all without awaiting."""
+        """Append the record, commit SQLite and advance the position, without awaiting."""
         session, member = self._session, self._member
         member.require_writable()
         if transaction.term != member.promised_term:
@@ -144,7 +144,7 @@
         )
         position = member.append_record(record)
         connection = session.sqlite()
-        Engine.note_position(connection, position)
+        Engine.store_position(connection, position)
         connection.execute("COMMIT")
         member.applied = position
         return position
@@ -162,7 +162,7 @@
         session.answer_faults.committed()
 
     async def rollback(self) -> None:
-        """Roll back whatever is open."""
+        """Roll back the open transaction, if any."""
         session = self._session
         transaction = session.transaction
         if transaction.writing or transaction.snapshot:
@@ -172,7 +172,7 @@
         await self._end(committed=False)
 
     def abort(self, error: SqlError) -> None:
-        """Roll back at once; the next statement, or the commit, gets the error."""
+        """Roll back immediately; the next statement or the commit raises the error."""
         session = self._session
         explicit = session.transaction.explicit
         session.rollback_sqlite()
@@ -202,14 +202,14 @@
                 time_ns=item.time_ns,
             )
 
-    def note_executed(self, text: str) -> None:
-        """Keep a write for the history until its outcome is known."""
+    def record_executed(self, text: str) -> None:
+        """Keep a write until its outcome is known and can be recorded in the history."""
         if self._member.history.enabled:
             entry = ExecutedStatement(text, time.monotonic_ns())
             self._session.transaction.executed.append(entry)
 
     def savepoint(self, name: str) -> None:
-        """Set a savepoint, at once or with the first write."""
+        """Set a savepoint; before the first write it is only remembered."""
         transaction = self._session.transaction
         transaction.savepoints.append(name)
         self._savepoint_sql(f'SAVEPOINT "{name}"')
@@ -222,7 +222,7 @@
         self._savepoint_sql(f'RELEASE SAVEPOINT "{name}"')
 
     def rollback_to(self, name: str) -> None:
-        """Go back to a savepoint, which stays set."""
+        """Roll back to a savepoint, which remains defined."""
         transaction = self._session.transaction
         index = self._savepoint_index(name)
         del transaction.savepoints[index + 1 :]
--- a/limedyke_lab/database/waits.py
+++ b/limedyke_lab/database/waits.py
@@ -1,4 +1,4 @@
-"""Waiting that a cancel request, a shutdown or a demotion can end."""
+"""Waits that can be ended by a cancel request, a session termination or a demotion."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         self.outcome: Outcome | None = None
 
     async def resolve(self, outcome: Outcome) -> None:
-        """End the wait; the first outcome counts."""
+        """End the wait; only the first outcome takes effect."""
         if self.outcome is None:
             self.outcome = outcome
             await self._event.set()
@@ -46,21 +46,21 @@
 
 
 class LockOwner(Protocol):
-    """What a lock asks of those who wait for it."""
+    """Interface of an owner that can wait for a lock."""
 
     async def wait(self, waiter: Waiter) -> Outcome:
-        """Wait for the outcome; raise when the wait ends otherwise."""
+        """Wait for the outcome; raise when the wait is cancelled or terminated."""
 
 
 class FairLock:
-    """A lock handed over in the order of arrival."""
+    """A lock granted in order of arrival (FIFO)."""
 
     def __init__(self) -> None:
         self.owner: object | None = None
         self._queue: deque[tuple[object, Waiter]] = deque()
 
     def try_acquire(self, owner: object) -> bool:
-        """Take the lock when nobody holds it."""
+        """Take the lock if it is free."""
         if self.owner is not None:
             return False
         self.owner = owner
@@ -79,7 +79,7 @@
             raise
 
     async def _abandon(self, owner: object, waiter: Waiter) -> None:
-        """Leave the queue, or give the lock back when it was handed over meanwhile."""
+        """Leave the queue, or release the lock if it was granted in the meantime."""
         if self.owner is owner:
             await self.release(owner)
             return
@@ -98,7 +98,7 @@
 
 
 class Slots:
-    """Bounds how many statements execute at once; queues fairly beyond that."""
+    """Limits how many statements execute at once; further ones queue in FIFO order."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -107,27 +107,27 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether a new statement would have to wait."""
+        """Whether all slots are in use."""
         return self.active >= self.limit
 
     def enqueue(self) -> Waiter:
-        """Join the queue; resolves once a slot is taken for the caller."""
+        """Join the queue; the returned waiter resolves once the caller has a slot."""
         waiter = Waiter()
         self._queue.append(waiter)
         return waiter
 
     async def abandon(self, waiter: Waiter) -> None:
-        """Leave the queue after a wait that did not end with a slot."""
+        """Leave the queue after a wait that ended without a slot."""
         if waiter in self._queue:
             self._queue.remove(waiter)
 
     async def release(self) -> None:
-        """Give a slot back."""
+        """Release a slot."""
         self.active -= 1
         await self.admit()
 
     async def admit(self) -> None:
-        """Give free slots to those who wait; called also when the limit was raised."""
+        """Grant free slots to queued statements; also called after the limit was raised."""
         while self._queue and self.active < self.limit:
             waiter = self._queue.popleft()
             if waiter.outcome is None:
