--- a/limedyke_lab/database/switches.py
+++ b/limedyke_lab/database/switches.py
@@ -12,7 +12,7 @@
 | freeze_replication | on/off | a primary stops sending and a replica stops accepting log records |
 | freeze_apply | on/off | a replica stores and acknowledges records but applies none |
 | delay_answers_ms | ms | delay before each response batch is sent |
-| drop_connection_after_execute | count | the next N commits close the connection without a response |
+| drop_connection_after_execute | count | next N commits close the connection without a response |
 | duplicate_answer_tail | count | the next N responses send everything after their last row twice |
 | swap_answers | count | the next N pairs of batches received together get swapped responses |
 | fail_fsync | on/off | syncing the log fails: commits fail with 58030 and roll back |
