--- a/limedyke_lab/experiments/recording.py
+++ b/limedyke_lab/experiments/recording.py
@@ -11,7 +11,7 @@
 from limedyke_lab.experiments.fault_stage import FaultStage
 from limedyke_lab.experiments.settings_file import FaultSettings
 from limedyke_lab.geography import GEOGRAPHIES
-from limedyke_lab.load.trace_file import cut_beginning, write_trace
+from limedyke_lab.load.trace_file import truncate_history, write_trace
 
 RECORDING = FaultSettings(
     workers=1,
@@ -77,7 +77,7 @@
         return EXIT_UNKNOWN_NAME
     recording = RECORDINGS[fault]
     whole = record(recording.fault, geography, RECORDING, recording.baseline)
-    history = cut_beginning(whole, seconds)
+    history = truncate_history(whole, seconds)
     write_trace(history, path)
     violations = check_all(history)
     print("\n".join(describe(history, violations)))
--- a/limedyke_lab/load/__init__.py
+++ b/limedyke_lab/load/__init__.py
@@ -1,1 +1,1 @@
-"""Client sessions of the lab: real psycopg connections that roam and record a history."""
+"""Client sessions of the lab: psycopg connections that switch proxies and record a history."""
--- a/limedyke_lab/load/direct_session.py
+++ b/limedyke_lab/load/direct_session.py
@@ -1,4 +1,4 @@
-"""Sessions of the baselines: connected to the members themselves, without the product."""
+"""Baseline sessions that connect directly to members, without the product."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DirectSession(ClientSession):
-    """Writes at the primary and reads at a member chosen at random among the route's readers."""
+    """Writes to the primary and reads from a member chosen at random from the route's readers."""
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)
@@ -36,7 +36,7 @@
         self._connection = None
 
     async def _ensure_connected(self) -> bool:
-        """Open what is missing; both connections stay open between operations."""
+        """Open missing connections; both stay open between operations."""
         try:
             for address in {self._route.primary, self._reader}:
                 connection = self._by_address.get(address)
--- a/limedyke_lab/load/operations.py
+++ b/limedyke_lab/load/operations.py
@@ -1,4 +1,4 @@
-"""What a session does on its connection: each operation's statements and what came back."""
+"""Operations of a session: executes the statements and records the results."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Operations:
-    """Runs operations on one connection; each returns its record as done.
+    """Runs operations on one connection; each returns the completed record.
 
     :param extended: use the extended protocol for reads and writes
     """
@@ -64,7 +64,7 @@
         return replace(operation, outcome=ClientOutcome.DONE, echo=row.get("request"))
 
     async def mark(self, operation: Operation) -> Operation:
-        """Insert a mark under the operation's once-key."""
+        """Insert a mark with the operation's idempotency (once) key."""
         row = await self._execute(
             statements.once_comment(operation.once_key) + statements.INSERT_MARK,
             False,
@@ -85,7 +85,7 @@
             row = await self._execute(statements.READ_LEDGER, False, number=number)
         except psycopg.Error as error:
             await self._roll_back()
-            # COMMIT was never sent, so whatever the answer was, nothing can be committed.
+            # COMMIT was not sent, so nothing can be committed, whatever the response was.
             return replace(failed_operation(operation, error), outcome=ClientOutcome.FAILED)
         await self._execute("COMMIT", False)
         return replace(
--- a/limedyke_lab/load/outcome.py
+++ b/limedyke_lab/load/outcome.py
@@ -1,4 +1,4 @@
-"""What a client knows after an error, from SQLSTATE and the product's result codes."""
+"""Classifies the outcome after an error by SQLSTATE and the product's result codes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorMeaning:
-    """An error as the history records it."""
+    """An error in the form that the history records."""
 
     outcome: ClientOutcome
     sqlstate: str
@@ -31,7 +31,7 @@
 
 
 def meaning_of(error: psycopg.Error) -> ErrorMeaning:
-    """Return what an error of a statement tells the client."""
+    """Return the outcome that a statement's error implies for the client."""
     meaning = meaning_of_answer(error.sqlstate or "", error.diag.message_primary or "")
     return replace(meaning, detail=str(error)[:DETAIL_CHARACTERS])
 
@@ -53,10 +53,10 @@
 
 
 def meaning_of_answer(sqlstate: str, message: str) -> ErrorMeaning:
-    """Return what an ErrorResponse tells the client; an empty SQLSTATE means no answer.
+    """Return the outcome that an ErrorResponse implies; an empty SQLSTATE means no response.
 
-    Without an answer the outcome is unknown.  A code of the product says it; any other
-    SQLSTATE is the database's own error, which leaves no effect.
+    Without a response the outcome is unknown. A result code of the product defines the outcome.
+    Any other SQLSTATE except 40003 is an error of the database, which leaves no effect.
     """
     if not sqlstate:
         return ErrorMeaning(ClientOutcome.UNKNOWN, "", "", message)
--- a/limedyke_lab/load/profiles.py
+++ b/limedyke_lab/load/profiles.py
@@ -1,4 +1,4 @@
-"""Ready profiles of the two users of the brief, and sessions that watch for failover."""
+"""Predefined profiles of the two example users, and sessions that measure failover gaps."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 WATCH_ROAM_PROBABILITY = 0.02
 MINIMUM_COUNT = 2
 READ_BACK_SHARE = 0.8
-"""Share of its reads by which a session that edits looks at what it wrote itself."""
+"""Share of an editing session's reads that read its own register."""
 
 
 @dataclass(frozen=True, slots=True)
 class SessionKind:
-    """Sessions of one use, at scale 1; the other values are as in ``SessionProfile``."""
+    """Sessions of one kind; ``count`` is at scale 1, other values are as in ``SessionProfile``."""
 
     name: str
     tenant: str
@@ -34,7 +34,7 @@
     extended: bool = False
 
     def profile(self, geography: Geography, scale: float) -> SessionProfile:
-        """Return the profile of these sessions at a scale, on all groups."""
+        """Return the profile of these sessions on all groups, with the count scaled."""
         return SessionProfile(
             name=self.name,
             tenant=self.tenant,
@@ -54,7 +54,7 @@
     SessionKind("player", "radio-apps", "listener", 6, READ_MOSTLY, 40, extended=True),
     SessionKind("editor", "radio-editors", "editor", 6, EDITING, 60, READ_BACK_SHARE),
 )
-"""Listeners that mostly read, and editors that write and read back at once."""
+"""Listeners that mostly read, and editors that write and read back immediately."""
 COLD_CHAIN = (
     SessionKind("logger", "loggers", "logger", 10, ALERTS, 60),
     SessionKind("dispatcher", "dispatch", "dispatcher", 8, EDITING, 60, READ_BACK_SHARE),
@@ -68,7 +68,7 @@
 ) -> tuple[SessionProfile, ...]:
     """Return the profiles of a user's sessions.
 
-    :param scale: factor on the count of each kind; two of each remain at least
+    :param scale: factor for the count of each kind; at least two sessions of each remain
     """
     return tuple(kind.profile(geography, scale) for kind in kinds)
 
@@ -77,13 +77,13 @@
     "ostmark": partial(scaled_profiles, OSTMARK),
     "cold-chain": partial(scaled_profiles, COLD_CHAIN),
 }
-"""By the name of a geography: its profiles at a scale."""
+"""Function that returns the scaled profiles, by geography name."""
 WATCHERS = {"ostmark": ("radio-editors", "editor"), "cold-chain": ("loggers", "logger")}
-"""By the name of a geography: tenant and user of the sessions that watch."""
+"""Tenant and user of the watch sessions, by geography name."""
 
 
 def watch_profile(geography: Geography, group: str, count: int = 4) -> SessionProfile:
-    """Return sessions that write to one group all the time, to time the gap of a failover."""
+    """Return sessions that write continuously to one group, to measure failover gaps."""
     tenant, user = WATCHERS[geography.name]
     return SessionProfile(
         name=f"watch-{group}",
--- a/limedyke_lab/load/runner.py
+++ b/limedyke_lab/load/runner.py
@@ -1,4 +1,4 @@
-"""Load against a fleet: starts worker processes and gathers the whole history."""
+"""Load against a fleet: starts worker processes and collects the full history."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class LoadError(Exception):
-    """A worker ended with an error or not at all."""
+    """A worker failed or did not exit in time."""
 
 
 class LoadRun:
@@ -44,7 +44,7 @@
 
     :param name: names the settings and history files in the run folder
     :param workers: processes; each runs its share of every profile's sessions
-    :param direct: routes past the product, for baselines
+    :param direct: routes that bypass the product, for baselines
     """
 
     def __init__(
@@ -89,7 +89,7 @@
         self._watch.start()
 
     def _note_revision(self, proxy: str, revision: int) -> None:
-        """Record what the watch saw, in the watch's thread and in a file of its own."""
+        """Record an observed revision; runs in the watch's thread and writes to a separate file."""
         self._revisions.add(Event(time.monotonic_ns(), REVISION, proxy, revision))
 
     def _settings(self, index: int) -> LoadSettings:
@@ -112,14 +112,14 @@
         self._events.add(Event(time.monotonic_ns(), name, target, value, detail))
 
     def wait(self) -> None:
-        """Wait for the end of the load.
+        """Wait until the load has ended.
 
         :raises LoadError: when a worker failed
         """
         self._wait_until(time.monotonic() + self._seconds + END_MARGIN_S)
 
     def finish(self) -> None:
-        """End the load now, each session after its present operation.
+        """Stop the load; each session completes its current operation.
 
         :raises LoadError: when a worker failed
         """
@@ -135,7 +135,7 @@
                 raise LoadError(f"{process.name} ended with {code}: {process.log_tail()}")
 
     def run(self) -> History:
-        """Run the load to its end and return the whole history."""
+        """Run the load to its end and return the full history."""
         try:
             self.start()
             self.wait()
@@ -144,13 +144,13 @@
         return self.collect()
 
     def stop(self) -> None:
-        """End the watch and kill workers that still run."""
+        """Stop the revision watch and kill workers that are still running."""
         self._watch.stop()
         for process in self._processes:
             process.kill()
 
     def collect(self) -> History:
-        """Read the rows at the primaries and return the whole history."""
+        """Read the rows from the primaries and return the full history."""
         for group in self._fleet.topology.geography.groups:
             self._events.add(read_rows(self._fleet, group))
         self._events.close()
@@ -161,14 +161,14 @@
 
     @property
     def folder(self) -> Path:
-        """Where the clients' history is."""
+        """Folder of the clients' history."""
         return self._folder
 
 
 def create_tables(fleet: Fleet) -> None:
     """Create the lab's tables in each group, as a tenant through the first proxy.
 
-    In a fleet without the product they are created at the primaries.
+    Without the product, the tables are created directly on the primaries.
     """
     geography = fleet.topology.geography
     if not fleet.options.product:
@@ -180,14 +180,14 @@
     host, port = split_address(fleet.topology.proxies[0].advertise)
     for group in geography.groups:
         wait_until(
-            lambda group=group: _created(host, port, f"{tenant}/{group}", user),
-            f"the tables of {group} are there",
+            lambda group=group: _try_create_tables(host, port, f"{tenant}/{group}", user),
+            f"the tables of {group} exist",
             CREATE_TIMEOUT_S,
         )
 
 
-def _created(host: str, port: int, dbname: str, user: str) -> bool:
-    """Create the tables where they are missing; tell whether every statement was done."""
+def _try_create_tables(host: str, port: int, dbname: str, user: str) -> bool:
+    """Create missing tables; return whether every statement succeeded."""
     try:
         with psycopg.connect(
             host=host,
@@ -205,7 +205,7 @@
 
 
 def read_rows(fleet: Fleet, group: str) -> GroupRows:
-    """Read what the primary of a group holds, past the product."""
+    """Read the rows directly from the primary of a group."""
     primary = fleet.wait_for_primary(group)
     return GroupRows(
         group=group,
--- a/limedyke_lab/load/session.py
+++ b/limedyke_lab/load/session.py
@@ -1,4 +1,4 @@
-"""One client session: connects, roams between proxies with its token, and operates."""
+"""A client session that runs operations and moves between proxies with its session token."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Login:
-    """Where and as whom to connect."""
+    """Address and credentials of a connection."""
 
     address: str
     user: str
@@ -46,12 +46,12 @@
 
 @dataclass(slots=True)
 class SharedState:
-    """What the sessions of one worker share: request numbers and register owners."""
+    """State shared by the sessions of one worker: request numbers and register owners."""
 
     next_number: int
     owners: dict[str, list[str]] = field(default_factory=dict)
 
-    def take_number(self) -> int:
+    def next_request_number(self) -> int:
         """Return the next request number."""
         number = self.next_number
         self.next_number += 1
@@ -59,7 +59,7 @@
 
 
 def shut_down_socket(connection: AsyncConnection) -> None:
-    """Break a connection under a pending operation, which then ends with an error."""
+    """Shut down the socket of a connection so that its pending operation fails."""
     try:
         duplicate = socket.socket(fileno=os.dup(connection.fileno()))
     except (psycopg.Error, OSError):
@@ -74,7 +74,7 @@
 class ClientSession:
     """One session of a profile.
 
-    :param name: unique over all workers; also the owner of its register
+    :param name: unique across all workers; also the owner name of its register
     :param group: the database group it works on
     """
 
@@ -101,7 +101,7 @@
         self._repeated = False
 
     async def run(self, is_over: Callable[[], bool]) -> None:
-        """Operate until the load is over."""
+        """Run operations until the load is over."""
         weights = self._profile.mix.weights()
         kinds, shares = list(weights), list(weights.values())
         await asyncio.sleep(self._random.random() * self._profile.think_ms / 1_000)
@@ -116,7 +116,7 @@
     # Connections
 
     async def _roam(self) -> None:
-        """Leave for another proxy; the token goes along."""
+        """Disconnect and choose another proxy; the token is kept."""
         await self._disconnect()
         others = [proxy for proxy in self._proxies if proxy != self._proxy]
         if others:
@@ -151,7 +151,7 @@
     async def _connect(self, login: Login) -> AsyncConnection:
         """Open a connection.
 
-        :raises psycopg.Error: when it is refused or not answered in time
+        :raises psycopg.Error: when it is refused or times out
         """
         host, port = split_address(login.address)
         connection = await AsyncConnection.connect(
@@ -166,18 +166,18 @@
             row_factory=dict_row,
             connect_timeout=self._settings.connect_timeout_s,
         )
-        connection.add_notice_handler(self._take_notice)
+        connection.add_notice_handler(self._on_notice)
         return connection
 
-    def _take_notice(self, notice: psycopg.errors.Diagnostic) -> None:
-        """Remember that an answer was announced as the repetition of an earlier one."""
+    def _on_notice(self, notice: psycopg.errors.Diagnostic) -> None:
+        """Record that the response was marked as a repetition of an earlier one."""
         self._repeated = self._repeated or notice.message_primary == DUPLICATE_TEXT
 
     def _note(self, name: str, target: str, detail: str = "") -> None:
         self._record(Event(time.monotonic_ns(), name, target, detail=detail))
 
-    def _keep_token(self, connection: AsyncConnection) -> None:
-        """Remember the newest token that came with an answer."""
+    def _store_token(self, connection: AsyncConnection) -> None:
+        """Store the newest token received with a response."""
         value = None if connection.closed else connection.pgconn.parameter_status(TOKEN_PARAMETER)
         if value:
             self._token = value.decode()
@@ -199,7 +199,7 @@
     def _begin(self, kind: Kind, owner: str) -> Operation:
         """Return the record of an operation about to start."""
         return Operation(
-            number=self._shared.take_number(),
+            number=self._shared.next_request_number(),
             session=self.name,
             tenant=self._profile.tenant,
             group=self.group,
@@ -219,7 +219,7 @@
         await self._run_and_record(self._begin(Kind.READ, owner), Operations.read)
 
     async def _mark(self) -> None:
-        """Send a keyed mark, again through other proxies while its outcome is unknown."""
+        """Send a keyed mark; retry through other proxies while its outcome is unknown."""
         operation = self._begin(Kind.MARK, self.name)
         operation = replace(operation, once_key=f"mark-{operation.number}")
         for attempt in range(1, KEYED_ATTEMPTS + 1):
@@ -243,7 +243,7 @@
         try:
             done = await run(Operations(connection, self._profile.extended), operation)
             done = replace(done, repeated=self._repeated)
-            self._keep_token(connection)
+            self._store_token(connection)
         except psycopg.Error as error:
             done = failed_operation(operation, error)
         finally:
--- a/limedyke_lab/load/settings.py
+++ b/limedyke_lab/load/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a load: sessions, their mix of operations, and where they connect."""
+"""Settings of a load: sessions, their mix of operations, and their endpoints."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LoadModel(BaseModel):
-    """Base of load settings: unknown keys are errors and values don't change."""
+    """Base of load settings: unknown keys are rejected and instances are immutable."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -30,13 +30,13 @@
 
 
 class SessionProfile(LoadModel):
-    """Sessions that behave alike.
+    """A set of sessions with the same behaviour.
 
-    :param count: how many of them, spread over the groups and proxies
-    :param groups: names of database groups; the sessions go round them
+    :param count: number of sessions, spread over the groups and proxies
+    :param groups: names of database groups; sessions are assigned to them in turn
     :param think_ms: mean pause between two operations
-    :param roam_probability: chance to go to another proxy before an operation
-    :param own_read_share: share of reads that look at the session's own register
+    :param roam_probability: probability of moving to another proxy before an operation
+    :param own_read_share: share of reads that read the session's own register
     :param extended: use the extended protocol for reads and writes
     :param carry_token: present the session token after roaming
     """
@@ -56,10 +56,10 @@
 
 
 class DirectRoute(LoadModel):
-    """Where sessions without the product go for one group.
+    """Addresses of one group for sessions that bypass the product.
 
-    :param primary: address that takes the writes
-    :param readers: addresses, one of which is chosen at random for the reads
+    :param primary: address for writes
+    :param readers: addresses for reads; each session chooses one at random
     """
 
     primary: str
@@ -67,7 +67,7 @@
 
 
 class DirectRoutes(LoadModel):
-    """Routes of a baseline past the product: by group, and logins by tenant."""
+    """Routes of a baseline that bypasses the product: addresses by group, users by tenant."""
 
     groups: dict[str, DirectRoute]
     users: dict[str, str]
@@ -75,12 +75,12 @@
 
 
 class LoadSettings(LoadModel):
-    """One worker process's load.
+    """Load of one worker process.
 
     :param proxies: client address by proxy name
-    :param first_number: request numbers of this worker start here
-    :param operation_timeout_s: an operation without answer for this long is given up
-    :param dbname: database name towards the proxy; ``{tenant}`` and ``{group}`` are replaced
+    :param first_number: first request number of this worker
+    :param operation_timeout_s: timeout after which an operation is abandoned
+    :param dbname: database name sent to the proxy; ``{tenant}`` and ``{group}`` are replaced
     :param direct: connect to members instead of proxies, for baselines
     """
 
--- a/limedyke_lab/load/statements.py
+++ b/limedyke_lab/load/statements.py
@@ -1,8 +1,8 @@
-"""The lab's tables and statements.
+"""Tables and statements of the lab.
 
 ``registers`` holds one row per session with the number of its last write, which only
-grows; ``marks`` gets one row per mark; ``ledger`` gets two rows per transaction.
-Neither of the last two has a unique key, so that a request run twice shows.
+increases; ``marks`` gets one row per mark; ``ledger`` gets two rows per transaction.
+``marks`` and ``ledger`` have no unique key, so that a request that ran twice is visible.
 """
 
 from __future__ import annotations
--- a/limedyke_lab/load/trace_file.py
+++ b/limedyke_lab/load/trace_file.py
@@ -1,4 +1,4 @@
-"""Recorded traces: the beginning of a history in one small committed file."""
+"""Recorded traces: the first seconds of a history in one small file."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 NANOSECONDS = 1_000_000_000
 
 
-def cut_beginning(history: History, seconds: float) -> History:
-    """Return what began in the first seconds, with the rows and entries that belong to it."""
+def truncate_history(history: History, seconds: float) -> History:
+    """Return the operations started in the first seconds, with their rows and member entries."""
     first_ns = history.operations[0].start_ns
     end_ns = first_ns + int(seconds * NANOSECONDS)
     operations = tuple(operation for operation in history.operations if operation.start_ns < end_ns)
@@ -28,9 +28,9 @@
 
 
 def only_sessions(history: History, prefix: str) -> History:
-    """Return the operations of sessions whose name begins so, with all that belongs to them.
+    """Return the operations of sessions with a name prefix, with their rows and member entries.
 
-    All operations of these sessions stay, so that what they read can be judged.
+    All operations of these sessions are kept, so that checkers can verify their reads.
     """
     operations = tuple(
         operation for operation in history.operations if operation.session.startswith(prefix)
@@ -52,7 +52,7 @@
 
 
 def write_trace(history: History, path: Path) -> None:
-    """Write a history as one trace file, replacing what is there."""
+    """Write a history as one trace file, replacing an existing file."""
     path.unlink(missing_ok=True)
     writer = HistoryWriter(path)
     records = (*history.events, *history.operations, *history.rows, *history.members)
--- a/limedyke_lab/load/worker.py
+++ b/limedyke_lab/load/worker.py
@@ -1,4 +1,4 @@
-"""One load process: all sessions of a settings file on one event loop."""
+"""Load worker process: runs all sessions of a settings file on one event loop."""
 
 from __future__ import annotations
 
@@ -32,25 +32,25 @@
 
 
 class LoadEnd:
-    """When the load is over: after its time, or when SIGTERM asks for it."""
+    """Decides when the load is over: after its duration or on SIGTERM."""
 
     def __init__(self, seconds: float) -> None:
         self._deadline_s = time.monotonic() + seconds
-        self._asked = False
+        self._stop_requested = False
 
-    def ask(self) -> None:
-        """Let every session end after its present operation."""
-        self._asked = True
+    def request_stop(self) -> None:
+        """Make every session end after its current operation."""
+        self._stop_requested = True
 
     def is_over(self) -> bool:
-        """Tell whether sessions have to end."""
-        return self._asked or time.monotonic() >= self._deadline_s
+        """Return whether sessions must end."""
+        return self._stop_requested or time.monotonic() >= self._deadline_s
 
 
 async def _run(settings: LoadSettings, writer: HistoryWriter) -> None:
     sessions = build_sessions(settings, writer)
     end = LoadEnd(settings.seconds)
-    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, end.ask)
+    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, end.request_stop)
     await asyncio.gather(*(session.run(end.is_over) for session in sessions))
 
 
