--- a/limedyke_lab/fleet/addresses.py
+++ b/limedyke_lab/fleet/addresses.py
@@ -1,4 +1,4 @@
-"""Loopback addresses of a fleet, chosen so that fleets running at once do not collide."""
+"""Loopback addresses of a fleet, chosen so that concurrent fleets do not collide."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AddressPlan:
-    """The addresses of one fleet: ``127.<real>.z.n`` behind ``127.<advertised>.z.n``.
+    """Addresses of one fleet: relays forward ``127.<advertised>.z.n`` to ``127.<real>.z.n``.
 
-    :param relayed: without, nodes are reached at their real addresses
+    :param relayed: whether nodes are reached through relays or at their real addresses
     """
 
     real_octet: int
@@ -53,13 +53,13 @@
 
 
 class AddressLock:
-    """Holds one range of addresses while the fleet lives; the system frees it at the end."""
+    """Reserves an address range by binding a socket, which the kernel frees on exit."""
 
     def __init__(self) -> None:
         self._socket: socket.socket | None = None
 
     def acquire(self) -> AddressPlan:
-        """Take the first free range.
+        """Reserve the first free range.
 
         :raises NoFreeAddressesError: when there is none
         """
@@ -76,7 +76,7 @@
         raise NoFreeAddressesError("no free range of loopback addresses")
 
     def release(self) -> None:
-        """Give the range back; safe to call twice."""
+        """Release the range; may be called twice."""
         if self._socket is not None:
             self._socket.close()
             self._socket = None
--- a/limedyke_lab/fleet/commands.py
+++ b/limedyke_lab/fleet/commands.py
@@ -16,7 +16,7 @@
 
 
 class Commands:
-    """Builds the command line of each process, writing its settings file on the way."""
+    """Builds the command line of each process and writes its settings file."""
 
     def __init__(
         self, python: str, topology: Topology, files: FleetFiles, options: FleetOptions
@@ -35,7 +35,7 @@
         return self._lab("relay", settings=self._files.write_relay(zone))
 
     def platform(self) -> list[str]:
-        """Return the command of the platform's list of machines."""
+        """Return the command of the platform server, which serves the list of machines."""
         machines = ",".join(node.name for node in self._topology.proxies)
         return self._lab("platform", listen=self._topology.platform, machines=machines)
 
--- a/limedyke_lab/fleet/conditions.py
+++ b/limedyke_lab/fleet/conditions.py
@@ -1,4 +1,4 @@
-"""Waiting on conditions of a fleet, never for a fixed time."""
+"""Polling for conditions of a fleet, instead of sleeping for a fixed time."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ConditionTimeoutError(Exception):
-    """A condition did not come true in time."""
+    """A condition was not met in time."""
 
 
 def wait_until(
@@ -26,9 +26,9 @@
 ) -> None:
     """Poll until the condition holds.
 
-    :param what: the condition in words, for the error
-    :param give_up: returns a reason why waiting is pointless, or an empty string
-    :raises ConditionTimeoutError: when time is out or ``give_up`` gives a reason
+    :param what: description of the condition for the error message
+    :param give_up: returns the reason to stop waiting, or an empty string
+    :raises ConditionTimeoutError: on timeout or when ``give_up`` returns a reason
     """
     deadline = time.monotonic() + timeout_s
     while not condition():
@@ -41,7 +41,7 @@
 
 
 def http_get(address: str, path: str) -> tuple[int, str]:
-    """Return status and body of a GET, status 0 when the server cannot be reached."""
+    """Return status and body of a GET request; status 0 when the server is unreachable."""
     host, port = split_address(address)
     connection = http.client.HTTPConnection(host, port, timeout=PROBE_TIMEOUT_S)
     try:
@@ -55,12 +55,12 @@
 
 
 def is_ready(status_address: str) -> bool:
-    """Tell whether ``/readyz`` of a product process answers 200."""
+    """Return whether ``/readyz`` of a product process responds with 200."""
     return http_get(status_address, "/readyz")[0] == STATUS_OK
 
 
 def accepts_connections(address: str) -> bool:
-    """Tell whether something listens at the address."""
+    """Return whether the address accepts TCP connections."""
     try:
         with socket.create_connection(split_address(address), PROBE_TIMEOUT_S):
             return True
--- a/limedyke_lab/fleet/configuration.py
+++ b/limedyke_lab/fleet/configuration.py
@@ -20,14 +20,14 @@
 
 SECRET_FILE_MODE = 0o600
 REQUEST_DEADLINE_MS = 8_000
-"""Shorter than the patience of the lab's clients, so that a missing answer is a fault."""
+"""Shorter than the client timeout of the lab, so that a missing response is a fault."""
 EXAMPLES = REPOSITORY / "examples"
 EXAMPLE_ADDRESS_PREFIX = "127.2."
-"""Members' addresses in the committed declarations start so; a fleet puts its own in place."""
+"""Prefix of members' addresses in the committed declarations; a fleet replaces it."""
 
 
 class FleetFiles:
-    """Writes and names the files of one fleet under its run folder."""
+    """Paths of one fleet's files in its run folder, and functions that write them."""
 
     def __init__(self, folder: Path, topology: Topology) -> None:
         self.folder = folder
@@ -44,7 +44,7 @@
         return self.folder / "logs" / f"{name}.log"
 
     def history(self, name: str) -> Path:
-        """Return the file of a member's executed history."""
+        """Return the history file of a member."""
         return self.folder / "history" / f"{name}.jsonl"
 
     def settings(self, name: str) -> Path:
@@ -52,7 +52,7 @@
         return self.folder / "settings" / f"{name}.yaml"
 
     def prepare(self) -> None:
-        """Make the folders and write the secrets."""
+        """Create the folders and write the secrets."""
         for part in ("data", "logs", "history", "settings"):
             (self.folder / part).mkdir(parents=True, exist_ok=True)
         _write_secret(self.secrets, process_secrets())
@@ -138,14 +138,14 @@
         return path
 
     def write_declaration(self, source: Path) -> Path:
-        """Copy a committed declaration with this fleet's addresses in place."""
+        """Copy a committed declaration, replacing the addresses with those of this fleet."""
         prefix = f"127.{self._topology.addresses.advertised_octet}."
         path = self.folder / source.name
         path.write_text(source.read_text().replace(EXAMPLE_ADDRESS_PREFIX, prefix))
         return path
 
     def write_client_limit(self, declaration: Path, client_limit: int) -> Path:
-        """Write a declaration that differs in the client limit of its first tenant."""
+        """Write a copy of a declaration with a different client limit for the first tenant."""
         values = yaml.safe_load(declaration.read_text())
         values["tenants"][0]["client_limit"] = client_limit
         path = self.folder / f"changed-{declaration.name}"
@@ -159,7 +159,7 @@
 
 
 def describe_topology(topology: Topology) -> list[dict[str, str]]:
-    """Return one mapping per node, for people and for other processes."""
+    """Return name, zone and addresses of each node."""
     return [
         {
             "name": node.name,
--- a/limedyke_lab/fleet/fleet.py
+++ b/limedyke_lab/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet: starts the processes, waits for them, and offers the verbs of experiments."""
+"""A fleet: starts its processes, waits until they are ready, and injects faults."""
 
 from __future__ import annotations
 
@@ -30,23 +30,23 @@
 
 
 class FleetError(Exception):
-    """The fleet cannot start, or a name means no process of it."""
+    """The fleet cannot start, or a name matches none of its processes."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetOptions:
-    """What fleet to start.
+    """Options of a fleet.
 
     :param geography: name of a geography
-    :param name: names the run folder; two fleets of one name cannot run at once
-    :param controller_settings: keys that replace the written settings of every controller
-    :param proxy_settings: the same for every proxy
-    :param member_options: options that replace those of every member, such as ``lag_ms``
-    :param proxy_module: Python module that runs ``proxy``; tests name another one
-    :param product: start controllers and proxies; without, only members and relays
+    :param name: name of the run folder; two fleets with the same name cannot run concurrently
+    :param controller_settings: settings that override the defaults of every controller
+    :param proxy_settings: settings that override the defaults of every proxy
+    :param member_options: options that override those of every member, such as ``lag_ms``
+    :param proxy_module: Python module that runs ``proxy``; tests can replace it
+    :param product: whether to start controllers and proxies besides members and relays
     :param delays: apply the geography's delays
-    :param relayed: nodes reach each other through relays; without, nothing can be cut or delayed
-    :param declaration: committed declaration to bring into force, None for the geography's own
+    :param relayed: whether nodes connect through relays, which cuts and delays require
+    :param declaration: committed declaration to confirm; None for that of the geography
     """
 
     geography: str = "ostmark"
@@ -70,9 +70,9 @@
 
 
 class Fleet:
-    """The processes of one fleet; use it as a context manager.
+    """The processes of one fleet; a context manager.
 
-    :ivar relays: cuts, heals and kills between places
+    :ivar relays: cuts, heals and kills connections between places
     :ivar members: direct access to the members for checks and switches
     :ivar operator: the operator's commands
     """
@@ -100,15 +100,15 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        """End the fleet; see ``stop``."""
+        """Stop the fleet; see ``stop``."""
         self.stop()
 
     # Start and end
 
     def start(self) -> None:
-        """Start all processes, bring the declaration into force and wait until all serve."""
+        """Start all processes, confirm the declaration and wait until all are ready."""
         self._claim_folder()
-        self._lay_out()
+        self._build_topology_and_files()
         self.start_network_and_members()
         if self.options.product:
             self.start_controllers()
@@ -121,7 +121,7 @@
         self.wait_for_proxies()
 
     def stop(self) -> None:
-        """End every process this fleet started and free its addresses."""
+        """Stop every process this fleet started and release its addresses."""
         by_order = list(self._processes.values())
         relays = [process for process in by_order if process.name.startswith("relay-")]
         end_all([process for process in by_order if process not in relays], END_TIMEOUT_S)
@@ -142,7 +142,7 @@
         for part in ("data", "logs", "history", "settings"):
             shutil.rmtree(folder / part, ignore_errors=True)
 
-    def _lay_out(self) -> None:
+    def _build_topology_and_files(self) -> None:
         geography = GEOGRAPHIES[self.options.geography]
         if not self.options.delays:
             geography = geography.without_delays()
@@ -193,7 +193,7 @@
             self.wait_for_primary(group)
 
     def wait_for_primary(self, group: str, timeout_s: float = START_TIMEOUT_S) -> MemberNode:
-        """Wait until a group has a primary by its members' own word, and return it."""
+        """Wait until a member of the group reports that it is primary, and return it."""
         wait_until(
             lambda: self.members.primary_of(group) is not None,
             f"{group} has a primary",
@@ -202,7 +202,7 @@
         return self.members.primary_of(group)
 
     def wait_for_controllers(self) -> None:
-        """Wait until every controller listens; the operator's command waits for a leader."""
+        """Wait until every controller accepts connections; operator commands wait for a leader."""
         for node in self.topology.controllers:
             address = node.listen
             self._wait(node.name, lambda address=address: accepts_connections(address))
@@ -213,7 +213,7 @@
             self.wait_ready(node)
 
     def wait_ready(self, node: Node) -> None:
-        """Wait until a product process answers ``/readyz`` with 200."""
+        """Wait until ``/readyz`` of a product process responds with 200."""
         self._wait(node.name, lambda: is_ready(node.status))
 
     def _wait(self, name: str, condition) -> None:
@@ -221,7 +221,7 @@
         wait_until(condition, f"{name} is ready", START_TIMEOUT_S, process.failure)
 
     def declare(self, declaration: Path) -> None:
-        """Plan and confirm a committed declaration, with this fleet's addresses in place."""
+        """Plan and confirm a committed declaration, adapted to this fleet's addresses."""
         self._declaration = self.files.write_declaration(declaration)
         self.operator.declare(self._declaration)
 
@@ -230,10 +230,10 @@
         changed = self.files.write_client_limit(self._declaration, client_limit)
         return int(self.operator.declare(changed)["revision"])
 
-    # Verbs of experiments
+    # Faults and planned stops
 
     def process(self, name: str) -> ManagedProcess:
-        """Return the process of a name.
+        """Return the process with a name.
 
         :raises FleetError: when the fleet has none such
         """
@@ -242,7 +242,7 @@
         return self._processes[name]
 
     def node(self, name: str) -> Node:
-        """Return the node of a name.
+        """Return the node with a name.
 
         :raises FleetError: when the fleet has none such
         """
@@ -252,7 +252,7 @@
         raise FleetError(f"no node {name} in this fleet")
 
     def member(self, name: str) -> MemberNode:
-        """Return the member of a name.
+        """Return the member with a name.
 
         :raises FleetError: when the fleet has none such
         """
@@ -262,29 +262,29 @@
         raise FleetError(f"no member {name} in this fleet")
 
     def kill(self, name: str) -> None:
-        """End a process at once, as a crash."""
+        """Kill a process (SIGKILL), simulating a crash."""
         self.process(name).kill()
 
     def freeze(self, name: str) -> None:
-        """Stop a process without its knowing (SIGSTOP)."""
+        """Suspend a process (SIGSTOP)."""
         self.process(name).send_signal(Signals.SIGSTOP)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process go on (SIGCONT)."""
+        """Resume a suspended process (SIGCONT)."""
         self.process(name).send_signal(Signals.SIGCONT)
 
     def terminate(self, name: str, timeout_s: float = START_TIMEOUT_S) -> int | None:
-        """Ask a process to leave (SIGTERM) and return its exit code, None when it stays."""
+        """Stop a process with SIGTERM; return its exit code, None on timeout."""
         process = self.process(name)
         process.send_signal(Signals.SIGTERM)
         return process.wait(timeout_s)
 
     def restart(self, name: str) -> None:
-        """Start an ended process again, with the data it left."""
+        """Restart an ended process with its existing data."""
         self.process(name).start()
 
     def isolate(self, name: str) -> None:
-        """Cut a node off from everything, both ways."""
+        """Cut all traffic to and from a node."""
         self.relays.cut(name, "*")
 
     def rejoin(self, name: str) -> None:
@@ -292,7 +292,7 @@
         self.relays.heal(name, "*")
 
     def remove_data(self, name: str) -> None:
-        """Remove the data folder of an ended process, as the loss of its disk.
+        """Remove the data folder of an ended process, simulating the loss of its disk.
 
         :raises FleetError: when the process still runs
         """
@@ -307,6 +307,6 @@
 
 @contextmanager
 def running_fleet(**options: object) -> Iterator[Fleet]:
-    """Run a fleet with ``FleetOptions`` given as keywords, ended with the block."""
+    """Run a fleet for the duration of a ``with`` block; takes ``FleetOptions`` as keywords."""
     with Fleet(FleetOptions(**options)) as fleet:
         yield fleet
--- a/limedyke_lab/fleet/foreground.py
+++ b/limedyke_lab/fleet/foreground.py
@@ -1,4 +1,4 @@
-"""A fleet in the foreground, for people: prints where to connect and waits."""
+"""Runs a fleet in the foreground for interactive use: prints its addresses and waits."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def describe(fleet: Fleet) -> str:
-    """Return the fleet's addresses and an example connection, one line each."""
+    """Return the run folder, addresses and secrets file of the fleet, one item per line."""
     lines = [f"run folder: {fleet.options.folder}"]
     for node in fleet.topology.nodes:
         lines.append(f"{node.name} zone={node.zone.name} address={node.advertise}")
--- a/limedyke_lab/fleet/members.py
+++ b/limedyke_lab/fleet/members.py
@@ -1,4 +1,4 @@
-"""Direct access to the members of a fleet, past the product: for switches and checks."""
+"""Direct access to the members of a fleet, for switches and checks."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class MemberAccess:
-    """Runs statements as the lab's superuser on a member's real address."""
+    """Executes statements on members as the lab's superuser, at their real addresses."""
 
     def __init__(self, topology: Topology) -> None:
         self._topology = topology
@@ -22,7 +22,7 @@
     def query(self, member: MemberNode, statement: str) -> list[tuple]:
         """Run one statement on a member and return its rows.
 
-        :raises psycopg.Error: when the member refuses or cannot be reached
+        :raises psycopg.Error: when the member refuses the statement or is unreachable
         """
         host, port = split_address(member.node.listen)
         connection = psycopg.connect(
@@ -43,21 +43,21 @@
         self.query(member, f"SELECT lab_set('{name}', '{value}')")
 
     def is_primary(self, member: MemberNode) -> bool:
-        """Tell whether the member says it is an open primary."""
+        """Return whether the member reports that it is an open primary."""
         try:
             return self.query(member, "SELECT group_role()")[0][0] == "primary"
         except psycopg.Error:
             return False
 
     def term(self, member: MemberNode) -> int:
-        """Return the member's verified term, 0 when it cannot be reached."""
+        """Return the member's verified term; 0 when it is unreachable."""
         try:
             return int(self.query(member, "SELECT group_term()")[0][0])
         except psycopg.Error:
             return 0
 
     def primary_of(self, group: str) -> MemberNode | None:
-        """Return the primary of the highest term, or None."""
+        """Return the group's primary with the highest term, or None."""
         primaries = [
             member for member in self._topology.members_of(group) if self.is_primary(member)
         ]
--- a/limedyke_lab/fleet/operator.py
+++ b/limedyke_lab/fleet/operator.py
@@ -1,4 +1,4 @@
-"""The operator's commands, run as any operator would run them."""
+"""Runs the operator's commands as subprocesses."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class OperatorCommandError(Exception):
-    """A command of the operator failed; the text is its output."""
+    """An operator command failed; the message contains its output."""
 
 
 class Operator:
@@ -25,7 +25,7 @@
     def run(self, *arguments: str) -> dict:
         """Run one command and return its JSON output.
 
-        :raises OperatorCommandError: when it exits with another code than 0
+        :raises OperatorCommandError: when it exits with a code other than 0
         """
         command = [self._python, "-m", "limedyke.cli", *arguments]
         command += [f"--settings={self._settings}", "--output=json"]
@@ -35,17 +35,17 @@
         return json.loads(done.stdout)
 
     def plan(self, declaration: Path) -> dict:
-        """Plan a declaration; nothing takes effect."""
+        """Plan a declaration without applying it."""
         return self.run("plan", str(declaration))
 
     def confirm(self, plan_id: str) -> dict:
-        """Bring a plan into force."""
+        """Confirm a plan, which puts it into force."""
         return self.run("confirm", plan_id)
 
     def declare(self, declaration: Path) -> dict:
-        """Plan and confirm; returns the confirmation."""
+        """Plan and confirm a declaration; return the confirmation."""
         return self.confirm(self.plan(declaration)["plan_id"])
 
     def status(self) -> dict:
-        """Return the state of the whole system as the leader sees it."""
+        """Return the system state as reported by the leader."""
         return self.run("status")
--- a/limedyke_lab/fleet/process.py
+++ b/limedyke_lab/fleet/process.py
@@ -1,4 +1,4 @@
-"""One process of a fleet: start, signals, log and end."""
+"""A process of a fleet: start, signals, log and termination."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
-def _die_with_parent() -> None:
-    """Ask the kernel to end this process when the fleet runner is gone."""
+def _kill_when_parent_ends() -> None:
+    """Ask the kernel to kill this process when its parent, the fleet runner, ends."""
     _libc.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
@@ -30,10 +30,10 @@
 
 
 class ManagedProcess:
-    """A process that this fleet started, and only such.
+    """A child process started by the fleet.
 
     :param command: the full command line
-    :param log_file: receives standard output and error, appended over restarts
+    :param log_file: file that standard output and error are appended to, also after restarts
     """
 
     def __init__(self, name: str, command: list[str], log_file: Path) -> None:
@@ -44,12 +44,12 @@
 
     @property
     def pid(self) -> int:
-        """Process id, or 0 when it was never started."""
+        """Process ID, or 0 if it was never started."""
         return self._process.pid if self._process else 0
 
     @property
     def exit_code(self) -> int | None:
-        """Exit code, None while it runs or was never started."""
+        """Exit code; None while the process runs or if it was never started."""
         return self._process.poll() if self._process else None
 
     @property
@@ -68,16 +68,16 @@
                 stdout=log,
                 stderr=log,
                 env=environment(),
-                preexec_fn=_die_with_parent,
+                preexec_fn=_kill_when_parent_ends,
             )
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal when the process still runs."""
+        """Send a signal if the process is running."""
         if self.running:
             self._process.send_signal(number)
 
     def wait(self, timeout_s: float) -> int | None:
-        """Return the exit code, or None when it still runs after the timeout."""
+        """Return the exit code, or None if the process is still running after the timeout."""
         if self._process is None:
             return None
         try:
@@ -86,12 +86,12 @@
             return None
 
     def kill(self) -> None:
-        """End the process at once, as a crash."""
+        """Kill the process (SIGKILL), simulating a crash."""
         self.send_signal(signal.SIGKILL)
         self.wait(KILL_WAIT_S)
 
     def end(self, timeout_s: float) -> int | None:
-        """Ask the process to end, then kill it; return its exit code."""
+        """Send SIGTERM, then SIGKILL after the timeout; return the exit code."""
         self.send_signal(signal.SIGCONT)
         self.send_signal(signal.SIGTERM)
         if self.wait(timeout_s) is None:
@@ -105,21 +105,21 @@
         return self.log_file.read_bytes()[-LOG_TAIL_BYTES:].decode(errors="replace")
 
     def failure(self) -> str:
-        """Return why the process is not running, or an empty string while it runs."""
+        """Return why the process is not running; empty while it runs."""
         if self.running:
             return ""
         return f"{self.name} ended with code {self.exit_code}:\n{self.log_tail()}"
 
 
 def run_command(command: list[str], timeout_s: float) -> subprocess.CompletedProcess:
-    """Run a short command to its end and return its output."""
+    """Run a command to completion and return its output."""
     return subprocess.run(
         command, capture_output=True, text=True, timeout=timeout_s, env=environment(), check=False
     )
 
 
 def end_all(processes: list[ManagedProcess], timeout_s: float) -> None:
-    """End processes together: ask all, then wait for each, then kill what is left."""
+    """Stop processes: send SIGTERM to all, wait for each, and kill those that remain."""
     for process in processes:
         process.send_signal(signal.SIGCONT)
         process.send_signal(signal.SIGTERM)
--- a/limedyke_lab/fleet/relay_control.py
+++ b/limedyke_lab/fleet/relay_control.py
@@ -11,13 +11,13 @@
 
 
 class RelayCommandError(Exception):
-    """A relay refused a command or did not answer."""
+    """A relay refused a command or did not respond."""
 
 
 def send_command(address: str, command: dict) -> dict:
-    """Send one command to one relay and return its answer.
+    """Send one command to one relay and return its response.
 
-    :raises RelayCommandError: when it is refused or the relay is gone
+    :raises RelayCommandError: when the command is refused or the relay is unreachable
     """
     try:
         with socket.create_connection(split_address(address), CONTROL_TIMEOUT_S) as sock:
@@ -44,11 +44,11 @@
         return [send_command(address, command) for address in self._addresses]
 
     def cut_one_way(self, source: str, destination: str) -> None:
-        """Let nothing pass from ``source`` to ``destination``."""
+        """Block all traffic from ``source`` to ``destination``."""
         self._send_all(do="cut", source=source, destination=destination)
 
     def cut(self, first: str, second: str) -> None:
-        """Let nothing pass between two places, both ways."""
+        """Block all traffic between two places in both directions."""
         self.cut_one_way(first, second)
         self.cut_one_way(second, first)
 
@@ -70,10 +70,10 @@
         self._send_all(do="delay", source=source, destination=destination, ms=delay_ms)
 
     def kill_connections(self, source: str, destination: str) -> int:
-        """Reset the open connections from ``source`` to ``destination``; return how many."""
+        """Reset the open connections from ``source`` to ``destination``; return their number."""
         answers = self._send_all(do="kill", source=source, destination=destination)
         return sum(answer["killed"] for answer in answers)
 
     def connections(self) -> int:
-        """Return how many connections the relays carry."""
+        """Return the number of connections that the relays carry."""
         return sum(answer["connections"] for answer in self._send_all(do="status"))
--- a/limedyke_lab/fleet/revisions.py
+++ b/limedyke_lab/fleet/revisions.py
@@ -1,4 +1,4 @@
-"""The revision in force at each proxy, as its status page tells it."""
+"""Reads the revision in force at each proxy from its metrics page."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RevisionProbe:
-    """Reads the revision in force at one proxy over a kept connection."""
+    """Reads the revision in force at one proxy over a persistent connection."""
 
     def __init__(self, node: Node) -> None:
         host, port = split_address(node.status)
@@ -25,7 +25,7 @@
         self._connection = http.client.HTTPConnection(host, port, timeout=HTTP_TIMEOUT_S)
 
     def revision(self) -> int:
-        """Return the revision, 0 when the proxy does not answer or has none yet."""
+        """Return the revision; 0 when the proxy does not respond or has none yet."""
         try:
             self._connection.request("GET", "/metrics")
             body = self._connection.getresponse().read()
@@ -41,25 +41,25 @@
 
 
 class RevisionWatch:
-    """Looks at the proxies again and again while an experiment does other things.
+    """Polls the revisions of proxies in the background while an experiment runs.
 
-    It has a thread of its own, because the experiment's verbs block.
+    It uses its own thread because the operations of an experiment block.
 
-    :param seen: called in that thread with a proxy's name and its revision
+    :param on_revision: called in that thread with a proxy's name and its revision
     """
 
-    def __init__(self, nodes: tuple[Node, ...], seen: Callable[[str, int], None]) -> None:
+    def __init__(self, nodes: tuple[Node, ...], on_revision: Callable[[str, int], None]) -> None:
         self._probes = [RevisionProbe(node) for node in nodes]
-        self._seen = seen
+        self._on_revision = on_revision
         self._end = threading.Event()
         self._thread = threading.Thread(target=self._watch, daemon=True)
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start polling."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End; safe to call twice, and without a start."""
+        """Stop polling; may be called twice or without a start."""
         self._end.set()
         if self._thread.is_alive():
             self._thread.join(WATCH_END_S)
@@ -69,6 +69,6 @@
             for probe in self._probes:
                 revision = probe.revision()
                 if revision:
-                    self._seen(probe.name, revision)
+                    self._on_revision(probe.name, revision)
         for probe in self._probes:
             probe.close()
--- a/limedyke_lab/fleet/secrets.py
+++ b/limedyke_lab/fleet/secrets.py
@@ -1,4 +1,4 @@
-"""Well-known secrets of the lab: never used outside of loopback fleets."""
+"""Fixed secrets of the lab, used only in loopback fleets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     "dispatch": "lab-dispatch-backend",
     "dashboards": "lab-dashboards-backend",
 }
-"""Password of each login at the members; the secret has the name of the login."""
+"""Password of each member login; the secret has the same name as the login."""
 
 TOKEN_KEYS = {
     "token-key-1": "lab-token-key-1-0123456789abcdef",
@@ -28,7 +28,7 @@
 
 
 def process_secrets() -> dict[str, str]:
-    """Return the secrets file of proxies, controllers and operators."""
+    """Return the contents of the secrets file of proxies, controllers and operators."""
     return {
         "cluster": CLUSTER_KEY,
         OPERATOR_SECRET_NAME: OPERATOR_KEY,
@@ -39,7 +39,7 @@
 
 
 def member_passwords() -> dict[str, str]:
-    """Return the logins that members accept."""
+    """Return the password of each login that members accept."""
     return {
         LAB_ADMIN_USER: LAB_ADMIN_PASSWORD,
         PROXY_ADMIN_USER: PROXY_ADMIN_PASSWORD,
--- a/limedyke_lab/fleet/topology.py
+++ b/limedyke_lab/fleet/topology.py
@@ -1,4 +1,4 @@
-"""The nodes of a fleet, their places and addresses, worked out from its options."""
+"""Nodes of a fleet with their zones and addresses."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Node:
-    """A process of the fleet that others reach through the relay.
+    """A process of the fleet that other processes reach through a relay.
 
-    :param ports: its listening ports, the first one being the main one
+    :param ports: its listening ports; the first one is the main port
     """
 
     name: str
@@ -74,7 +74,7 @@
 
     @property
     def nodes(self) -> tuple[Node, ...]:
-        """Every node behind a relay."""
+        """All nodes that are reached through relays."""
         return (*self.controllers, *self.proxies, *(member.node for member in self.members))
 
     def members_of(self, group: str) -> tuple[MemberNode, ...]:
@@ -103,7 +103,7 @@
 def build_topology(
     geography: Geography, addresses: AddressPlan, controllers: int, proxies: int
 ) -> Topology:
-    """Lay out a fleet: processes of a kind go round the zones, one member of a group per zone."""
+    """Build a topology; processes of each kind, and members of a group, take the zones in turn."""
 
     def node(name: str, index: int, host: int, *ports: int) -> Node:
         zone = geography.zones[index % len(geography.zones)]
