--- a/limedyke_lab/relay.py
+++ b/limedyke_lab/relay.py
@@ -1,12 +1,12 @@
-"""Relay of the lab's network: delays, cuts and kills between places on loopback.
+"""TCP relay that simulates the lab's network: delays, cuts and connection resets.
 
 For each server process the relay listens on the advertised address and forwards
-to the real one.  It knows the source by the peer's IP address: a node of the
-fleet, or else a client.  Each direction of a connection is an ordered queue whose
-items leave after the one-way delay of the pair; a cut pair holds its items, as
-TCP does while packets are lost, and passes them on once healed.
+to the real one. It identifies the source by the peer's IP address; an address that
+belongs to no node is a client. Each direction of a connection is a FIFO queue whose
+items are forwarded after the one-way delay between the zones. While a direction is cut, its
+items are held, as TCP does during packet loss, and forwarded once the cut is healed.
 
-Control is JSON lines over TCP: one command object in, one answer object out.
+The control protocol is JSON lines over TCP: one response object per command object.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @dataclass(eq=False, slots=True)
 class Connection:
-    """A relayed connection, kept so that a command can kill it."""
+    """A relayed connection, registered so that a command can kill it."""
 
     source: Endpoint
     destination: Endpoint
@@ -40,12 +40,12 @@
 
 
 def _reset_on_close(sock: socket.socket) -> None:
-    """Make closing the socket send a reset, as the death of a machine's process does."""
+    """Make closing the socket send a TCP reset, as when the peer process is killed."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
 class Relay:
-    """All listeners of one relay process, its connections and its control."""
+    """Listeners, connections and control port of one relay process."""
 
     def __init__(self, settings: RelaySettings) -> None:
         self._settings = settings
@@ -79,7 +79,7 @@
     async def _serve(self, connection: Connection, address: tuple[str, int]) -> None:
         try:
             server = await self._connect(connection, address)
-            await self._carry(connection, server)
+            await self._forward(connection, server)
         except OSError:
             for sock in connection.sockets:
                 _reset_on_close(sock)
@@ -89,7 +89,7 @@
                 await sock.close()
 
     async def _connect(self, connection: Connection, address: tuple[str, int]) -> socket.socket:
-        """Connect to the real address, with the delays and cuts of both ways."""
+        """Connect to the real address, applying delays and cuts in both directions."""
         source, destination = connection.source, connection.destination
         await curio.sleep(self._network.delay_s(source, destination))
         await self._network.wait_until_open(source, destination)
@@ -100,7 +100,7 @@
         await self._network.wait_until_open(destination, source)
         return server
 
-    async def _carry(self, connection: Connection, server: socket.socket) -> None:
+    async def _forward(self, connection: Connection, server: socket.socket) -> None:
         client = connection.sockets[0]
         for sock in (client, server):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -123,15 +123,15 @@
         stream = client.as_stream()
         try:
             async for line in stream:
-                answer = await self._obey(json.loads(line))
+                answer = await self._execute(json.loads(line))
                 await stream.write(json.dumps(answer).encode() + b"\n")
         except (OSError, ValueError) as error:
             _log.warning("control-closed", reason=error)
         finally:
             await client.close()
 
-    async def _obey(self, command: dict) -> dict:
-        """Carry out one control command and return its answer."""
+    async def _execute(self, command: dict) -> dict:
+        """Execute one control command and return its response."""
         match command:
             case {"do": "cut", "source": source, "destination": destination}:
                 self._network.cuts.add((source, destination))
@@ -148,21 +148,21 @@
                 return {"ok": True, "connections": len(self._connections), "cuts": cuts}
             case _:
                 return {"ok": False, "reason": "unknown command"}
-        await self._network.announce()
+        await self._network.notify_change()
         _log.info("network-changed", **command)
         return {"ok": True}
 
     async def _kill(self, source: str, destination: str) -> int:
-        doomed = [
+        matching = [
             connection
             for connection in self._connections
             if connection.source.matches(source) and connection.destination.matches(destination)
         ]
-        for connection in doomed:
+        for connection in matching:
             for sock in connection.sockets:
                 _reset_on_close(sock)
             await connection.task.cancel(blocking=False)
-        return len(doomed)
+        return len(matching)
 
 
 def _listen(address: str) -> socket.socket:
@@ -174,7 +174,7 @@
 
 
 def run_relay(settings_file: str) -> None:
-    """Run one relay process until it is ended by a signal."""
+    """Run one relay process until terminated by a signal."""
     start_logging("INFO")
     settings = RelaySettings.load(Path(settings_file))
     curio.run(Relay(settings).run)
--- a/limedyke_lab/relay_network.py
+++ b/limedyke_lab/relay_network.py
@@ -1,4 +1,4 @@
-"""The relay's picture of the network: nodes, delays and cuts, and one direction of a connection."""
+"""Network model of the relay: nodes, delays, cuts, and one direction of a connection."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 RECEIVE_BYTES = 64 * 1024
 QUEUE_LIMIT_BYTES = 1024 * 1024
-"""Bytes held in one direction before the relay stops reading from the sender."""
+"""Bytes queued in one direction above which the relay stops reading from the sender."""
 TIMER_SLACK_S = 0.0005
-"""Half the resolution of the event loop's timer; an item this close to due is sent."""
+"""Half the event loop's timer resolution; items due within this time are sent immediately."""
 ANYWHERE = "*"
 
 
@@ -24,7 +24,7 @@
     """A server process behind the relay.
 
     :param ip: its real address, from which it also connects
-    :param ports: the ports it listens on, the same at its advertised address
+    :param ports: ports it listens on, identical at its real and advertised address
     """
 
     name: str
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelaySettings:
-    """What one relay process serves.
+    """Settings of one relay process.
 
     :param zone: only destinations of this zone are served; empty for all
     :param delays_ms: one-way delay by ``source destination`` place names
@@ -65,13 +65,13 @@
     zone: str
 
     def matches(self, place: str) -> bool:
-        """Tell whether a place of a command, a node, a zone or ``*``, means this endpoint."""
+        """Return whether a place (a node, a zone or ``*``) includes this endpoint."""
         return place in (ANYWHERE, self.node, self.zone)
 
 
 @dataclass(slots=True)
 class Network:
-    """Delays and cuts now in force; a change wakes every held direction."""
+    """Current delays and cuts; a change wakes all waiting directions."""
 
     delays_ms: dict[str, float]
     cuts: set[tuple[str, str]] = field(default_factory=set)
@@ -82,7 +82,7 @@
         return self.delays_ms.get(f"{source.zone} {destination.zone}", 0.0) / 1_000
 
     def is_cut(self, source: Endpoint, destination: Endpoint) -> bool:
-        """Tell whether nothing passes from ``source`` to ``destination``."""
+        """Return whether traffic from ``source`` to ``destination`` is cut."""
         return any(source.matches(a) and destination.matches(b) for a, b in self.cuts)
 
     async def wait_until_open(self, source: Endpoint, destination: Endpoint) -> None:
@@ -90,8 +90,8 @@
         while self.is_cut(source, destination):
             await self.changed.wait()
 
-    async def announce(self) -> None:
-        """Wake every direction that waits for a change."""
+    async def notify_change(self) -> None:
+        """Wake all directions that wait for a change."""
         changed, self.changed = self.changed, curio.Event()
         await changed.set()
 
@@ -109,7 +109,7 @@
         self._drained = curio.Event()
 
     async def fill(self, reader: socket.socket) -> None:
-        """Queue what arrives until the sender ends (empty bytes) or resets (None)."""
+        """Queue received data until the sender closes (empty bytes) or resets (None)."""
         while True:
             try:
                 data = await reader.recv(RECEIVE_BYTES)
@@ -126,17 +126,17 @@
                 await self._drained.wait()
 
     async def drain(self, writer: socket.socket) -> OSError | None:
-        """Pass on what is due, in order, to the sender's end.
+        """Forward due data in order until the sender closes.
 
-        :returns: why the connection is broken: its sender's reset, or an error of the receiver
+        :returns: the error that broke the connection: a reset by the sender, or a receiver error
         """
         try:
-            await self._pass_on(writer)
+            await self._forward(writer)
         except OSError as error:
             return error
         return None
 
-    async def _pass_on(self, writer: socket.socket) -> None:
+    async def _forward(self, writer: socket.socket) -> None:
         while True:
             data = await self._next()
             if data is None:
