--- a/limedyke_lab/platform.py
+++ b/limedyke_lab/platform.py
@@ -1,7 +1,7 @@
-"""The platform's list of machines: live and leaving ones, as they were some seconds ago.
+"""Stand-in for the platform's list of live and leaving machines, served with a lag.
 
-``GET /machines`` answers ``[{"name": ..., "state": "live" | "leaving"}, ...]`` with the lag
-applied; ``POST /machines`` with such a list replaces the truth.
+``GET /machines`` returns ``[{"name": ..., "state": "live" | "leaving"}, ...]`` as of the lag ago;
+``POST /machines`` with such a list replaces the current state.
 """
 
 from __future__ import annotations
@@ -30,24 +30,24 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineList:
-    """The machines as they were from ``since_s`` on."""
+    """A version of the list, valid from ``since_s`` on."""
 
     since_s: float
     machines: tuple[dict[str, str], ...]
 
 
-class LaggingList:
-    """Keeps the versions of the list and shows the one that the lag allows."""
+class LaggedMachineList:
+    """Keeps versions of the list and returns the one that was current one lag ago."""
 
     def __init__(self, lag_s: float, machines: tuple[dict[str, str], ...], now_s: float) -> None:
         self._lag_s = lag_s
         self._versions = deque([MachineList(now_s - lag_s, machines)])
 
     def replace(self, machines: tuple[dict[str, str], ...], now_s: float) -> None:
-        """Change the truth."""
+        """Replace the current list; readers see it after the lag."""
         self._versions.append(MachineList(now_s, machines))
 
-    def seen(self, now_s: float) -> tuple[dict[str, str], ...]:
+    def visible(self, now_s: float) -> tuple[dict[str, str], ...]:
         """Return the list as it was one lag ago."""
         while len(self._versions) > 1 and self._versions[1].since_s <= now_s - self._lag_s:
             self._versions.popleft()
@@ -64,7 +64,7 @@
 class PlatformServer:
     """Serves the list over HTTP/1.1."""
 
-    def __init__(self, machines: LaggingList) -> None:
+    def __init__(self, machines: LaggedMachineList) -> None:
         self._machines = machines
 
     async def run(self, address: str) -> None:
@@ -108,7 +108,7 @@
         if request.path != "/machines":
             return STATUS_NOT_FOUND, b"not found\n"
         if request.method == "GET":
-            return STATUS_OK, json.dumps(self._machines.seen(now_s)).encode()
+            return STATUS_OK, json.dumps(self._machines.visible(now_s)).encode()
         try:
             machines = tuple(json.loads(request.body))
         except ValueError:
@@ -124,8 +124,8 @@
 
 
 def run_platform(listen: str, machines: tuple[str, ...], lag_s: float) -> None:
-    """Serve the list of these live machines until ended by a signal."""
+    """Serve a list of live machines until terminated by a signal."""
     start_logging("INFO")
     first = tuple({"name": name, "state": LIVE} for name in machines)
-    server = PlatformServer(LaggingList(lag_s, first, time.monotonic()))
+    server = PlatformServer(LaggedMachineList(lag_s, first, time.monotonic()))
     curio.run(server.run, listen)
--- a/limedyke_lab/simulated_disk.py
+++ b/limedyke_lab/simulated_disk.py
@@ -1,8 +1,8 @@
-"""A disk in memory that loses or tears unsynced data at a crash, and fails on demand.
+"""In-memory disk that loses or tears unsynced data on a crash, and injects errors.
 
-What a process reads is the cache; what survives :meth:`SimulatedDisk.crash` is what was
-synced, plus a random part of what was not.  After a failed sync the cache still shows the
-data but later syncs do not write it, as on real systems.
+Reads return cached data. :meth:`SimulatedDisk.crash` keeps synced data and a random part of
+unsynced data. After a failed sync the cache still contains the data, but later syncs do not
+write it, as on real systems.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 
 
 class SimulatedPowerLoss(BaseException):
-    """The machine lost power in the middle of a disk operation."""
+    """Simulated loss of power during a disk operation."""
 
 
 @dataclass(slots=True)
 class _Contents:
-    """One file's bytes.
+    """Contents of one file.
 
-    :param durable: what would survive a crash
-    :param unwritable: ranges that a failed sync dropped; they reach the disk as zeros
+    :param durable: bytes that survive a crash
+    :param unwritable: byte ranges dropped by a failed sync; a later sync writes zeros there
     """
 
     cached: bytearray = field(default_factory=bytearray)
@@ -34,8 +34,8 @@
 class SimulatedDisk:
     """A :class:`limedyke.storage.file_system.FileSystem` in memory.
 
-    :param rng: decides what part of the unsynced data survives a crash
-    :param capacity_bytes: writes beyond it fail with ENOSPC after a part is written
+    :param rng: decides which part of the unsynced data survives a crash
+    :param capacity_bytes: writes beyond it fail with ENOSPC after a partial write
     """
 
     def __init__(self, rng: random.Random, capacity_bytes: int | None = None) -> None:
@@ -51,26 +51,26 @@
         self._operations_until_power_loss: int | None = None
 
     def make_folder(self, folder: Path) -> None:
-        """Folders need no creation here."""
+        """Do nothing; folders exist implicitly."""
 
     def names(self, folder: Path) -> list[str]:
         """Return the sorted names of the files in a folder."""
         return sorted(path.name for path in self._names if path.parent == folder)
 
     def read(self, path: Path) -> bytes | None:
-        """Return the cached file, or None when there is none."""
+        """Return the cached contents of a file, or None if it does not exist."""
         contents = self._names.get(path)
         return None if contents is None else bytes(contents.cached)
 
     def create(self, path: Path) -> SimulatedFile:
-        """Open an empty file for appending, replacing one of that name."""
+        """Create an empty file for appending, replacing an existing one."""
         self._step()
         contents = _Contents()
         self._change_name(path, contents)
         return SimulatedFile(self, contents)
 
     def overwrite(self, path: Path, data: bytes) -> None:
-        """Write over the start of a file in the cache; the disk is not touched."""
+        """Overwrite the start of a file in the cache, without changing durable data."""
         contents = self._names.get(path)
         if contents is None:
             contents = _Contents()
@@ -78,11 +78,11 @@
         contents.cached[: len(data)] = data
 
     def life(self) -> str:
-        """Name the time until the next crash."""
+        """Return an identifier that changes with each crash."""
         return str(self._crashes)
 
     def rename(self, source: Path, target: Path) -> None:
-        """Give a file another name; a crash may undo it until the folder is synced."""
+        """Rename a file; a crash may undo it until the folder is synced."""
         self._step()
         contents = self._names[source]
         self._change_name(target, contents)
@@ -95,31 +95,31 @@
             self._change_name(path, None)
 
     def sync_folder(self, folder: Path) -> None:
-        """Make the names in the folder durable."""
+        """Make the directory entries durable."""
         self._step()
-        self._fail_sync_if_asked()
+        self._raise_injected_sync_failure()
         self._apply_folder_changes(len(self._folder_changes))
 
     def lock(self, folder: Path) -> None:
-        """Keep other openers from the folder."""
+        """Lock the folder; raises OSError when it is already locked."""
         if folder in self._locked:
             raise OSError(errno.EWOULDBLOCK, os.strerror(errno.EWOULDBLOCK))
         self._locked.add(folder)
 
     def unlock(self, folder: Path) -> None:
-        """Let go of the folder."""
+        """Unlock the folder."""
         self._locked.discard(folder)
 
     def fail_syncs(self, count: int) -> None:
-        """Let the next syncs fail with EIO."""
+        """Make the next syncs fail with EIO."""
         self._failing_syncs = count
 
     def lose_power_after(self, operations: int | None) -> None:
-        """Raise :class:`SimulatedPowerLoss` at a later operation; None cancels it."""
+        """Raise :class:`SimulatedPowerLoss` after a number of operations; None cancels it."""
         self._operations_until_power_loss = operations
 
     def crash(self) -> None:
-        """Lose power: keep what was synced and a random part of what was not."""
+        """Simulate a power loss: keep synced data and a random part of unsynced data."""
         self._crashes += 1
         kept = self._rng.randint(0, len(self._folder_changes))
         self._apply_folder_changes(kept)
@@ -131,7 +131,7 @@
         self._operations_until_power_loss = None
 
     def kill_process(self) -> None:
-        """End the process that holds the locks; the cache stays."""
+        """Simulate the end of the process: release its locks and keep the cache."""
         self._locked.clear()
         self._operations_until_power_loss = None
 
@@ -143,7 +143,7 @@
             contents.durable[offset] ^= 0xFF
 
     def cut(self, path: Path, size: int) -> None:
-        """Cut a file to ``size`` bytes, in the cache and on the disk."""
+        """Truncate a file to ``size`` bytes, in the cache and on the disk."""
         contents = self._names[path]
         del contents.cached[size:]
         del contents.durable[size:]
@@ -181,7 +181,7 @@
             raise SimulatedPowerLoss
         self._operations_until_power_loss -= 1
 
-    def _fail_sync_if_asked(self) -> None:
+    def _raise_injected_sync_failure(self) -> None:
         self.sync_count += 1
         if self._failing_syncs > 0:
             self._failing_syncs -= 1
@@ -191,7 +191,7 @@
         return sum(len(contents.cached) for contents in self._names.values())
 
     def write_file(self, contents: _Contents, data: bytes) -> None:
-        """Append to a file's cache, as far as the disk has room."""
+        """Append to a file's cache, up to the capacity of the disk."""
         self._step()
         if self.capacity_bytes is not None:
             room = max(0, self.capacity_bytes - self._used_bytes())
@@ -201,10 +201,10 @@
         contents.cached += data
 
     def sync_file(self, contents: _Contents) -> None:
-        """Make a file's bytes durable, or drop them when a failure was asked for."""
+        """Make a file's data durable, or drop unsynced data when an injected failure is due."""
         self._step()
         try:
-            self._fail_sync_if_asked()
+            self._raise_injected_sync_failure()
         except OSError:
             contents.unwritable.append((len(contents.durable), len(contents.cached)))
             raise
@@ -230,4 +230,4 @@
         self._disk.sync_file(self._contents)
 
     def close(self) -> None:
-        """Nothing to release."""
+        """Do nothing; there is nothing to release."""
