--- a/limedyke_lab/cli.py
+++ b/limedyke_lab/cli.py
@@ -1,7 +1,7 @@
 """Commands of the lab: stand-ins, fleets, load and experiments.
 
-Modules are resolved by the command that needs them, so that each process of a
-fleet starts quickly and stays small.
+Each command imports its module when it runs, so that the processes of a fleet start
+quickly and use little memory.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 def _words(value: object) -> tuple[str, ...]:
-    """Return the parts of a comma-separated flag, which fire may have split already."""
+    """Return the parts of a comma-separated flag, which fire may already have split."""
     if isinstance(value, (tuple, list)):
         return tuple(str(part) for part in value)
     return tuple(part for part in str(value).split(",") if part)
 
 
 class LabCommands:
-    """Lab of limedyke: stand-ins for databases and network, fleets, load and proof."""
+    """Test lab of limedyke: stand-in databases and network, fleets, load and checks."""
 
     database = staticmethod(run_database)
 
@@ -38,8 +38,8 @@
         """Serve the platform's list of live and leaving machines.
 
         :param listen: ip:port of the HTTP server
-        :param machines: names of the machines that live at the start, separated by commas
-        :param lag_s: how far the list lags behind the truth, in seconds
+        :param machines: comma-separated names of the machines that are live at the start
+        :param lag_s: delay in seconds before a change is visible in the list
         """
         resolve_name("limedyke_lab.platform:run_platform")(listen, _words(machines), lag_s)
 
@@ -55,8 +55,8 @@
 
         :param geography: ostmark or cold-chain
         :param name: name of the run folder; the geography's name when empty
-        :param proxies: how many proxies
-        :param lag_ms: how far replicas lag behind their primary
+        :param proxies: number of proxies
+        :param lag_ms: delay in milliseconds before replicas apply records
         :param run_root: folder that holds the run folders
         """
         return resolve_name("limedyke_lab.fleet.foreground:run_foreground")(
@@ -73,14 +73,14 @@
     ) -> int:
         """Record the history of client sessions.
 
-        With settings, run their load only; without, start a fleet, bring a fault about and
-        write a small trace of it.
+        With settings, only run their load. Without settings, start a fleet, inject a fault and
+        write a short trace.
 
         :param record: JSON lines file that receives the history
-        :param settings: JSON file of a load, as a fleet's run folder holds it
+        :param settings: JSON settings file of a load, as written to a fleet's run folder
         :param geography: ostmark or cold-chain, for a trace
         :param fault: none, or a fault run such as kill-primary, for a trace
-        :param seconds: how much of the beginning the trace holds
+        :param seconds: length of the trace from the start of the load
         """
         if settings:
             return resolve_name("limedyke_lab.load.worker:run_worker")(Path(settings), Path(record))
@@ -89,20 +89,20 @@
         )
 
     def check(self, history: str, members: str = "") -> int:
-        """Check a recorded history against what must always hold.
+        """Check a recorded history for violations of the guarantees.
 
         :param history: JSON lines recorded by clients
-        :param members: folder with the members' executed histories
+        :param members: folder with the members' histories
         """
         return resolve_name("limedyke_lab.checkers.report:run_check")(
             Path(history), Path(members) if members else None
         )
 
     def demo(self, geography: str = "ostmark", seconds: float = 15.0, run_root: str = "run") -> int:
-        """Show the whole path under load, a killed primary and a killed proxy.
+        """Run the demonstration: load with a killed primary and a killed proxy.
 
         :param geography: ostmark or cold-chain
-        :param seconds: how long the load runs
+        :param seconds: duration of the load
         :param run_root: folder that holds the run folder
         """
         return resolve_name("limedyke_lab.demo:run_demo")(geography, seconds, Path(run_root))
@@ -132,20 +132,20 @@
         seconds: float = 14.0,
         replay: str = "",
     ) -> int:
-        """Run the product on virtual time under faults, and check what it promises.
+        """Run the product in virtual time with faults and check its guarantees.
 
-        :param seeds: A-B, or several with commas
-        :param workers: processes to run in; 0 for one for each core
-        :param trace: file for the shortened trace of the first seed that breaks a rule
-        :param seconds: virtual time with faults in each run
-        :param replay: a file written by --trace, run again in place of seeds
+        :param seeds: a range A-B, or several separated by commas
+        :param workers: number of processes; 0 for one per core
+        :param trace: file for the reduced trace of the first seed with a violation
+        :param seconds: virtual seconds with faults in each run
+        :param replay: file written by --trace to replay instead of running seeds
         """
         return resolve_name("limedyke_lab.simulator.command:simulate")(
             seeds, workers, trace, seconds, replay
         )
 
     def mutants(self) -> int:
-        """Patch out each safeguard in turn and show that it is missed."""
+        """Disable each safeguard in turn and check that a test fails."""
         return resolve_name("limedyke_lab.mutants:run_mutants")()
 
 
--- a/limedyke_lab/demo.py
+++ b/limedyke_lab/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: the whole path under load while a primary and a proxy are killed."""
+"""Demonstration: a fleet under load while a primary and a proxy are killed."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 KILL_PRIMARY_AT = 0.25
 KILL_PROXY_AT = 0.5
 RESTART_AT = 0.65
-"""Moments of the load, as parts of its length."""
+"""Times of the events, as fractions of the load's duration."""
 EXIT_OK = 0
 EXIT_VIOLATION = 1
 EXIT_UNKNOWN_GEOGRAPHY = 2
 
 
-def _say(text: str) -> None:
+def _print_progress(text: str) -> None:
     print(f"demo: {text}", flush=True)
 
 
 def run_demo(geography: str, seconds: float, run_root: Path) -> int:
     """Run the demonstration and print its summary as the last line; return the exit code."""
     if geography not in GEOGRAPHIES:
-        _say(f"expected one of {', '.join(GEOGRAPHIES)}")
+        _print_progress(f"expected one of {', '.join(GEOGRAPHIES)}")
         return EXIT_UNKNOWN_GEOGRAPHY
-    _say("starting 3 controllers, 3 proxies and 3 groups of 3 members")
+    _print_progress("starting 3 controllers, 3 proxies and 3 groups of 3 members")
     options = FleetOptions(
         geography=geography,
         name=f"demo-{geography}",
@@ -51,22 +51,24 @@
         member_options={"lag_ms": REPLICA_LAG_MS},
     )
     with Fleet(options) as fleet:
-        _say(f"declared {geography}.yaml by plan and confirm; run folder {options.folder}")
+        _print_progress(
+            f"declared {geography}.yaml by plan and confirm; run folder {options.folder}"
+        )
         create_tables(fleet)
         history = _load_with_faults(fleet, seconds)
     return conclude(history)
 
 
 def conclude(history: History) -> int:
-    """Print what the checkers and measures say, the summary last; return the exit code.
+    """Print the results of checkers and measures, then the summary; return the exit code.
 
-    A violation fails the demonstration, and so does a checker that had nothing to judge.
+    The demonstration fails on a violation, or when a checker had too little data.
     """
     violations = check_all(history)
     print("\n".join(describe(history, violations)))
     nothing = without_material(history, (*ALWAYS_WITH_MATERIAL, REVISIONS, IN_FORCE))
     if nothing:
-        _say(f"too little to judge: {', '.join(nothing)}")
+        _print_progress(f"too little to judge: {', '.join(nothing)}")
     print(summary(history), flush=True)
     return EXIT_VIOLATION if violations or nothing else EXIT_OK
 
@@ -86,21 +88,21 @@
         wait_for(CHANGE_AT)
         revision = fleet.declare_client_limit(CHANGED_CLIENT_LIMIT)
         run.note(CONFIRMED, value=revision)
-        _say(f"confirmed revision {revision} under load")
+        _print_progress(f"confirmed revision {revision} under load")
         wait_for(KILL_PRIMARY_AT)
         primary = fleet.wait_for_primary(group).node.name
         _kill(fleet, run, primary)
-        _say(f"killed {primary}, the primary of {group}")
+        _print_progress(f"killed {primary}, the primary of {group}")
         wait_for(KILL_PROXY_AT)
         _kill(fleet, run, KILLED_PROXY)
-        _say(f"killed {KILLED_PROXY}")
+        _print_progress(f"killed {KILLED_PROXY}")
         wait_for(RESTART_AT)
         for name in (primary, KILLED_PROXY):
             fleet.restart(name)
         fleet.wait_ready(fleet.node(KILLED_PROXY))
         for name in (primary, KILLED_PROXY):
             run.note(UNDO, name)
-        _say(f"started {primary} and {KILLED_PROXY} again")
+        _print_progress(f"started {primary} and {KILLED_PROXY} again")
         run.wait()
     finally:
         run.stop()
@@ -113,7 +115,7 @@
 
 
 def summary(history: History) -> str:
-    """Return the line of measures and of what must be zero."""
+    """Return the summary line with measures and violation counts."""
     violations = check_all(history)
     counts = count_by_checker(violations)
     gaps = [gap.gap_ms for gap in measures.failover_gaps(history)]
--- a/limedyke_lab/geography.py
+++ b/limedyke_lab/geography.py
@@ -1,4 +1,4 @@
-"""Places and delays of the lab's two geographies, and the sizes of their groups.
+"""Zones, network delays and group sizes of the lab's two geographies.
 
 All delays are one way and in milliseconds.
 """
@@ -8,12 +8,12 @@
 from dataclasses import dataclass, replace
 
 CLIENT = "clients"
-"""Name of the place that every unknown source address belongs to."""
+"""Place name used for all source addresses that belong to no node."""
 
 
 @dataclass(frozen=True, slots=True)
 class Zone:
-    """A zone and the region it lies in; ``number`` is the third octet of its addresses."""
+    """A zone and its region; ``number`` is the third octet of its addresses."""
 
     name: str
     region: str
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Geography:
-    """Zones, the delays between them, and the database groups that stand there."""
+    """Zones, the delays between them, and the database groups located there."""
 
     name: str
     zones: tuple[Zone, ...]
@@ -48,11 +48,11 @@
     group_size: GroupSize
 
     def without_delays(self) -> Geography:
-        """Return the same places on a network without delays."""
+        """Return a copy of the geography without delays."""
         return replace(self, between_zones_ms=0.0, between_regions_ms=0.0, to_clients_ms=0.0)
 
     def zone(self, name: str) -> Zone:
-        """Return the zone of that name.
+        """Return the zone with a name.
 
         :raises KeyError: when there is none
         """
--- a/limedyke_lab/history.py
+++ b/limedyke_lab/history.py
@@ -1,6 +1,6 @@
-"""The recorded history: what clients sent, when, and what came back, as JSON lines.
+"""Recorded history of client operations, events and member activity, as JSON lines.
 
-Times are nanoseconds of CLOCK_MONOTONIC, which all processes of one machine share.
+Times are CLOCK_MONOTONIC nanoseconds, comparable across the processes of one machine.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Kind(enum.StrEnum):
-    """What an operation does to the lab's tables."""
+    """Kind of an operation on the lab's tables."""
 
     READ = "read"
     WRITE = "write"
@@ -24,9 +24,9 @@
 
 
 class ClientOutcome(enum.StrEnum):
-    """What the caller knows after an operation.
+    """Outcome of an operation as known to the client.
 
-    ``FAILED`` means that the caller was told of an error that leaves no effect.
+    ``FAILED`` means that the client received an error and the operation had no effect.
     """
 
     DONE = "done"
@@ -36,7 +36,7 @@
 
 
 class NoAnswer(enum.StrEnum):
-    """Why a caller got no answer at all."""
+    """Why a client received no response."""
 
     NONE = ""
     CONNECTION_LOST = "connection-lost"
@@ -47,19 +47,19 @@
 class Operation:
     """One operation of one session, recorded when its outcome is known.
 
-    :param number: unique number of the request, which the statement carries and the answer echoes
-    :param attempt: 1, or more when the same keyed request was sent again
-    :param owner: whose register is read or written; the session itself for writes
-    :param value: what was read: the register's number, or for a transaction its row count
-    :param echo: the number that came back with the answer, None when none did
-    :param by_replica: whether the member that answered said it was a replica
-    :param term: term that the answering member exposed
-    :param sqlstate: of the error, empty when there was none or no answer
-    :param code: the product's result code such as LD3004, or empty
-    :param traceable: whether the number stands in the text that the members' histories show
-    :param no_answer: why neither an answer nor an error came back
-    :param repeated: whether the answer said that it repeats that of an earlier run; such an
-        answer has the first one's command tag, without rows
+    :param number: unique request number, sent in the statement and echoed in the response
+    :param attempt: attempt number; above 1 when a keyed request was retried
+    :param owner: owner of the register read or written; the session itself for writes
+    :param value: value read: the number in the register, or the row count of a transaction
+    :param echo: request number in the response, None without one
+    :param by_replica: whether the responding member reported that it was a replica
+    :param term: term reported by the responding member
+    :param sqlstate: SQLSTATE of the error; empty without an error or without a response
+    :param code: result code of the product, such as LD3004, or empty
+    :param traceable: whether the members' histories show the number in the statement text
+    :param no_answer: reason for a missing response
+    :param repeated: whether the response was marked as a repetition of an earlier one; such a
+        response has the original command tag but no rows
     """
 
     number: int
@@ -87,17 +87,17 @@
 
     @property
     def acknowledged_write(self) -> bool:
-        """Whether this changed data and the caller was told it is done."""
+        """Whether the operation wrote data and was acknowledged."""
         return self.kind is not Kind.READ and self.outcome is ClientOutcome.DONE
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Something that happened around the load, such as a kill or a failed connection.
+    """An event during the load, such as a kill or a failed connection.
 
     :param name: such as ``kill``, ``freeze``, ``cut``, ``drain-start``, ``drain-end``, ``revision``
-    :param target: the process or group meant
-    :param value: a number that belongs to the event, such as an exit code or a revision
+    :param target: the process or group that the event concerns
+    :param value: numeric detail, such as an exit code or a revision
     """
 
     time_ns: int
@@ -109,11 +109,11 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupRows:
-    """The rows at a group's primary after the load, read past the product.
+    """Rows of a group after the load, read directly from its primary.
 
     :param registers: number in each session's register
-    :param marks: how many rows each mark left
-    :param ledger: how many rows each transaction left
+    :param marks: number of rows by mark
+    :param ledger: number of rows by transaction
     """
 
     group: str
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberEntry:
-    """One line of a member's executed history; see ``limedyke_lab.database.history``."""
+    """One line of a member's history; see ``limedyke_lab.database.history``."""
 
     time_ns: int
     member: str
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class History:
-    """All that the checkers look at."""
+    """Input of the checkers."""
 
     operations: tuple[Operation, ...] = ()
     events: tuple[Event, ...] = ()
@@ -158,7 +158,7 @@
 
 
 def encode_record(record: Operation | Event | GroupRows | MemberEntry) -> str:
-    """Return the JSON line of a record; fields at their defaults are left out."""
+    """Return the JSON line of a record; fields with default values are omitted."""
     values: dict[str, object] = {"record": _TAG_BY_CLASS[type(record)]}
     for field in dataclasses.fields(record):
         value = getattr(record, field.name)
@@ -170,7 +170,7 @@
 def decode_record(line: str) -> Operation | Event | GroupRows | MemberEntry:
     """Return the record of a JSON line.
 
-    :raises ValueError: when the line is no record
+    :raises ValueError: when the line is not a record
     """
     values = json.loads(line)
     cls = _CLASS_BY_TAG.get(values.pop("record", "member"))
@@ -197,12 +197,12 @@
         self._file.write(encode_record(record) + "\n")
 
     def close(self) -> None:
-        """Write what is buffered and close the file."""
+        """Flush and close the file."""
         self._file.close()
 
 
 def read_records(paths: Iterable[Path]) -> History:
-    """Return the history in some files, operations and members' entries in order of time."""
+    """Read a history from files; operations, events and member entries are sorted by time."""
     by_class: dict[type, list] = {cls: [] for cls in _TAG_BY_CLASS}
     for path in paths:
         with path.open(encoding="utf-8") as lines:
--- a/limedyke_lab/mutants.py
+++ b/limedyke_lab/mutants.py
@@ -1,4 +1,4 @@
-"""Runs the mutants, which stand beside the features that they are proved with."""
+"""Runs the mutation checks of ``features.mutants``."""
 
 from __future__ import annotations
 
@@ -11,5 +11,5 @@
 
 
 def run_mutants() -> int:
-    """Check every mutant in a process of its own; return the exit code."""
+    """Run the mutation checks in a subprocess; return the exit code."""
     return subprocess.run([sys.executable, "-m", MODULE], cwd=REPOSITORY, check=False).returncode
