--- a/limedyke_lab/experiments/__init__.py
+++ b/limedyke_lab/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: named, repeatable measurements on fleets, with baselines beside them."""
+"""Experiments: named, repeatable measurements on fleets, compared with baselines."""
--- a/limedyke_lab/experiments/baselines.py
+++ b/limedyke_lab/experiments/baselines.py
@@ -1,4 +1,4 @@
-"""Baselines past the product: clients that choose a member by themselves."""
+"""Baselines without the product: clients that choose a member themselves."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 def primary_only(fleet: Fleet) -> DirectRoutes:
-    """Return routes to the primaries for everything: no pooling, no replica reads."""
+    """Return routes that send all operations to the primary: no pooling, no replica reads."""
     return _routes(fleet, lambda _group, primary: (primary,))
 
 
 def random_member(fleet: Fleet) -> DirectRoutes:
-    """Return routes that read at any member, whatever its lag."""
+    """Return routes that read from any member, regardless of its lag."""
     return _routes(
         fleet,
         lambda group, _primary: tuple(
--- a/limedyke_lab/experiments/comparison.py
+++ b/limedyke_lab/experiments/comparison.py
@@ -1,4 +1,4 @@
-"""Compares results with those of an earlier run, from its JSON lines."""
+"""Compares results with those of an earlier run, read from its JSON lines."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 class EarlierResults:
     """The results of an earlier run.
 
-    :param commit: of the last result
+    :param commit: commit of the last result
     """
 
     commit: str
@@ -24,10 +24,10 @@
 
 
 def load_earlier(path: Path) -> EarlierResults:
-    """Read the JSON lines of an earlier run; of repeated results the last one counts.
+    """Read the JSON lines of an earlier run; the last of repeated results is used.
 
     :raises OSError: when the file cannot be read
-    :raises ValueError: when a line is no result
+    :raises ValueError: when a line is not a result
     """
     commit = "unknown"
     values: dict[Key, dict[str, Value]] = {}
@@ -39,7 +39,7 @@
 
 
 def compare(results: list[ExperimentResult], earlier: EarlierResults) -> list[str]:
-    """Return one line for each number that differs from the earlier one."""
+    """Return one line for each number that differs from the earlier run."""
     lines = []
     for result in results:
         before = earlier.values.get((result.experiment, result.geography, result.variant), {})
--- a/limedyke_lab/experiments/config_storm.py
+++ b/limedyke_lab/experiments/config_storm.py
@@ -1,4 +1,4 @@
-"""Experiment ``config-storm``: time until a confirmed change is in force; racing operators."""
+"""Experiment ``config-storm``: time until a change is in force, and racing operators."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 from limedyke.result_codes import Failure
 from limedyke_lab.experiments.result import ExperimentResult, Latencies, ResultWriter, Value
-from limedyke_lab.experiments.revision_watch import RiseWatch
+from limedyke_lab.experiments.revision_watch import RevisionRiseTimer
 from limedyke_lab.experiments.settings_file import ConfigStormSettings, load_experiment
 from limedyke_lab.fleet.fleet import Fleet, FleetOptions
 from limedyke_lab.fleet.revisions import HTTP_TIMEOUT_S, RevisionProbe
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A confirmed change: when its confirmation was sent, and how long the answer took."""
+    """A confirmed change, with the times of its confirmation request and response."""
 
     confirmed: Confirmed
     sent_at: float
@@ -47,20 +47,20 @@
 
     @property
     def confirm_ms(self) -> float:
-        """Milliseconds from sending the confirmation to its answer."""
+        """Milliseconds from sending the confirmation to its response."""
         return (self.answered_at - self.sent_at) * 1_000
 
 
 class StormOperator:
-    """An operator that plans and confirms over one settings file."""
+    """An operator client that plans and confirms changes."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._settings, self._identity = load_operator(fleet.files.settings("operator")).unwrap()
 
     async def ask(self, request: object, first: int = 0) -> Result[object, Failure]:
-        """Send one request to the leader, with a client of its own.
+        """Send one request to the leader with a new client.
 
-        :param first: position of the controller that is asked first
+        :param first: index of the controller to contact first
         """
         addresses = self._settings.controllers
         turned = addresses[first:] + addresses[:first]
@@ -80,13 +80,13 @@
         return (await self.ask(ConfirmRequest(new_request_id(), plan_id))).unwrap()
 
     async def confirm_twice(self, plan_id: str) -> bool:
-        """Confirm a settled plan under one id at two controllers; tell whether they agree."""
+        """Confirm a confirmed plan again through two controllers; return whether they agree."""
         request = ConfirmRequest(new_request_id(), plan_id)
         answers = [(await self.ask(request, first)).unwrap() for first in (0, 1)]
         return answers[0] == answers[1]
 
     async def change(self, limit: int, declared: DeclarationInForce) -> Change:
-        """Bring a change of one limit into force."""
+        """Plan and confirm a change of one client limit."""
         wanted = with_client_limit(declared.declaration, limit)
         plan = await self.plan(wanted, declared.revision)
         sent_at = time.monotonic()
@@ -101,7 +101,7 @@
 
 
 def run(geography: str, writer: ResultWriter) -> None:
-    """Confirm changes one after the other, then as fast as they go, then let operators race."""
+    """Measure single changes, a storm of changes, racing operators and a full restart."""
     settings = load_experiment(ConfigStormSettings, NAME)
     with Fleet(FleetOptions(geography=geography, name=f"{NAME}-{geography}")) as fleet:
         operator = StormOperator(fleet)
@@ -114,10 +114,10 @@
 def _changes(
     fleet: Fleet, operator: StormOperator, settings: ConfigStormSettings
 ) -> ExperimentResult:
-    """Confirm a change, and wait until it is in force everywhere, again and again."""
+    """Confirm changes one by one, waiting until each is in force on every proxy."""
     changes: list[Change] = []
     commits = _commits(fleet)
-    with RiseWatch(fleet.topology.proxies) as watch:
+    with RevisionRiseTimer(fleet.topology.proxies) as watch:
         declared = curio.run(operator.declaration)
         for number in range(settings.changes):
             change = curio.run(operator.change, FIRST_CLIENT_LIMIT + number, declared)
@@ -132,11 +132,11 @@
 def _storm(
     fleet: Fleet, operator: StormOperator, settings: ConfigStormSettings
 ) -> ExperimentResult:
-    """Confirm a day's changes without a pause; send some confirmations again."""
+    """Confirm a day's changes without pauses, and resend some confirmations."""
     changes: list[Change] = []
     resent_alike = []
     started = time.monotonic()
-    with RiseWatch(fleet.topology.proxies) as watch:
+    with RevisionRiseTimer(fleet.topology.proxies) as watch:
         declared = curio.run(operator.declaration)
         for number in range(settings.storm_changes):
             limit = FIRST_CLIENT_LIMIT + settings.changes + number
@@ -154,7 +154,7 @@
     return _result(fleet, settings, "storm", values)
 
 
-def _values(changes: list[Change], watch: RiseWatch) -> dict[str, Value]:
+def _values(changes: list[Change], watch: RevisionRiseTimer) -> dict[str, Value]:
     confirms, in_force = Latencies(), Latencies()
     late = 0
     for change in changes:
@@ -175,7 +175,7 @@
 
 
 def _commits(fleet: Fleet) -> tuple[float, float]:
-    """Return seconds and number of the commits that all controllers have counted as leaders."""
+    """Return the total seconds and number of commits, summed over all controllers."""
     totals = {b"sum": 0.0, b"count": 0.0}
     for node in fleet.topology.controllers:
         connection = http.client.HTTPConnection(*split_address(node.status), timeout=HTTP_TIMEOUT_S)
@@ -211,7 +211,7 @@
 
 
 async def _race(operator: StormOperator, operators: int, limit: int) -> int:
-    """Let operators confirm different plans on one base revision; return how many won."""
+    """Confirm different plans for one base revision concurrently; return how many succeed."""
     present = await operator.declaration()
     plans = []
     for number in range(operators):
@@ -225,7 +225,7 @@
 
 
 def _restart(fleet: Fleet, settings: ConfigStormSettings) -> ExperimentResult:
-    """Restart every product process at once and look for the same revision again."""
+    """Restart all product processes at once and check that the revision is kept."""
     probes = [RevisionProbe(node) for node in fleet.topology.proxies]
     before = max(probe.revision() for probe in probes)
     nodes = (*fleet.topology.controllers, *fleet.topology.proxies)
--- a/limedyke_lab/experiments/drain.py
+++ b/limedyke_lab/experiments/drain.py
@@ -1,4 +1,4 @@
-"""Experiment ``drain``: planned stops of proxies and members under load cut no request."""
+"""Experiment ``drain``: planned stops of proxies and members under load fail no request."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 
 def run(geography: str, writer: ResultWriter) -> None:
-    """Stop proxies and members in turn under load and add a result for each kind."""
+    """Stop proxies, then members, one by one under load; add a result for each kind."""
     _run(NAME, geography, writer)
 
 
 def run_long(geography: str, writer: ResultWriter) -> None:
-    """The same with fifty stops; it takes minutes."""
+    """Run the experiment with fifty stops, which takes minutes."""
     _run(LONG_NAME, geography, writer)
 
 
@@ -67,7 +67,7 @@
 
 
 def stop_proxy(fleet: Fleet, load: LoadRun, name: str) -> float:
-    """Ask a proxy to leave and wait for its end; return how many milliseconds it took."""
+    """Stop a proxy with SIGTERM and wait until it ends; return the duration in milliseconds."""
     began = time.monotonic()
     load.note(leaving.DRAIN_START, name)
     fleet.process(name).send_signal(Signals.SIGTERM)
--- a/limedyke_lab/experiments/failover.py
+++ b/limedyke_lab/experiments/failover.py
@@ -1,7 +1,7 @@
-"""Experiments ``failover`` and ``failover-long``: how long writes cannot complete.
+"""Experiments ``failover`` and ``failover-long``: duration of write outages.
 
-The gap of a failure is the longest time without a completed write of the group around it,
-worked out from the clients' own history.
+The gap of a failure is the longest time around it without a completed write in the group,
+computed from the clients' history.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 MEMBER_FAILURES = ("kill", "freeze", "cut")
 BASELINE = "baseline-primary-only"
 BASELINE_KINDS = ("freeze", "cut")
-"""A killed primary comes back as a replica: without promotion its gap never ends."""
+"""Excludes ``kill``: a restarted primary is a replica, so without promotion the gap never ends."""
 PLANNED_EVENT = "planned-move"
 LEAD_IN_S = 3.0
 LONGEST_ROUND = 2.0
-"""How long rounds may take on a slow machine, in ``round_s``; the load ends after the last."""
+"""Limit on a round's duration on a slow machine, in ``round_s``; load ends after the last round."""
 REJOIN_TIMEOUT_S = 30.0
 WATCHERS_PER_GROUP = 3
 HISTOGRAM_EDGES_S = (0.0, 0.5, 0.75, 1.0, 1.25, 1.5, 2.0, 3.0, 5.0, 10.0, float("inf"))
@@ -43,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One kind of failure of a primary, and how it is undone.
+    """One kind of primary failure, and how to undo it.
 
-    :param event: its name in the history
+    :param event: event name in the history
     """
 
     kind: str
@@ -57,8 +57,8 @@
 def _faults(fleet: Fleet) -> dict[str, Fault]:
     """Return the kinds of failure.
 
-    ``region`` cuts the region that the primary lies in; ``leave`` is a planned move: the
-    primary is declared leaving.
+    ``region`` cuts off the region of the primary. ``leave`` is a planned move, which declares the
+    primary as leaving.
     """
 
     def other_zones(member: str) -> list[tuple[str, str]]:
@@ -90,14 +90,14 @@
 
 
 def run(geography: str, writer: ResultWriter) -> None:
-    """Run a few failures of each kind and add a result for each kind and for all."""
+    """Run a few failures of each kind; add a result for each kind and one for all."""
     settings = load_experiment(FailoverSettings, NAME)
     _run_with_product(NAME, settings, geography, writer)
     _run_baseline(settings, geography, writer)
 
 
 def run_long(geography: str, writer: ResultWriter) -> None:
-    """The same with many failures; it takes minutes."""
+    """Run the experiment with many failures, which takes minutes."""
     settings = load_experiment(FailoverSettings, LONG_NAME)
     _run_with_product(LONG_NAME, settings, geography, writer)
 
@@ -119,7 +119,7 @@
 
 
 def _run_baseline(settings: FailoverSettings, geography: str, writer: ResultWriter) -> None:
-    """Measure clients that write to the primary directly, with nobody to promote another."""
+    """Measure clients that write directly to the primary, without failover."""
     options = _options(f"{NAME}-baseline", settings, geography, product=False)
     with Fleet(options) as fleet:
         create_tables(fleet)
@@ -161,7 +161,7 @@
 
 
 def gaps_by_kind(history: History) -> dict[str, list[float]]:
-    """Return the gaps of each kind, and of all failures of a single member."""
+    """Return the gaps by kind of failure, and those of all single-member failures."""
     by_kind: dict[str, list[float]] = defaultdict(list)
     for gap in measures.failover_gaps(_with_planned(history)):
         by_kind[gap.event.detail or gap.event.name].append(gap.gap_ms)
@@ -171,7 +171,7 @@
 
 
 def _with_planned(history: History) -> History:
-    """Return the history with planned moves measured as failures are."""
+    """Return the history with planned moves renamed, so that they are measured like failures."""
     events = tuple(
         replace(event, name="cut") if event.name == PLANNED_EVENT else event
         for event in history.events
@@ -195,7 +195,7 @@
 
 
 def histogram(gaps_ms: list[float]) -> str:
-    """Return how many gaps lie in each range of seconds, such as ``0.5-0.75:3``."""
+    """Return the number of gaps in each range of seconds, such as ``0.5-0.75:3``."""
     parts = []
     for low, high in pairwise(HISTOGRAM_EDGES_S):
         count = sum(low <= gap / _MS_PER_S < high for gap in gaps_ms)
--- a/limedyke_lab/experiments/failover_parts.py
+++ b/limedyke_lab/experiments/failover_parts.py
@@ -1,7 +1,7 @@
-"""Where the time of failovers goes, from the event logs of a run.
+"""Breaks failover time down into steps, using the event logs of a run.
 
-``python -m limedyke_lab.experiments.failover_parts RUN_FOLDER`` prints the median of each part
-by kind of failure.  The clients' history gives the faults; the logs give the steps between.
+``python -m limedyke_lab.experiments.failover_parts RUN_FOLDER`` prints the median duration of
+each step by kind of failure. Faults come from the clients' history, steps from the logs.
 """
 
 from __future__ import annotations
@@ -39,12 +39,12 @@
     fields: dict[str, str]
 
     def is_of(self, event: str, **fields: str) -> bool:
-        """Tell whether the line is of an event with these fields."""
+        """Return whether the line has an event name and field values."""
         return self.event == event and all(self.fields.get(k) == v for k, v in fields.items())
 
 
 def read_log_lines(folder: Path) -> list[LogLine]:
-    """Return the lines of all event logs of a run, in order of time."""
+    """Return the lines of all event logs of a run, sorted by time."""
     lines = []
     for path in folder.glob(LOGS_PATTERN):
         for text in path.read_text(errors="replace").splitlines():
@@ -97,11 +97,11 @@
     "open": _opened,
     "record": _recorded,
 }
-"""Steps in their order; each lasts from the end of the one before."""
+"""Steps in order; each starts at the end of the previous one."""
 
 
 def parts_of(fault: Event, lines: list[LogLine], monotonic_to_wall_s: float) -> dict[str, float]:
-    """Return the milliseconds that each step took after a fault, as far as they were logged."""
+    """Return the milliseconds of each step after a fault, up to the first unlogged step."""
     before = fault.time_ns / _NS_PER_S + monotonic_to_wall_s
     near = [line for line in lines if before <= line.at <= before + WINDOW_S]
     parts = {}
@@ -115,7 +115,7 @@
 
 
 def median_parts(folder: Path) -> dict[str, dict[str, float]]:
-    """Return the median of each step by kind of failure."""
+    """Return the median milliseconds of each step by kind of failure."""
     offset_s = time.time() - time.monotonic()
     lines = read_log_lines(folder)
     by_kind: dict[str, dict[str, list[float]]] = defaultdict(lambda: defaultdict(list))
@@ -130,7 +130,7 @@
 
 
 def main(folder: str) -> None:
-    """Print the parts of each kind as one line."""
+    """Print one line with the steps of each kind of failure."""
     for kind, parts in median_parts(Path(folder)).items():
         text = " ".join(f"{name}_p50_ms={value:.0f}" for name, value in parts.items())
         print(f"{kind}: {text}")
--- a/limedyke_lab/experiments/fault_catalogue.py
+++ b/limedyke_lab/experiments/fault_catalogue.py
@@ -1,4 +1,4 @@
-"""The catalogue of faults: what each fault run brings about on a fleet under load, and undoes."""
+"""Catalogue of fault runs, each of which injects a fault into a fleet under load and undoes it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultRun:
-    """One named failure and what brings it about and undoes it."""
+    """A named fault and the function that injects and undoes it."""
 
     name: str
     act: Callable[[FaultStage], None]
@@ -53,7 +53,7 @@
 
 
 def _kill_primary_twice(stage: FaultStage) -> None:
-    """Kill the primary and, right after its repair, the one that took its place."""
+    """Kill the primary and, immediately after it has caught up, its successor."""
     first = stage.primary()
     stage.kill(first.node.name)
     second = stage.next_primary(first)
@@ -65,7 +65,7 @@
 
 
 def _lose_member_disk(stage: FaultStage) -> None:
-    """Let a replica come back empty and, once it is rebuilt, kill the primary."""
+    """Restart a replica without its data and, once it is rebuilt, kill the primary."""
     replica = stage.replica()
     stage.lose_disk(replica.node.name)
     stage.restart(replica.node.name)
@@ -126,7 +126,7 @@
 
 
 def _kill_all_proxies(stage: FaultStage) -> None:
-    """Restart all proxies at once, after some changes of the configuration."""
+    """Restart all proxies at once, after several configuration changes."""
     for _change in range(3):
         stage.change_configuration()
     names = [node.name for node in stage.fleet.topology.proxies]
@@ -146,7 +146,7 @@
 
 
 def _cut_leader(stage: FaultStage) -> None:
-    """Cut the leader off silently while it believes it leads; an operator goes on."""
+    """Cut off the leader while it still considers itself leader; an operator makes a change."""
     name = stage.leader()
     stage.cut(name)
     stage.change_configuration()
@@ -163,7 +163,7 @@
 
 
 def _lose_controller_disk(stage: FaultStage) -> None:
-    """Repair a controller that lost its disk, and lose a second one right after."""
+    """Replace a controller that lost its disk, then lose the disk of a second one."""
     first = stage.follower()
     stage.lose_disk(first)
     stage.change_configuration()
@@ -181,7 +181,7 @@
 
 
 def _controller_disk_full(stage: FaultStage) -> None:
-    """Fill the leader's disk: it may accept nothing, and another leads on."""
+    """Fill the leader's disk: it must accept no changes, and another controller takes over."""
     name = stage.leader()
     stage.fill_disk(name)
     stage.change_configuration()
@@ -190,14 +190,14 @@
 
 
 def _stop_proxy(stage: FaultStage) -> None:
-    """Stop a proxy as planned and start it again."""
+    """Stop a proxy with SIGTERM and start it again."""
     stage.stop(stage.proxy())
     stage.fleet.restart(stage.proxy())
     stage.fleet.wait_ready(stage.fleet.node(stage.proxy()))
 
 
 def _stop_member(stage: FaultStage) -> None:
-    """Let the primary leave as declared, and come back."""
+    """Declare the primary as leaving, and later as staying."""
     primary = stage.primary()
     stage.leave(primary)
     stage.next_primary(primary)
@@ -212,7 +212,7 @@
 
 
 def _lose_region_and_proxy(stage: FaultStage) -> None:
-    """Lose a region and, while it is away, freeze a proxy of another one."""
+    """Cut off a region and, meanwhile, freeze a proxy of another one."""
     zone = stage.primary().node.zone.name
     names = stage.lose_region(zone)
     other = next(n.name for n in stage.fleet.topology.proxies if n.zone.name != zone)
--- a/limedyke_lab/experiments/fault_runs.py
+++ b/limedyke_lab/experiments/fault_runs.py
@@ -1,6 +1,6 @@
-"""Fault runs: each brings one failure of the brief about on real processes under load.
+"""Fault runs: each injects one fault into real processes under load.
 
-``limedyke-lab experiment fault-NAME`` runs one, ``limedyke-lab experiment faults`` all.
+``limedyke-lab experiment fault-NAME`` runs one, ``limedyke-lab experiment faults`` runs all.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 def run(geography: str, writer: ResultWriter) -> None:
-    """Run all fault runs, each on a fleet of its own."""
+    """Run all fault runs, each on a new fleet."""
     for fault in FAULT_RUNS:
         run_one(fault, geography, writer)
 
@@ -51,7 +51,7 @@
         "done": measures.statements_done(history),
         "violations": len(violations),
         "found_by": ",".join(name for name, number in counts.items() if number) or "none",
-        "too_little": ",".join(_too_little(history)) or "none",
+        "too_little": ",".join(_checkers_without_data(history)) or "none",
         "groups_without_writes_at_end": _groups_without_writes(history, settings),
         "gap_max_ms": max(gaps, default=0.0),
     }
@@ -66,9 +66,9 @@
     baseline: str = "",
     proxy_module: str = PROXY_MODULE,
 ) -> History:
-    """Run a fleet with load and the fault; return the whole history.
+    """Run a fleet with load and the fault; return the full history.
 
-    :param baseline: name of a baseline that the clients use in place of the product
+    :param baseline: name of a baseline that the clients use instead of the product
     :param proxy_module: Python module that runs the proxies
     """
     options = FleetOptions(
@@ -108,12 +108,12 @@
         return load.collect()
 
 
-def _too_little(history: History) -> list[str]:
+def _checkers_without_data(history: History) -> list[str]:
     return without_material(history, (*ALWAYS_WITH_MATERIAL, REVISIONS, IN_FORCE))
 
 
 def _groups_without_writes(history: History, settings: FaultSettings) -> int:
-    """Count the groups in which no write was done in the last seconds of the load."""
+    """Count the groups without an acknowledged write in the last seconds of the load."""
     end_ns = max(operation.start_ns for operation in history.operations)
     since_ns = end_ns - int(settings.tail_s / 2 * _NANOSECONDS)
     writing = {
--- a/limedyke_lab/experiments/fault_stage.py
+++ b/limedyke_lab/experiments/fault_stage.py
@@ -1,4 +1,4 @@
-"""What a fault run acts on: a fleet under load, with verbs that also note what they do."""
+"""Fault injection for fault runs: acts on a fleet under load and records each action."""
 
 from __future__ import annotations
 
@@ -35,9 +35,9 @@
 
 
 class FaultStage:
-    """Brings faults about and undoes them, noting each in the history.
+    """Injects faults and undoes them, and records each action in the history.
 
-    :param hold_s: how long a fault lasts before it is undone
+    :param hold_s: duration of a fault before it is undone
     """
 
     def __init__(self, fleet: Fleet, load: LoadRun, hold_s: float) -> None:
@@ -48,21 +48,21 @@
 
     @property
     def group(self) -> str:
-        """The group whose members fail: the first one."""
+        """The group whose members fail, which is the first one."""
         return self.fleet.topology.geography.groups[0]
 
     def hold(self) -> None:
-        """Let the fault last."""
+        """Wait for the duration of a fault."""
         time.sleep(self._hold_s)
 
-    # Who
+    # Targets of faults
 
     def primary(self) -> MemberNode:
-        """Return the present primary of the group."""
+        """Return the current primary of the group."""
         return self.fleet.wait_for_primary(self.group)
 
     def next_primary(self, old: MemberNode) -> MemberNode:
-        """Wait until another member is primary and return it."""
+        """Wait until another member is primary, and return it."""
         wait_until(
             lambda: self.fleet.members.primary_of(self.group) not in (None, old),
             f"{self.group} has another primary than {old.node.name}",
@@ -76,11 +76,11 @@
         return next(m for m in self.fleet.topology.members_of(self.group) if m != primary)
 
     def leader(self) -> str:
-        """Return the name of the controller that leads."""
+        """Return the name of the leading controller."""
         return next(row["name"] for row in self._controllers() if row["role"] == LEADER)
 
     def follower(self) -> str:
-        """Return the name of a controller that does not lead."""
+        """Return the name of a controller that is not the leader."""
         leader = self.leader()
         return next(n.name for n in self.fleet.topology.controllers if n.name != leader)
 
@@ -88,28 +88,28 @@
         return self.fleet.operator.status()["controllers"]
 
     def proxy(self) -> str:
-        """Return the name of the proxy that fails."""
+        """Return the name of the proxy to fail."""
         return self.fleet.topology.proxies[1].name
 
     # Faults of processes
 
     def kill(self, name: str) -> None:
-        """End a process as a crash."""
+        """Kill a process, simulating a crash."""
         self.load.note(KILL, name)
         self.fleet.kill(name)
 
     def restart(self, name: str) -> None:
-        """Start a killed process again."""
+        """Restart a killed process."""
         self.fleet.restart(name)
         self.load.note(UNDO, name)
 
     def freeze(self, name: str) -> None:
-        """Stop a process without its knowing."""
+        """Suspend a process (SIGSTOP)."""
         self.load.note(FREEZE, name)
         self.fleet.freeze(name)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process (SIGCONT)."""
         self.fleet.thaw(name)
         self.load.note(UNDO, name)
 
@@ -119,9 +119,9 @@
         self.fleet.remove_data(name)
 
     def fill_disk(self, name: str) -> None:
-        """Let a controller's log grow no further, as on a full disk.
+        """Stop a controller's log from growing, simulating a full disk.
 
-        The limit on the size of the process's files is the size its log has now.
+        Limits the process's file size to the current size of its log.
         """
         folder = self.fleet.files.data(name) / AGREEMENT_FOLDER
         largest = max(file.stat().st_size for file in folder.iterdir())
@@ -129,7 +129,7 @@
         self._limit_file_size(name, largest)
 
     def free_disk(self, name: str) -> None:
-        """Undo ``fill_disk``; the process may have ended on it."""
+        """Undo ``fill_disk``; restarts the process if it ended because of the fault."""
         self.load.note(UNDO, name)
         if self.fleet.process(name).running:
             self._limit_file_size(name, resource.RLIM_INFINITY)
@@ -142,18 +142,18 @@
     # Planned stops
 
     def stop(self, proxy: str) -> None:
-        """Ask a proxy to leave and wait for its end."""
+        """Stop a proxy with SIGTERM and wait until it ends."""
         self.load.note(DRAIN_START, proxy)
         code = self.fleet.terminate(proxy)
         self.load.note(DRAIN_END, proxy, NO_EXIT_CODE if code is None else code)
 
     def leave(self, member: MemberNode) -> None:
-        """Declare a member as leaving."""
+        """Declare a member as leaving (drain)."""
         self._confirm_drain(member)
         self.load.note(MEMBER_LEAVING, member.node.name)
 
     def come_back(self, member: MemberNode) -> None:
-        """Declare a leaving member as staying."""
+        """Undo the declaration of a member as leaving."""
         self.load.note(MEMBER_STOPPED, member.node.name)
         self._confirm_drain(member, "--undo")
 
@@ -162,35 +162,35 @@
         self.fleet.operator.confirm(plan["plan_id"])
 
     def set_switch(self, members: Iterable[MemberNode], name: str, value: object) -> None:
-        """Set a failure switch of some members."""
+        """Set a failure switch on members."""
         for member in members:
             self.fleet.members.set_switch(member, name, value)
 
     # Faults of the network
 
     def cut(self, name: str) -> None:
-        """Cut a node off, both ways."""
+        """Cut all traffic to and from a node."""
         self.load.note(CUT, name)
         self.fleet.isolate(name)
 
     def cut_outgoing(self, name: str) -> None:
-        """Let nothing out of a node, while everything still reaches it."""
+        """Cut outgoing traffic of a node; incoming traffic still passes."""
         self.load.note(CUT, name)
         self.fleet.relays.cut_one_way(name, "*")
 
     def cut_incoming(self, name: str) -> None:
-        """Let nothing into a node, while it still reaches all others."""
+        """Cut incoming traffic of a node; outgoing traffic still passes."""
         self.load.note(CUT, name)
         self.fleet.relays.cut_one_way("*", name)
 
     def heal(self, *names: str) -> None:
-        """Undo every cut; the names are the nodes that were cut off."""
+        """Undo all cuts; ``names`` are the nodes that were cut off."""
         self.fleet.relays.heal_all()
         for name in names:
             self.load.note(UNDO, name)
 
     def lose_region(self, zone: str) -> tuple[str, ...]:
-        """Cut a zone off from the others and from clients; return its nodes' names."""
+        """Cut off a zone from other zones and from clients; return the names of its nodes."""
         names = tuple(n.name for n in self.fleet.topology.nodes if n.zone.name == zone)
         for name in names:
             self.load.note(CUT, name)
@@ -202,7 +202,7 @@
     # Operators
 
     def change_configuration(self) -> None:
-        """Confirm a change; the fault must not stop an operator for long."""
+        """Confirm a configuration change, retrying until the recovery timeout."""
         limit = next(self._limits)
         revisions: list[int] = []
 
@@ -218,7 +218,7 @@
         self.load.note(CONFIRMED, value=revisions[-1])
 
     def replace_controller(self, name: str) -> None:
-        """Let a controller with a new disk learn and then take the place that it had."""
+        """Add a controller with an empty disk, then give it back its vote."""
         self._command_until_done("controller", "add", name, "--yes")
         self._command_until_done("controller", "replace", name, "--yes")
         wait_until(
@@ -242,7 +242,7 @@
         wait_until(done, f"{' '.join(command)} is done", RECOVERY_TIMEOUT_S)
 
     def wait_caught_up(self, member: MemberNode) -> None:
-        """Wait until a rebuilt replica holds what the primary held just now."""
+        """Wait until a rebuilt replica reaches the primary's current position."""
         target = self._position(self.primary())
         wait_until(
             lambda: self._position(member) >= target,
@@ -251,7 +251,7 @@
         )
 
     def _position(self, member: MemberNode) -> tuple[int, int]:
-        """Return the position of a member, the lowest one while it does not answer."""
+        """Return the position of a member; the lowest position while it is unreachable."""
         try:
             (row,) = self.fleet.members.query(member, POSITION_QUERY)
         except psycopg.Error:
--- a/limedyke_lab/experiments/idle_clients.py
+++ b/limedyke_lab/experiments/idle_clients.py
@@ -1,4 +1,4 @@
-"""Thousands of idle clients on one proxy: what each costs, and what one that works notices."""
+"""Measures the cost of thousands of idle clients on one proxy, and statement latency among them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def measure(fleet: Fleet, settings: OverheadSettings, experiment: str) -> ExperimentResult:
-    """Log clients in at the first proxy, let them idle, and ask statements of single ones."""
+    """Log in clients at the first proxy, leave them idle, and run statements on single ones."""
     process = psutil.Process(fleet.process(fleet.topology.proxies[0].name).pid)
     geography = fleet.topology.geography.name
     count = settings.idle_clients
@@ -58,7 +58,7 @@
 
 
 def _idle_percent(process: psutil.Process) -> float:
-    """Return the part of a core that the process uses while all clients are idle."""
+    """Return the percentage of a core that the process uses while all clients are idle."""
     before = process.cpu_times()
     time.sleep(IDLE_S)
     after = process.cpu_times()
--- a/limedyke_lab/experiments/noisy_tenant.py
+++ b/limedyke_lab/experiments/noisy_tenant.py
@@ -1,7 +1,7 @@
-"""Experiment ``noisy-tenant``: what one tenant's flood does to another tenant's latency.
+"""Experiment ``noisy-tenant``: effect of one tenant's flood on another tenant's latency.
 
-The steady tenant is measured alone and beside each flood in turns, so that a change of the
-machine's own load falls on all of them.
+Rounds alternate between the steady tenant alone and beside each flood, so that changes in the
+machine's own load affect all variants alike.
 """
 
 from __future__ import annotations
@@ -26,13 +26,14 @@
 ALONE = "alone"
 STEADY_THINK_MS = 40.0
 LEAD_S = 2.0
-"""A flood starts this long before the measured load, and outlasts it."""
+"""A flood starts this long before the measured load and ends as long after it."""
 
 
 class _Run:
-    """The experiment on one fleet.
+    """Runs the experiment on one fleet.
 
-    :ivar operations: of all rounds, by variant
+    :ivar operations: operations of all rounds, by variant
+    :ivar violations: number of violations, by variant
     """
 
     def __init__(self, fleet: Fleet, settings: NoisyTenantSettings) -> None:
@@ -41,13 +42,13 @@
         self.operations: dict[str, list[Operation]] = defaultdict(list)
         self.violations: dict[str, int] = defaultdict(int)
 
-    def take_round(self, number: int) -> None:
+    def run_round(self, number: int) -> None:
         """Measure the steady tenant alone and beside each flood."""
-        self._keep(ALONE, self._steady_load(f"alone-{number}").run())
+        self._add_history(ALONE, self._steady_load(f"alone-{number}").run())
         for flood, mix in FLOOD_MIXES.items():
-            self._take_flood(flood, mix, f"{mix.write:g}-{number}")
+            self._run_flood(flood, mix, f"{mix.write:g}-{number}")
 
-    def _take_flood(self, flood: str, mix: Mix, label: str) -> None:
+    def _run_flood(self, flood: str, mix: Mix, label: str) -> None:
         settings = self._settings
         profile = _profile(self._fleet, FLOODING, settings.flood_sessions, mix, 0.0)
         seconds = settings.seconds + 2 * LEAD_S
@@ -61,8 +62,8 @@
             noise.wait()
         finally:
             noise.stop()
-        self._keep(f"beside a {flood}", steady)
-        self._keep(f"the {flood}", noise.collect())
+        self._add_history(f"beside a {flood}", steady)
+        self._add_history(f"the {flood}", noise.collect())
 
     def _steady_load(self, name: str) -> LoadRun:
         settings = self._settings
@@ -71,7 +72,7 @@
         )
         return LoadRun(self._fleet, name, (profile,), settings.seconds, 1, settings.seed)
 
-    def _keep(self, variant: str, history: History) -> None:
+    def _add_history(self, variant: str, history: History) -> None:
         self.operations[variant] += history.operations
         self.violations[variant] += len(check_all(history))
 
@@ -83,7 +84,7 @@
         create_tables(fleet)
         measured = _Run(fleet, settings)
         for number in range(settings.rounds):
-            measured.take_round(number)
+            measured.run_round(number)
     sizes: dict[str, Value] = {
         "rounds": settings.rounds,
         "seconds": settings.seconds,
@@ -100,7 +101,7 @@
 def _profile(
     fleet: Fleet, names: dict[str, str], count: int, mix: Mix, think_ms: float
 ) -> SessionProfile:
-    """Return a profile of the geography with other numbers, on its first group only."""
+    """Return a profile of the geography with a changed size and mix, on the first group only."""
     geography = fleet.topology.geography
     name = names[geography.name]
     (profile,) = (p for p in PROFILES[geography.name](geography) if p.name == name)
@@ -116,7 +117,7 @@
 
 
 def _latencies(operations: list[Operation], kind: Kind | None = None) -> Latencies:
-    """Return the latencies of the answered operations, of one kind or all."""
+    """Return the latencies of successful operations, of one kind or all."""
     return Latencies.of(
         [
             operation
@@ -127,9 +128,9 @@
 
 
 def _values(operations: list[Operation], alone_p99_ms: float) -> dict[str, Value]:
-    """Return what a variant showed.
+    """Return the measured values of a variant.
 
-    ``p99_moved`` is its 99th percentile over that of the steady tenant alone.
+    ``p99_moved`` is the ratio of its 99th percentile to that of the steady tenant alone.
     """
     refused = [o for o in operations if o.outcome is ClientOutcome.DID_NOT_RUN]
     done = _latencies(operations)
--- a/limedyke_lab/experiments/overhead.py
+++ b/limedyke_lab/experiments/overhead.py
@@ -1,7 +1,7 @@
-"""Experiment ``overhead``: what the product adds to a statement, without network delays.
+"""Experiment ``overhead``: cost that the product adds to a statement, without network delays.
 
-Processor time is that of the processes between client and member only: it tells the cost of a
-statement also on a machine that is busy with other things, where latencies don't.
+CPU time covers only the processes between client and member. Unlike latency, it measures the
+cost of a statement even on a machine that is busy with other work.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """A way from client to member.
+    """A path from client to member.
 
-    :param between: names of the processes on it
-    :param routes: past the product, or None
+    :param between: names of the processes on the path
+    :param routes: routes that bypass the product; None with the product
     """
 
     name: str
@@ -43,7 +43,7 @@
 
 
 def run(geography: str, writer: ResultWriter) -> None:
-    """Measure statements direct, through the lab's bare relay, and through limedyke."""
+    """Measure statements sent directly, through the lab's bare relay, and through limedyke."""
     settings = load_experiment(OverheadSettings, NAME)
     name = f"{NAME}-{geography}"
     options = FleetOptions(geography=geography, name=name, delays=False, product=False)
@@ -62,7 +62,7 @@
 
 
 def _real_addresses(fleet: Fleet) -> DirectRoutes:
-    """Return the routes to the primaries past the relay."""
+    """Return routes to the primaries that bypass the relay."""
     routes = primary_only(fleet)
     groups = {}
     for group in routes.groups:
@@ -81,7 +81,7 @@
 
 
 def processor_s(fleet: Fleet, names: tuple[str, ...]) -> float:
-    """Return the processor seconds that processes have used so far."""
+    """Return the total CPU seconds that processes have used so far."""
     times = [psutil.Process(fleet.process(name).pid).cpu_times() for name in names]
     return sum(time.user + time.system for time in times)
 
--- a/limedyke_lab/experiments/recording.py
+++ b/limedyke_lab/experiments/recording.py
@@ -1,4 +1,4 @@
-"""Records a small trace of a fleet under load and one failure, for replay by tests."""
+"""Records a short trace of a fleet under load with one fault, for use by tests."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Recording:
-    """What a trace shows: a fault, and clients with the product or with a baseline."""
+    """Contents of a trace: a fault, and clients that use the product or a baseline."""
 
     fault: FaultRun
     baseline: str = ""
@@ -41,7 +41,7 @@
 
 
 def _lose_acknowledged(stage: FaultStage) -> None:
-    """Let members acknowledge before a majority holds a write, and lose the primary."""
+    """Make members acknowledge writes before a majority stores them, then kill the primary."""
     stage.set_switch(stage.fleet.topology.members, "lose_acknowledged", "on")
     primary = stage.primary()
     stage.set_switch((primary,), "freeze_replication", "on")
@@ -63,14 +63,14 @@
     "lose-acknowledged": Recording(FaultRun("lose-acknowledged", _lose_acknowledged)),
     "random-member": Recording(FaultRun("random-member", _long_lag), "random-member"),
 }
-"""The last two show violations: a member that misbehaves, and clients without the product."""
+"""The last two show violations, by a misbehaving member and by clients without the product."""
 
 
 def record_trace(path: Path, geography: str, fault: str, seconds: float) -> int:
     """Run a fleet with a fault and write the first seconds of its history.
 
     :param fault: one of ``RECORDINGS``
-    :returns: the exit code, which tells whether a checker found something in the trace
+    :returns: exit code: 1 when a checker found a violation, 2 for an unknown name, else 0
     """
     if fault not in RECORDINGS or geography not in GEOGRAPHIES:
         print(f"expected one of {', '.join(RECORDINGS)} and of {', '.join(GEOGRAPHIES)}")
--- a/limedyke_lab/experiments/replica_reads.py
+++ b/limedyke_lab/experiments/replica_reads.py
@@ -1,4 +1,4 @@
-"""Experiment ``replica-reads``: share of reads that replicas serve, by their lag."""
+"""Experiment ``replica-reads``: share of reads served by replicas, by replica lag."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def run(geography: str, writer: ResultWriter) -> None:
-    """Measure each lag on one fleet, then the baselines on a fleet without the product."""
+    """Measure each lag on one fleet, then the baselines on another without the product."""
     settings = load_experiment(ReplicaReadsSettings, NAME)
     name = f"{NAME}-{geography}"
     with Fleet(FleetOptions(geography=geography, name=name)) as fleet:
--- a/limedyke_lab/experiments/result.py
+++ b/limedyke_lab/experiments/result.py
@@ -1,4 +1,4 @@
-"""Results of experiments: JSON lines with seed, commit and sizes, and a table for people."""
+"""Results of experiments, written as JSON lines with seed and commit, and printed as a table."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ExperimentResult:
-    """One row of an experiment.
+    """One result row of an experiment.
 
-    :param variant: what was varied, such as a kind of failure or a baseline's name
+    :param variant: variant, such as a kind of failure or the name of a baseline
     :param sizes: sizes of the run: sessions, rounds, lags, load
-    :param values: what was measured; the unit ends the name
+    :param values: measured values; names end with the unit
     """
 
     experiment: str
@@ -39,7 +39,7 @@
 
 
 def current_commit() -> str:
-    """Return the commit that is checked out, with ``+changes`` when the tree differs from it."""
+    """Return the checked-out commit, with ``+changes`` if the working tree is modified."""
     commit = run_command(["git", "-C", str(REPOSITORY), "rev-parse", "HEAD"], _GIT_TIMEOUT_S)
     changes = run_command(["git", "-C", str(REPOSITORY), "status", "--porcelain"], _GIT_TIMEOUT_S)
     suffix = "+changes" if changes.stdout.strip() else ""
@@ -57,7 +57,7 @@
             path.parent.mkdir(parents=True, exist_ok=True)
 
     def add(self, result: ExperimentResult) -> None:
-        """Keep and write a result, and print its row."""
+        """Store, write and print a result."""
         self.results.append(result)
         print(describe(result), flush=True)
         if self._path is None:
@@ -79,7 +79,7 @@
 
 
 def table(results: list[ExperimentResult]) -> str:
-    """Return results of one experiment as a table, one line a row."""
+    """Return the results of one experiment as a text table."""
     columns = list(dict.fromkeys(name for result in results for name in result.values))
     rows = [["geography", "variant", *columns]]
     for result in results:
@@ -101,7 +101,7 @@
 
     @classmethod
     def of(cls, operations: list[Operation]) -> Latencies:
-        """Return the latencies of some operations."""
+        """Return the latencies of operations."""
         latencies = cls()
         for operation in operations:
             latencies.add_ns(operation.end_ns - operation.start_ns)
@@ -117,13 +117,13 @@
         self.add_ns(int(milliseconds * _US_PER_MS * _NS_PER_US))
 
     def percentile_ms(self, percentile: float) -> float:
-        """Return a percentile in milliseconds, 0 when there is no latency."""
+        """Return a percentile in milliseconds; 0 without data."""
         if not self._histogram.get_total_count():
             return 0.0
         return self._histogram.get_value_at_percentile(percentile) / _US_PER_MS
 
     def p50_p99(self, prefix: str) -> dict[str, Value]:
-        """Return the median and the 99th percentile under names with a prefix."""
+        """Return the median and the 99th percentile, with a prefix for their names."""
         return {
             f"{prefix}_p50_ms": self.percentile_ms(50),
             f"{prefix}_p99_ms": self.percentile_ms(99),
--- a/limedyke_lab/experiments/revision_watch.py
+++ b/limedyke_lab/experiments/revision_watch.py
@@ -1,4 +1,4 @@
-"""Times the rise of the revision in force at each proxy, with a thread for each."""
+"""Measures when revisions come into force at each proxy, using one thread per proxy."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass
 class _Seen:
-    """The rises of the revision at one proxy: what it became, and when that was first seen."""
+    """Revisions of one proxy in increasing order, and when each was first observed."""
 
     revisions: list[int] = field(default_factory=list)
     times: list[float] = field(default_factory=list)
@@ -30,15 +30,15 @@
             self.went_back += 1
 
     def reached_at(self, revision: int) -> float:
-        """Return when a revision, or a later one, was first seen; infinite when never."""
+        """Return when this or a later revision was first observed; infinity if never."""
         position = bisect_left(self.revisions, revision)
         return self.times[position] if position < len(self.times) else float("inf")
 
 
-class RiseWatch:
-    """Follows the revisions of some proxies while the ``with`` block runs.
+class RevisionRiseTimer:
+    """Polls the revisions of proxies for the duration of a ``with`` block.
 
-    What it tells is late by up to one poll, and never early.
+    Reported times are late by up to one poll interval, never early.
     """
 
     def __init__(self, nodes: tuple[Node, ...]) -> None:
@@ -48,7 +48,7 @@
             threading.Thread(target=self._follow, args=(node,), daemon=True) for node in nodes
         ]
 
-    def __enter__(self) -> RiseWatch:
+    def __enter__(self) -> RevisionRiseTimer:
         for thread in self._threads:
             thread.start()
         return self
@@ -60,15 +60,15 @@
 
     @property
     def went_back(self) -> int:
-        """How often a proxy showed an older revision than before."""
+        """Number of times a proxy reported an older revision than before."""
         return sum(seen.went_back for seen in self._seen.values())
 
     def reached_at(self, revision: int) -> float:
-        """Return when the last proxy had a revision in force; infinite while one has not."""
+        """Return when a revision was in force at every proxy; infinity if it is not yet."""
         return max(seen.reached_at(revision) for seen in self._seen.values())
 
     def wait_for(self, revision: int, timeout_s: float) -> float:
-        """Return when the last proxy had a revision in force; infinite when not in time."""
+        """Wait until a revision is in force at every proxy; return when, infinity on timeout."""
         deadline = time.monotonic() + timeout_s
         while self.reached_at(revision) == float("inf") and time.monotonic() < deadline:
             time.sleep(POLL_S)
--- a/limedyke_lab/experiments/run.py
+++ b/limedyke_lab/experiments/run.py
@@ -1,4 +1,4 @@
-"""Runs experiments by name, and all of them for the bench."""
+"""Runs single experiments by name, or all of them as the benchmark."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     config_storm.NAME: config_storm.run,
     overhead.NAME: overhead.run,
 }
-"""What the bench runs, in this order."""
+"""Experiments of the benchmark, in order."""
 
 EXPERIMENTS: dict[str, Experiment] = {
     **MEASURED,
@@ -48,12 +48,12 @@
     },
 }
 BOTH_GEOGRAPHIES = (replica_reads.NAME, failover.NAME)
-"""The two measures of the brief are taken in both geographies; the others in the first."""
+"""Experiments of the two main measures run in both geographies, the others in the first."""
 MEASURES = {
     replica_reads.NAME: ("replica_read_share", "of_ceiling", "stale_reads"),
     failover.NAME: ("gap_p50_ms", "gap_p99_ms", "gap_max_ms"),
 }
-"""Which values show the measures of the brief."""
+"""Values of the two main measures."""
 VIOLATION_VALUES = frozenset(
     {
         "violations",
@@ -65,7 +65,7 @@
         "races_with_more",
     }
 )
-"""Values that must be zero with the product."""
+"""Values that must be zero when the product is used."""
 EXIT_OK = 0
 EXIT_VIOLATION = 1
 EXIT_UNKNOWN_NAME = 2
@@ -84,7 +84,7 @@
 
 
 def count_violations(results: list[ExperimentResult]) -> int:
-    """Return the sum of all that must be zero; baselines past the product don't count."""
+    """Return the sum of all values that must be zero; baselines are excluded."""
     return sum(
         int(result.values[name])
         for result in results
@@ -94,7 +94,7 @@
 
 
 def run_bench(out: str, earlier: str) -> int:
-    """Run all experiments, the brief's two measures first; return the exit code."""
+    """Run all experiments, starting with the two main measures; return the exit code."""
     started = time.monotonic()
     writer = ResultWriter(Path(out))
     failed: list[str] = []
@@ -106,7 +106,7 @@
                 print("\n".join(describe_measures(writer.results)), flush=True)
     if earlier:
         before = load_earlier(Path(earlier))
-        print(f"\nbeside commit {before.commit}")
+        print(f"\ncompared with commit {before.commit}")
         print("\n".join(compare(writer.results, before)))
     violations = count_violations(writer.results)
     values = {
@@ -121,7 +121,7 @@
 
 
 def _run_measured(name: str, writer: ResultWriter) -> bool:
-    """Run one experiment; tell whether it came to its end.  The others run in any case."""
+    """Run one experiment; return whether it completed. A failure does not stop the others."""
     first = len(writer.results)
     began = time.monotonic()
     reason = ""
@@ -140,7 +140,7 @@
 
 
 def describe_measures(results: list[ExperimentResult]) -> list[str]:
-    """Return the two measures of the brief, one line a result."""
+    """Return the two main measures, one line per result."""
     return [
         f"measure {result.experiment} {result.geography} {result.variant}: "
         + " ".join(f"{name}={result.values[name]:.4g}" for name in names)
--- a/limedyke_lab/experiments/saturation.py
+++ b/limedyke_lab/experiments/saturation.py
@@ -1,8 +1,8 @@
-"""Experiment ``saturation``: a slow member is not a dead one.
+"""Experiment ``saturation``: a slow member must not be treated as failed.
 
-All groups get far more work than their slots can do, for a while, and nothing fails.  Each
-change of a primary is then a false failover; each member called unreachable is a wrong
-judgement, which the controllers' majority may or may not have stopped.
+All groups get far more work than their slots can execute, and no fault is injected. Each
+change of a primary is therefore a false failover, and each report of an unreachable member is
+a false detection, which the controllers' majority may or may not have prevented.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 class SaturationSettings(ExperimentSettings):
     """Settings of ``saturation``.
 
-    :param seconds: how long the load lasts
-    :param writers_per_group: sessions that only write, without pauses
-    :param readers_per_group: the same for reads
-    :param execute_ms: how long a member holds a slot for each statement
+    :param seconds: duration of the load
+    :param writers_per_group: number of sessions that only write, without pauses
+    :param readers_per_group: number of sessions that only read, without pauses
+    :param execute_ms: time that each statement holds a slot
     """
 
     seconds: float
@@ -39,7 +39,7 @@
 
 
 def run(geography: str, writer: ResultWriter) -> None:
-    """Saturate all groups and count changes of primaries and members called unreachable."""
+    """Saturate all groups; count primary changes and members reported as unreachable."""
     settings = load_experiment(SaturationSettings, NAME)
     options = FleetOptions(
         geography=geography,
@@ -99,7 +99,7 @@
 
 
 def _count_lines(fleet: Fleet, *parts: str) -> int:
-    """Return how many lines of the product's logs hold all parts."""
+    """Return the number of lines in the product's logs that contain all parts."""
     nodes = (*fleet.topology.controllers, *fleet.topology.proxies)
     lines = (
         line
--- a/limedyke_lab/experiments/settings_file.py
+++ b/limedyke_lab/experiments/settings_file.py
@@ -15,7 +15,7 @@
 
 
 class ExperimentSettings(BaseModel):
-    """Base of all: unknown keys are errors."""
+    """Base of all experiment settings; unknown keys are rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -27,9 +27,9 @@
 class FailoverSettings(ExperimentSettings):
     """Settings of ``failover``.
 
-    :param rounds: failures of each kind and geography
+    :param rounds: number of failures of each kind in each geography
     :param round_s: time from one failure to the next
-    :param undo_after_s: when the failed member comes back, counted from the failure
+    :param undo_after_s: time from the failure until it is undone
     """
 
     kinds: tuple[str, ...]
@@ -49,8 +49,8 @@
 class NoisyTenantSettings(ExperimentSettings):
     """Settings of ``noisy-tenant``.
 
-    :param rounds: turns of the steady tenant alone and beside each flood, ``seconds`` each
-    :param flood_sessions: sessions of the flooding tenant, which never pause
+    :param rounds: measurements of the steady tenant alone and beside each flood, ``seconds`` each
+    :param flood_sessions: number of sessions of the flooding tenant, without pauses
     """
 
     rounds: int = Field(ge=1)
@@ -62,7 +62,7 @@
 class DrainSettings(ExperimentSettings):
     """Settings of ``drain``: planned stops of proxies and members under load.
 
-    :param hold_s: how long a member stays declared as leaving
+    :param hold_s: time that a member stays declared as leaving
     """
 
     proxy_rounds: int
@@ -74,8 +74,8 @@
 class ConfigStormSettings(ExperimentSettings):
     """Settings of ``config-storm``.
 
-    :param changes: changes of which each is waited for until it is in force
-    :param storm_changes: changes confirmed without a pause
+    :param changes: number of changes, each waited for until it is in force
+    :param storm_changes: number of changes confirmed without pauses
     """
 
     changes: int
@@ -87,11 +87,11 @@
 class FaultSettings(ExperimentSettings):
     """Settings of ``faults``.
 
-    :param lead_s: load before the fault
-    :param hold_s: how long a fault lasts
-    :param tail_s: load after the fault was undone
-    :param limit_s: the load ends by itself after this long
-    :param watchers_per_group: sessions that write to each group all the time
+    :param lead_s: duration of the load before the fault
+    :param hold_s: duration of a fault
+    :param tail_s: duration of the load after the fault is undone
+    :param limit_s: time after which the load ends by itself
+    :param watchers_per_group: number of sessions that write continuously to each group
     """
 
     lead_s: float
@@ -105,8 +105,8 @@
 class OverheadSettings(ExperimentSettings):
     """Settings of ``overhead``: sessions without pauses, on a network without delays.
 
-    :param idle_clients: clients that are logged in at one proxy while few of them work
-    :param probes: statements of single ones among them
+    :param idle_clients: number of clients logged in at one proxy, almost all idle
+    :param probes: number of statements sent by single idle clients
     """
 
     seconds: float
@@ -119,12 +119,12 @@
 
 
 _shortened: dict[str, dict[str, object]] = {}
-"""By experiment, the settings that the bench replaces; empty outside of it."""
+"""Settings that the benchmark overrides, by experiment; empty otherwise."""
 
 
 @contextmanager
 def bench_settings() -> Iterator[None]:
-    """Within the block, experiments run as shortly as the bench's own file says."""
+    """Apply the shorter settings of the benchmark file within a ``with`` block."""
     _shortened.update(yaml.safe_load((FOLDER / BENCH_FILE).read_text()))
     try:
         yield
