--- a/features/lab_database.feature
+++ b/features/lab_database.feature
@@ -1,7 +1,7 @@
 Feature: The lab's stand-in database
 
-  A member speaks PostgreSQL's protocol, shows term and position, and acknowledges a commit only
-  when a majority of its group holds it under the current term.
+  A member speaks the PostgreSQL protocol, reports its term and position, and acknowledges a commit
+  only when a majority of its group stores it under the current term.
 
   Scenario Outline: Contract of a single member: <statement>
     Given lab database: a shared single member
@@ -51,7 +51,7 @@
       | SELECT lab_set('slots', '1')                 | 42501    |
       | SELECT group_promise(9)                      | 42501    |
 
-  Scenario Outline: A table of values comes back the same in mode <mode>
+  Scenario Outline: Values are read back unchanged in mode <mode>
     Given lab database: a single member
     When lab database: 100 rows are written and read back in mode <mode>
     Then lab database: the rows read are the rows written
@@ -64,12 +64,12 @@
       | pipeline |
       | binary   |
 
-  Scenario: A portal with a row limit gives its rows in parts
+  Scenario: A portal with a row limit returns its rows in parts
     Given lab database: a single member
     When lab database: 10 rows are fetched by a portal of 4 rows
-    Then lab database: the portal was suspended 2 times and gave 10 rows
+    Then lab database: the portal was suspended 2 times and returned 10 rows
 
-  Scenario: A failed statement aborts its transaction, a savepoint saves it
+  Scenario: A failed statement aborts its transaction; rolling back to a savepoint recovers it
     Given lab database: a single member
     When lab database: the client runs "BEGIN; INSERT INTO item VALUES (11, 'a'); SAVEPOINT s"
     And lab database: the client runs "INSERT INTO item VALUES (11, 'again')"
@@ -105,7 +105,7 @@
     Then lab database: a further client is refused with 53300
     And lab database: the administrator still connects
 
-  Scenario: Slots bound how many statements execute at once
+  Scenario: Slots limit how many statements execute at once
     Given lab database: a single member with 40 connections and 2 slots
     And lab database: the switch "execute_ms" of a is "150"
     When lab database: 6 clients run one statement each at once
@@ -129,7 +129,7 @@
     And lab database: a is stopped
     Then lab database: the history of a has "INSERT INTO item VALUES (60, 'kept')" as commit
 
-  Scenario: Replicas hold the same rows at the same position, random values included
+  Scenario: Replicas hold the same rows at the same position, including random values
     Given lab database: a group of 3 with primary a
     When lab database: a runs "INSERT INTO item SELECT 1, random() || now() || gen_random_uuid()"
     Then lab database: b and c reach the position of a
@@ -152,7 +152,7 @@
     When lab database: the switch "freeze_replication" of c is set to "off"
     Then lab database: the waiting write is acknowledged
 
-  Scenario: A replaced primary acknowledges nothing and its tail is cut
+  Scenario: A replaced primary acknowledges nothing and its log is truncated
     Given lab database: a group of 3 with primary a
     And lab database: the switch "freeze_replication" of b is "on"
     And lab database: the switch "freeze_replication" of c is "on"
@@ -170,7 +170,7 @@
     When lab database: the client runs "SELECT 1"
     Then lab database: the error is 57P01
 
-  Scenario Outline: An open transaction of a replaced primary does not commit by <ending>
+  Scenario Outline: An open transaction of a replaced primary does not commit on <ending>
     Given lab database: a group of 3 with primary a
     When lab database: a opens a write of row 1 by <ending>
     And lab database: a and c promise term 2
@@ -183,10 +183,10 @@
       | COMMIT |
       | SYNC   |
 
-  Scenario Outline: Which promises are given: <case>
+  Scenario Outline: Promises after a promise of term 5: <case>
     Given lab database: a group of 3 with primary a
     When lab database: b promises term 5 to "first"
-    Then lab database: b asked for term <term> by "<promoter>" answers <answer>
+    Then lab database: a promise of term <term> by b to "<promoter>" gives <answer>
 
     Examples:
       | case               | term | promoter | answer |
@@ -198,8 +198,8 @@
   Scenario Outline: A promise survives a restart: <case>
     Given lab database: a group of 3 with primary a
     When lab database: b promises term 5 to "first"
-    And lab database: all members end by SIGKILL and start again
-    Then lab database: b asked for term <term> by "<promoter>" answers <answer>
+    And lab database: all members are restarted by SIGKILL
+    Then lab database: a promise of term <term> by b to "<promoter>" gives <answer>
 
     Examples:
       | case             | term | promoter | answer |
@@ -207,7 +207,7 @@
       | same, other asks | 5    | second   | 55000  |
       | lower            | 4    | second   | 55000  |
 
-  Scenario: Two members promoted under one term: only the first followed opens
+  Scenario: Two members promoted under one term: only the first that is followed accepts writes
     Given lab database: a group of 3 with primary a
     When lab database: b and c promise term 2
     And lab database: the switch "freeze_replication" of c is set to "on"
@@ -226,10 +226,10 @@
     And lab database: b answers "INSERT INTO item VALUES (1, 'x')" with error 25006
     And lab database: a is refused by its peers and steps down
 
-  Scenario Outline: A restart by <signal> keeps acknowledged writes and verifies nothing
+  Scenario Outline: A restart by <signal> keeps acknowledged writes and resets the verified term
     Given lab database: a group of 3 with primary a
     When lab database: a runs "INSERT INTO item VALUES (1, 'kept')"
-    And lab database: all members end by <signal> and start again
+    And lab database: all members are restarted by <signal>
     Then lab database: every member shows term 0
     And lab database: a answers "INSERT INTO item VALUES (2, 'x')" with error 25006
     When lab database: b and c promise term 2
@@ -262,7 +262,7 @@
     And lab database: b is promoted under term 2
     Then lab database: a, b and c answer "SELECT count(*) FROM item" with [[0]]
 
-  Scenario Outline: The log after a crash: <damage>
+  Scenario Outline: The log opens after a crash: <damage>
     When lab database: a log of 3 records is damaged by <damage>
     Then lab database: the log opens with <records> records and takes a further one
 
@@ -272,11 +272,11 @@
       | its last byte changed  | 2       |
       | its last byte lost     | 2       |
 
-  Scenario Outline: Faults of answers: <switch>
+  Scenario Outline: Response faults: <switch>
     Given lab database: a single member
     And lab database: the switch "<switch>" of a is "1"
     When lab database: a batch of an insert of row 70 and a batch of SELECT 'second' are sent together
-    Then lab database: the answers read are <answers>
+    Then lab database: the command tags received are <answers>
     And lab database: row 70 was written
 
     Examples:
--- a/features/steps/lab_database_faults_steps.py
+++ b/features/steps/lab_database_faults_steps.py
@@ -1,4 +1,4 @@
-"""Steps on failures and measures of the lab's stand-in database."""
+"""Steps for faults and performance of the lab's stand-in database."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     assert taken < milliseconds, taken
 
 
-@given("lab database: a single member measured as it comes")
+@given("lab database: a single member with the default delays")
 def measured_member(context):
     member = MeasuredMember(slots=CONNECTION_LIMIT, connection_limit=CONNECTION_LIMIT)
     context.add_cleanup(member.__exit__)
@@ -56,14 +56,14 @@
     context.measured = drive(context.measured_member, statements, clients, seconds)
 
 
-@then("lab database: the slowest hundredth took less than {factor:d} times the median")
-def fair(context, factor):
+@then("lab database: the 99th percentile was less than {factor:d} times the median")
+def percentile_below(context, factor):
     measured = context.measured
     assert measured.p99_ms < factor * measured.p50_ms, measured
 
 
 @then("lab database: at least {rate:d} statements ran each second")
-def fast_enough(context, rate):
+def rate_at_least(context, rate):
     assert context.measured.statements_per_s >= rate, context.measured
 
 
@@ -73,10 +73,10 @@
     began = time.monotonic()
     wait_until(lambda: context.group.admin(name, statement) == [[1]])
     taken = (time.monotonic() - began) * MILLISECONDS
-    # The insert itself took a moment, during which the lag ran already.
+    # The lag starts while the insert is still running, hence the tolerance of 100 ms.
     assert taken >= milliseconds - 100, taken
 
 
-@when("lab database: {name} loses its folder and starts again")
+@when("lab database: {name} loses its data folder and restarts")
 def loses_folder(context, name):
     context.group.lose_folder(name)
--- a/features/steps/lab_database_steps.py
+++ b/features/steps/lab_database_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the lab's stand-in database: real processes, psycopg as client."""
+"""Steps for the lab's stand-in database, run as processes with psycopg as client."""
 
 import json
 import signal
@@ -15,10 +15,10 @@
 )
 from limedyke_lab.database.replication.log import LogRecord, RecordLog
 
-SHARED = {}
+SHARED_GROUPS = {}
 
 
-def use(context, group):
+def connect_clients(context, group):
     context.group = group
     context.client = group.connect("a")
     context.other = group.connect("a")
@@ -26,34 +26,34 @@
     context.add_cleanup(context.other.close)
 
 
-def use_alone(context, group):
+def connect_and_close_after(context, group):
     context.add_cleanup(group.close)
-    use(context, group)
+    connect_clients(context, group)
 
 
 @given("lab database: a shared single member")
 def shared_member(context):
-    """One process for all scenarios that leave nothing behind."""
-    if "group" not in SHARED:
-        SHARED["group"] = Group(("a",))
-        context.add_cleanup(lambda: SHARED.pop("group").close(), layer="feature")
-    use(context, SHARED["group"])
+    """Share one process between all scenarios that leave no state behind."""
+    if "group" not in SHARED_GROUPS:
+        SHARED_GROUPS["group"] = Group(("a",))
+        context.add_cleanup(lambda: SHARED_GROUPS.pop("group").close(), layer="feature")
+    connect_clients(context, SHARED_GROUPS["group"])
 
 
 @given("lab database: a single member")
 def single_member(context):
-    use_alone(context, Group(("a",)))
+    connect_and_close_after(context, Group(("a",)))
 
 
 @given("lab database: a single member with {connections:d} connections and {slots:d} slots")
 def limited_member(context, connections, slots):
     options = ["--connection_limit", str(connections + 2), "--slots", str(slots)]
-    use_alone(context, Group(("a",), options))
+    connect_and_close_after(context, Group(("a",), options))
 
 
 @given("lab database: a group of 3 with primary a")
 def group_of_three(context):
-    use_alone(context, Group(NAMES))
+    connect_and_close_after(context, Group(NAMES))
 
 
 @given('lab database: the switch "{switch}" of {name} is "{value}"')
--- a/features/steps/lab_database_terms_steps.py
+++ b/features/steps/lab_database_terms_steps.py
@@ -1,6 +1,6 @@
-"""Steps on terms in a group of stand-in databases: acknowledgement, promises and promotion.
+"""Steps for terms in a group of stand-in databases: acknowledgement, promises and promotion.
 
-Behave loads this file after ``lab_database_steps.py``, whose phrases are more specific.
+Behave loads this file after ``lab_database_steps.py``, whose step texts are more specific.
 """
 
 import json
@@ -102,7 +102,7 @@
     context.group.admin(name, f"SELECT group_promise({term}, '{promoter}')")
 
 
-@then('lab database: {name} asked for term {term:d} by "{promoter}" answers {answer}')
+@then('lab database: a promise of term {term:d} by {name} to "{promoter}" gives {answer}')
 def asked_for_promise(context, name, term, promoter, answer):
     found = context.group.answer(name, f"SELECT group_promise({term}, '{promoter}')")
     assert (found == answer) if answer != "yes" else found[0][0].startswith("1,0/"), found
@@ -139,7 +139,7 @@
     wait_until(lambda: context.group.answer("a", "SELECT group_role()") == [["replica"]])
 
 
-@when("lab database: all members end by {name} and start again")
+@when("lab database: all members are restarted by {name}")
 def restart_all(context, name):
     group = context.group
     for member in NAMES:
--- a/features/steps/lab_database_wire_steps.py
+++ b/features/steps/lab_database_wire_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the stand-in database's protocol: modes of execution, portals and batches."""
+"""Steps for the stand-in database's protocol: execution modes, portals and batches."""
 
 import struct
 
@@ -48,7 +48,7 @@
     context.messages = exchange(context.client, data, lambda got: count(got, b"Z") > 0)
 
 
-@then("lab database: the portal was suspended {times:d} times and gave {total:d} rows")
+@then("lab database: the portal was suspended {times:d} times and returned {total:d} rows")
 def portal_suspended(context, times, total):
     assert count(context.messages, b"s") == times, context.messages
     assert count(context.messages, b"D") == total, context.messages
@@ -90,8 +90,8 @@
     context.answer_tags = [body.split(b" ")[0].decode() for kind, body in messages if kind == b"C"]
 
 
-@then("lab database: the answers read are {tags}")
-def answers_read(context, tags):
+@then("lab database: the command tags received are {tags}")
+def command_tags_received(context, tags):
     assert (",".join(context.answer_tags) or "-") == tags, context.answer_tags
 
 
--- a/features/support/database_group.py
+++ b/features/support/database_group.py
@@ -1,4 +1,4 @@
-"""Members of the stand-in database as processes, with psycopg as client."""
+"""Groups of stand-in database members, run as processes with psycopg as client."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def wait_until(condition: Callable[[], object]) -> None:
-    """Poll a condition; connection errors count as not yet."""
+    """Poll until a condition holds; connection errors are ignored."""
     deadline = time.monotonic() + DEADLINE_SECONDS
     while time.monotonic() < deadline:
         try:
@@ -35,18 +35,18 @@
         except psycopg.OperationalError:
             pass
         time.sleep(POLL_SECONDS)
-    raise AssertionError("condition not reached in time")
+    raise AssertionError("condition not met in time")
 
 
 def free_port(host: str) -> int:
-    """Return a port that nothing listens on."""
+    """Return a free TCP port."""
     with closing(socket.socket()) as probe:
         probe.bind((host, 0))
         return probe.getsockname()[1]
 
 
 class Group:
-    """Members as processes in a temporary folder."""
+    """A group of member processes in a temporary folder."""
 
     def __init__(self, names, options=()):
         self.folder = tempfile.TemporaryDirectory(prefix="lab-database-")
@@ -80,7 +80,7 @@
             self.processes[name] = subprocess.Popen(command, stderr=log)
 
     def connect(self, name, user="app", password="secret", attempts=True, **options):
-        """Connect, by default until it succeeds."""
+        """Open a connection, by default retrying until it succeeds."""
         target = {"host": self.hosts[name], "port": self.ports[name], "dbname": "lab"}
         found = []
 
@@ -98,11 +98,11 @@
         return found[0]
 
     def admin(self, name, statement):
-        """Run a statement on the administrator's kept connection."""
+        """Run a statement on the administrator's open connection."""
         return rows(self.admin_connections[name].execute(statement))
 
     def reconnect(self, name):
-        """Connect the administrator anew, as a rebuild or restart ends sessions."""
+        """Reconnect the administrator, because a rebuild or restart ends sessions."""
         self.admin_connections[name].close()
         self.admin_connections[name] = self.connect(name, "lab_admin", "lab")
 
@@ -111,7 +111,7 @@
         return self.admin(name, POSITION_QUERY)[0][2]
 
     def answer(self, name, statement):
-        """Run a statement on a fresh connection; rows or SQLSTATE."""
+        """Run a statement on a new connection; return its rows or the SQLSTATE of its error."""
         with closing(self.connect(name, "lab_admin", "lab")) as connection:
             return attempt(connection, statement)
 
@@ -128,7 +128,7 @@
         self.reconnect(name)
 
     def close(self):
-        """Kill what still runs and remove the folder."""
+        """Kill running members and remove the folder."""
         for name, process in self.processes.items():
             if process.poll() is None:
                 self.end(name, signal.SIGKILL)
@@ -137,14 +137,14 @@
 
 
 def rows(cursor: psycopg.Cursor) -> list[list[object]]:
-    """Return the rows of the last of the cursor's results."""
+    """Return the rows of the cursor's last result."""
     while cursor.nextset():
         pass
     return [list(row) for row in cursor.fetchall()] if cursor.description else []
 
 
 def attempt(connection: psycopg.Connection, statement: str) -> list[list[object]] | str:
-    """Return rows, or the SQLSTATE of the error."""
+    """Return the rows of a statement, or the SQLSTATE of its error."""
     try:
         return rows(connection.execute(statement))
     except psycopg.Error as error:
--- a/features/support/raw_messages.py
+++ b/features/support/raw_messages.py
@@ -1,4 +1,4 @@
-"""Raw messages of PostgreSQL's protocol, sent beside psycopg on its own socket."""
+"""Raw PostgreSQL protocol messages, sent on the socket of a psycopg connection."""
 
 import os
 import socket
@@ -6,12 +6,12 @@
 
 
 def message(kind, body):
-    """Return a message of a kind, with its length."""
+    """Encode a message with its type byte and length."""
     return kind + struct.pack("!I", len(body) + 4) + body
 
 
 def extended(statement, limit=0):
-    """Return Parse, Bind, Describe and Execute of the unnamed statement."""
+    """Encode Parse, Bind, Describe and Execute of the unnamed statement."""
     return (
         message(b"P", b"\0" + statement.encode() + b"\0\0\0")
         + message(b"B", b"\0\0\0\0\0\0\0\0")
@@ -24,7 +24,10 @@
 
 
 def exchange(connection, data, until):
-    """Send raw messages; return (kind, body) pairs up to the end or until(messages) holds."""
+    """Send raw messages; return (kind, body) pairs received until ``until(messages)`` holds.
+
+    Stops early when the connection closes or is silent for two seconds.
+    """
     wire = socket.socket(fileno=os.dup(connection.pgconn.socket))
     wire.setblocking(True)
     wire.settimeout(2)
@@ -48,5 +51,5 @@
 
 
 def count(messages, kind):
-    """Return how many messages are of a kind."""
+    """Return the number of messages of a kind."""
     return sum(1 for found, _ in messages if found == kind)
