--- a/features/failover_experiment.feature
+++ b/features/failover_experiment.feature
@@ -1,9 +1,9 @@
-Feature: What the failover experiment counts
-  Gaps come from the clients' own history: the longest time without a completed write.
+Feature: Write gaps in the failover experiment
+  A gap is the longest time without a completed write in the clients' history.
 
   Scenario Outline: Histogram of gaps of <gaps> ms
     When gaps: a histogram of "<gaps>" ms is made
-    Then gaps: it reads "<text>"
+    Then gaps: the histogram is "<text>"
 
     Examples:
       | gaps              | text                              |
@@ -11,8 +11,8 @@
       | 749 750 1499 1500 | 0.5-0.75:1,0.75-1:1,1.25-1.5:1,1.5-2:1 |
       | 700 inf           | 0.5-0.75:1,endless:1              |
 
-  Scenario: Gaps by kind, and of all failures of a single member
-    Given gaps: writes each 50 ms for 100 s, but for these pauses
+  Scenario: Gaps by kind of failure, and of all single-member failures
+    Given gaps: writes every 50 ms for 100 s, except during these pauses
       | from_ms | to_ms |
       | 20000   | 20700 |
       | 50000   | 52400 |
--- a/features/lab_experiments.feature
+++ b/features/lab_experiments.feature
@@ -1,7 +1,7 @@
-Feature: The frame of the experiments
-  Results are comparable, a violation fails a run, and every experiment has its settings.
+Feature: Experiment results and settings
+  Results can be compared between runs, a violation fails a run, and every experiment has settings.
 
-  Scenario Outline: experiments: what must be zero fails a run: <value>
+  Scenario Outline: experiments: a nonzero <value> fails a run
     Given experiments: a result of variant "<variant>" with <value> 1
     Then experiments: the run counts <count> violations
 
@@ -24,16 +24,16 @@
     Then experiments: the comparison says "failover ostmark kill gap_p50_ms: 900 -> 450 (-50%)"
 
   Scenario: experiments: an unknown name is refused
-    When experiments: "no-such-experiment" is asked for
+    When experiments: the experiment "no-such-experiment" is run
     Then experiments: the exit code is 2
 
-  Scenario: experiments: the measures of the brief are shown
+  Scenario: experiments: the main measures are printed
     Given experiments: a result of the experiment "replica-reads" with its measures
     Then experiments: the measures are "measure replica-reads ostmark limedyke lag=20ms: replica_read_share=0.95 of_ceiling=0.99 stale_reads=0"
 
-  Scenario Outline: experiments: the bench shortens <name>, and only within itself
-    Then experiments: the settings of <name> within the bench are valid and shorter
-    And experiments: the settings of <name> outside are its own
+  Scenario Outline: experiments: the benchmark shortens <name> only while it runs
+    Then experiments: the benchmark settings of <name> are valid and differ from its own
+    And experiments: the settings of <name> outside the benchmark are its own
 
     Examples:
       | name          |
--- a/features/lab_proof.feature
+++ b/features/lab_proof.feature
@@ -1,10 +1,10 @@
-Feature: The page of proofs names what exists
+Feature: References in docs/PROOF.md
 
-  Scenario: proof: every feature, scenario, mutant, checker and fault run that docs/PROOF.md names exists
+  Scenario: proof: every feature, scenario, mutant, checker and fault run named in docs/PROOF.md exists
     Then proof: its features and scenarios exist
     And proof: its mutants exist
     And proof: its checkers, traces and fault runs exist
 
-  Scenario: proof: every checker and every fault run stands on a page
+  Scenario: proof: every checker, experiment and fault run is documented
     Then proof: docs/LAB.md names every checker
     And proof: docs/EXPERIMENTS.md names every experiment and fault run
--- a/features/mutants/lab_fleet.py
+++ b/features/mutants/lab_fleet.py
@@ -1,4 +1,4 @@
-"""Proxies of real fleets without one of their safeguards, noticed by what clients recorded."""
+"""Mutants of the proxy on real fleets, detected by checkers in the clients' history."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 )
 
 
-def _nothing(stage: FaultStage) -> None:
+def _no_fault(stage: FaultStage) -> None:
     stage.hold()
 
 
@@ -38,28 +38,28 @@
     return next(run.act for run in FAULT_RUNS if run.name == name)
 
 
-def _stop_proxy_at_work(stage: FaultStage) -> None:
-    """Stop a proxy while members hold their answers, so that requests are in flight there."""
+def _stop_busy_proxy(stage: FaultStage) -> None:
+    """Stop a proxy while members delay their responses, so that it has requests in flight."""
     members = stage.fleet.topology.members
     stage.set_switch(members, "delay_answers_ms", HELD_ANSWER_MS)
     _run_named("stop-proxy")(stage)
     stage.set_switch(members, "delay_answers_ms", 0)
 
 
-def _found(name: str, act: Callable[[FaultStage], None], module: str) -> dict[str, int]:
+def _count_violations(name: str, act: Callable[[FaultStage], None], module: str) -> dict[str, int]:
     fault = FaultRun(f"{name.replace(' ', '-')}-{module.rpartition('.')[2]}", act)
     return count_by_checker(check_all(record(fault, GEOGRAPHY, SHORT, proxy_module=module)))
 
 
 @cache
-def _found_with_safeguard(act: Callable[[FaultStage], None]) -> dict[str, int]:
-    return _found("sound", act, PROXY_MODULE)
+def _count_violations_with_safeguard(act: Callable[[FaultStage], None]) -> dict[str, int]:
+    return _count_violations("sound", act, PROXY_MODULE)
 
 
 def _is_caught(carelessness: str, act: Callable[[FaultStage], None], checker: str) -> bool:
     with mock.patch.dict(os.environ, {careless_proxy.VARIABLE: carelessness}):
-        caught = _found(carelessness, act, careless_proxy.MODULE)[checker] > 0
-    if _found_with_safeguard(act)[checker]:
+        caught = _count_violations(carelessness, act, careless_proxy.MODULE)[checker] > 0
+    if _count_violations_with_safeguard(act)[checker]:
         raise AssertionError(f"{checker} finds something with the safeguard in place")
     return caught
 
@@ -77,7 +77,7 @@
 
 
 MUTANTS = (
-    _mutant("ignores tokens", "UnitRead._find_required", _nothing, consistency.READ_YOUR_WRITES),
+    _mutant("ignores tokens", "UnitRead._find_required", _no_fault, consistency.READ_YOUR_WRITES),
     _mutant("ignores once-keys", "UnitOnceWrite", _run_named("lost-answers"), writes.AT_MOST_ONCE),
     _mutant(
         "sends writes again", "UnitWrite._execute", _run_named("lost-answers"), writes.AT_MOST_ONCE
@@ -88,5 +88,5 @@
         _run_named("lost-answers"),
         writes.DID_NOT_RUN,
     ),
-    _mutant("cuts when draining", "drain._wait_for_clients", _stop_proxy_at_work, leaving.DRAIN),
+    _mutant("cuts when draining", "drain._wait_for_clients", _stop_busy_proxy, leaving.DRAIN),
 )
--- a/features/steps/failover_experiment_steps.py
+++ b/features/steps/failover_experiment_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what the failover experiment works out from a history."""
+"""Steps for the gaps that the failover experiment computes from a history."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     context.shown = histogram([float(gap) for gap in gaps.split()])
 
 
-@then('gaps: it reads "{text}"')
-def step_reads(context, text):
+@then('gaps: the histogram is "{text}"')
+def step_histogram_is(context, text):
     assert context.shown == text, context.shown
 
 
@@ -27,7 +27,7 @@
     return Operation(at_ms, "s", "t", "g", "p", Kind.WRITE, at_ns, at_ns, ClientOutcome.DONE)
 
 
-@given("gaps: writes each 50 ms for 100 s, but for these pauses")
+@given("gaps: writes every 50 ms for 100 s, except during these pauses")
 def step_writes(context):
     pauses = [(int(row["from_ms"]), int(row["to_ms"])) for row in context.table]
     moments = [
--- a/features/steps/lab_experiments_steps.py
+++ b/features/steps/lab_experiments_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the frame of the experiments."""
+"""Steps for experiment results and settings."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
     assert context.comparison == [line], context.comparison
 
 
-@when('experiments: "{name}" is asked for')
-def when_asked(context, name):
+@when('experiments: the experiment "{name}" is run')
+def when_experiment_run(context, name):
     context.code = run_experiment(name, "", "")
 
 
@@ -72,13 +72,13 @@
     assert describe_measures([context.result]) == [line], describe_measures([context.result])
 
 
-@then("experiments: the settings of {name} within the bench are valid and shorter")
+@then("experiments: the benchmark settings of {name} are valid and differ from its own")
 def then_shorter(context, name):
     context.own = load_experiment(SETTINGS[name], name)
     with bench_settings():
         assert load_experiment(SETTINGS[name], name) != context.own
 
 
-@then("experiments: the settings of {name} outside are its own")
+@then("experiments: the settings of {name} outside the benchmark are its own")
 def then_own(context, name):
     assert load_experiment(SETTINGS[name], name) == context.own
--- a/features/steps/lab_mutants_steps.py
+++ b/features/steps/lab_mutants_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the runner of the mutants."""
+"""Steps for the mutation test runner."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 }
 
 
-@when("mutants: one that {case} is judged")
+@when("mutants: a mutant that {case} is judged")
 def when_judged(context, case):
     context.verdict = run.judge("area", Mutant("name", "safeguard", "check", CASES[case]))
 
 
-@then('mutants: it counts as {verdict}, for the reason "{reason:Anything}"')
+@then('mutants: it counts as {verdict} with the reason "{reason:Anything}"')
 def then_counts(context, verdict, reason):
     assert str(context.verdict).startswith(verdict), str(context.verdict)
     assert context.verdict.caught == (verdict == "caught")
     assert context.verdict.reason == reason, context.verdict.reason
 
 
-@when('mutants: those of the area "{area}" are run')
+@when('mutants: the mutants of the area "{area}" are run')
 def when_run(context, area):
     output = io.StringIO()
     with redirect_stdout(output):
@@ -55,13 +55,13 @@
     assert context.lines[-1].endswith("caught, 0 missed"), context.lines[-1]
 
 
-@when('mutants: those of the area "{area}" are listed')
+@when('mutants: the mutants of the area "{area}" are listed')
 def when_listed(context, area):
     modules = run.modules_with_mutants((area,))
     context.mutants = {module: run.load_mutants(module) for module in modules}
 
 
-@then("mutants: each checker has one, and those that start fleets run alone")
+@then("mutants: each checker has one, and mutants that start fleets run alone")
 def then_listed(context):
     assert len(context.mutants["lab_checkers"]) == len(CHECKERS)
     assert all(mutant.alone for mutant in context.mutants["lab_fleet"])
--- a/features/steps/lab_proof_steps.py
+++ b/features/steps/lab_proof_steps.py
@@ -1,4 +1,4 @@
-"""Steps that hold the page of proofs against what it names."""
+"""Steps that check the references in docs/PROOF.md."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def rows(kind: str) -> list[str]:
-    """Return the cells of the rows of a kind in the page of proofs."""
+    """Return the cells of the table rows of a kind in docs/PROOF.md."""
     found = re.findall(rf"^\| {kind}s? \| (.*) \|$", page("PROOF.md"), re.MULTILINE)
     assert found, kind
     return found
