--- a/features/steps/lab_fleet_steps.py
+++ b/features/steps/lab_fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps on fleets of real processes."""
+"""Steps for fleets of real processes."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     context.summary = {name: float(value) for name, value in pairs}
 
 
-@then("fleet: it ends with {code:d}")
+@then("fleet: it exits with code {code:d}")
 def then_ends(context, code):
     assert context.done.returncode == code, context.done.stdout + context.done.stderr
 
@@ -66,7 +66,7 @@
 
 
 def _insert(fleet: Fleet, proxy: str) -> list[str]:
-    """Insert a mark under a key and return the notices that came with the answer."""
+    """Insert a mark under a key and return the notices received with the response."""
     notices: list[str] = []
     host, port = split_address(fleet.node(proxy).advertise)
     with psycopg.connect(
@@ -85,12 +85,12 @@
     return notices
 
 
-@then("fleet: the second answer says that it repeats the first")
+@then("fleet: the second response is marked as a repetition of the first")
 def then_repeats(context):
     assert context.notices == [[], [DUPLICATE_TEXT]], context.notices
 
 
-@then("fleet: the row stands once at the primary")
+@then("fleet: the primary holds the row once")
 def then_once(context):
     primary = context.fleet.wait_for_primary(GROUP)
     rows = context.fleet.members.query(primary, statements.ALL_MARKS)
