--- a/limedyke_lab/database/replication/replication_messages.py
+++ b/limedyke_lab/database/replication/replication_messages.py
@@ -14,6 +14,7 @@
 STARTUP_PACKET = b"\x00\x00\x00\x08" + REPLICATION_CODE
 _LENGTH = Struct("!I")
 MAXIMUM_FRAME_BYTES = 256 * 1024 * 1024
+_RECEIVE_BYTES = 262144
 
 
 class Answer(enum.IntEnum):
@@ -86,7 +87,7 @@
 
     async def _fill(self, size: int) -> bytes:
         while len(self._buffer) < size:
-            data = await self._sock.recv(262144)
+            data = await self._sock.recv(_RECEIVE_BYTES)
             if not data:
                 raise EOFError
             self._buffer += data
--- a/limedyke_lab/database/server.py
+++ b/limedyke_lab/database/server.py
@@ -24,6 +24,7 @@
 from limedyke_lab.database.stop_signal import StopSignal
 
 _BACKLOG = 1024
+_RECEIVE_BYTES = 4096
 _MAXIMUM_STARTUP_BYTES = 10_000
 _STARTUP_TIMEOUT_SECONDS = 30.0
 _HISTORY_FLUSH_SECONDS = 1.0
@@ -231,7 +232,7 @@
         message = stream.next_message()
         if message is not None:
             break
-        data = await sock.recv(4096)
+        data = await sock.recv(_RECEIVE_BYTES)
         if not data:
             raise EOFError
         stream.write(data)
--- a/limedyke_lab/simulated_disk.py
+++ b/limedyke_lab/simulated_disk.py
@@ -13,6 +13,9 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
+_CORRUPTION_PROBABILITY = 0.3
+"""Probability that a crash corrupts one byte of the surviving unsynced data."""
+
 
 class SimulatedPowerLoss(BaseException):
     """Simulated loss of power during a disk operation."""
@@ -152,7 +155,7 @@
         unsynced = bytes(contents.cached[len(contents.durable) :])
         kept = unsynced[: self._rng.randint(0, len(unsynced))]
         survivor = bytearray(contents.durable + kept)
-        if kept and self._rng.random() < 0.3:
+        if kept and self._rng.random() < _CORRUPTION_PROBABILITY:
             lost = self._rng.randint(0, len(kept) - 1)
             survivor[len(contents.durable) + lost] ^= 0xFF
         contents.cached = survivor
