--- a/features/steps/agreement_controllers_steps.py
+++ b/features/steps/agreement_controllers_steps.py
@@ -211,7 +211,7 @@
         return any(context.trio.leads(name) for name in names)
 
     async def ask(operator) -> None:
-        answered = await operator._ask_once(StatusRequest("frozen"))
+        answered = await operator._try_request(StatusRequest("frozen"))
         if answered is not None and isinstance(answered.answer, Status):
             context.served.append(answered.answer.revision)
 
